--- a/crates/foxtailhold-relay/src/dialect.rs
+++ b/crates/foxtailhold-relay/src/dialect.rs
@@ -5,7 +5,7 @@
 
 /// What the product puts into a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Outgoing<'a> {
+pub struct RequestMetadata<'a> {
     /// Identity of the request, echoed by the backend server.
     pub request_id: &'a str,
     /// Identity of the only backend server that may run it.
@@ -18,20 +18,20 @@
 
 /// What the head of an answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Head {
+pub enum ResponseCheck {
     /// The answer to this request.
-    Own,
+    Valid,
     /// The backend server did not run the request and never will: it is full or leaving.
     NotRun,
     /// Another backend server has the address; not run.
-    OtherBackend,
+    WrongBackend,
     /// An answer to another request, or one that cannot be trusted.
-    Foreign,
+    Mismatched,
 }
 
 /// A backend server's load, as an answer tells it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -43,13 +43,13 @@
 /// Names and meanings of headers towards backend servers.
 pub trait Dialect: Clone + Send + Sync + 'static {
     /// Sets the product's headers in a request that carries the caller's.
-    fn write(&self, outgoing: &Outgoing<'_>, headers: &mut HeaderMap);
+    fn write(&self, outgoing: &RequestMetadata<'_>, headers: &mut HeaderMap);
 
     /// Reads the head of an answer.
-    fn read<B>(&self, request_id: &str, response: &Response<B>) -> Head;
+    fn read<B>(&self, request_id: &str, response: &Response<B>) -> ResponseCheck;
 
     /// The load that an answer tells.
-    fn load(&self, headers: &HeaderMap) -> Option<ToldLoad>;
+    fn load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
     /// Whether this answer to a batch item means that it can never be done.
     fn is_impossible(&self, status: StatusCode) -> bool;
--- a/crates/foxtailhold-relay/src/dispatch.rs
+++ b/crates/foxtailhold-relay/src/dispatch.rs
@@ -21,7 +21,7 @@
 use crate::peers::{NoPlace, Place, PlaceQuery};
 use crate::plain::PlainLoads;
 use crate::relay::{FIRST_EVENT_PATIENCE_MS, LostRun, PLAIN_RETRY_AFTER_MS, Relay, exchange};
-use crate::request::{Answer, NotRunReason, OpaqueRequest, Unserved};
+use crate::request::{NotRunReason, OpaqueRequest, RelayOutcome, Unserved};
 use crate::stream::{Leg, Pump};
 use crate::upstream::{self, Miss};
 
@@ -49,8 +49,8 @@
         if route.timeout_ms > 0 {
             left_ms = route.timeout_ms;
         }
-        if let Some(patience_ms) = request.patience_ms {
-            left_ms = left_ms.min(patience_ms.saturating_sub(RETURN_MS));
+        if let Some(caller_timeout_ms) = request.caller_timeout_ms {
+            left_ms = left_ms.min(caller_timeout_ms.saturating_sub(RETURN_MS));
         }
         Progress {
             attempts: Attempts::new(request.received + Duration::from_millis(left_ms)),
@@ -75,11 +75,11 @@
 
 impl<D: Dialect> Relay<D> {
     /// Answers a request of a route.
-    pub async fn serve(self: &Arc<Self>, route: &Route, request: OpaqueRequest) -> Answer {
+    pub async fn serve(self: &Arc<Self>, route: &Route, request: OpaqueRequest) -> RelayOutcome {
         let mut progress = Progress::new(&request, route);
         if let Some(retry_after_ms) = self.refused_ms(&request) {
             let reason = NotRunReason::Crashing;
-            let answer = Answer::Unserved(progress.unserved(reason, retry_after_ms));
+            let answer = RelayOutcome::Unserved(progress.unserved(reason, retry_after_ms));
             self.note(route, &request.id, request.received, &progress, &answer);
             return answer;
         }
@@ -107,18 +107,18 @@
         id: &str,
         received: Instant,
         progress: &Progress,
-        answer: &Answer,
+        answer: &RelayOutcome,
     ) {
         let outcome = match answer {
-            Answer::Served(_) => "served",
-            Answer::Unserved(Unserved::NotRun { .. }) => "not_run",
-            Answer::Unserved(Unserved::MayHaveRun) => "may_have_run",
-            Answer::Unserved(Unserved::TimedOut) => "timed_out",
+            RelayOutcome::Served(_) => "served",
+            RelayOutcome::Unserved(Unserved::NotRun { .. }) => "not_run",
+            RelayOutcome::Unserved(Unserved::MayHaveRun) => "may_have_run",
+            RelayOutcome::Unserved(Unserved::TimedOut) => "timed_out",
         };
         let took_ms = received.elapsed().as_millis() as u64;
         self.metrics.answered(&route.name, outcome, took_ms);
         let (reason, retry_after_ms) = match answer {
-            Answer::Unserved(Unserved::NotRun {
+            RelayOutcome::Unserved(Unserved::NotRun {
                 reason,
                 retry_after_ms,
             }) => (Some(*reason), Some(*retry_after_ms)),
@@ -176,7 +176,7 @@
         service: &TargetName,
         request: &OpaqueRequest,
         progress: &mut Progress,
-    ) -> Answer {
+    ) -> RelayOutcome {
         loop {
             let now = self.clock.mono();
             let chosen = {
@@ -187,7 +187,9 @@
             };
             let Some(backend) = chosen else {
                 let reason = NotRunReason::NoBackend;
-                return Answer::Unserved(progress.unserved(reason, NO_BACKEND_RETRY_AFTER_MS));
+                return RelayOutcome::Unserved(
+                    progress.unserved(reason, NO_BACKEND_RETRY_AFTER_MS),
+                );
             };
             let mut counted = Counted {
                 loads: &self.plain,
@@ -228,7 +230,9 @@
                     counted.outcome = miss.outcome();
                     if !self.may_go_on(route, request, progress, &backend, miss) {
                         let reason = NotRunReason::NotTaken;
-                        return Answer::Unserved(progress.unserved(reason, PLAIN_RETRY_AFTER_MS));
+                        return RelayOutcome::Unserved(
+                            progress.unserved(reason, PLAIN_RETRY_AFTER_MS),
+                        );
                     }
                 }
             }
@@ -252,9 +256,9 @@
     }
 
     /// Marks an answer as the backend server's own.
-    fn passed_on(&self, mut response: Response<body::AnswerBody>) -> Answer {
+    fn passed_on(&self, mut response: Response<body::AnswerBody>) -> RelayOutcome {
         self.dialect.strip(response.headers_mut());
-        Answer::Served(response)
+        RelayOutcome::Served(response)
     }
 
     async fn serve_engine(
@@ -263,7 +267,7 @@
         service: &TargetName,
         request: OpaqueRequest,
         progress: &mut Progress,
-    ) -> Answer {
+    ) -> RelayOutcome {
         loop {
             let spent_ms = request.received.elapsed().as_millis() as u64;
             let asked = Instant::now();
@@ -283,11 +287,13 @@
                     Ok(found) => found,
                     Err(NoPlace::Refused { retry_after_ms }) => {
                         let reason = NotRunReason::NoPlace;
-                        return Answer::Unserved(progress.unserved(reason, retry_after_ms));
+                        return RelayOutcome::Unserved(progress.unserved(reason, retry_after_ms));
                     }
                     Err(NoPlace::TimedOut) => {
                         let reason = NotRunReason::Waited;
-                        return Answer::Unserved(progress.unserved(reason, PLAIN_RETRY_AFTER_MS));
+                        return RelayOutcome::Unserved(
+                            progress.unserved(reason, PLAIN_RETRY_AFTER_MS),
+                        );
                     }
                 }
             };
@@ -341,7 +347,9 @@
                     progress.served_by = None;
                     if !self.may_go_on(route, &request, progress, &backend, miss) {
                         let reason = NotRunReason::NotTaken;
-                        return Answer::Unserved(progress.unserved(reason, PLAIN_RETRY_AFTER_MS));
+                        return RelayOutcome::Unserved(
+                            progress.unserved(reason, PLAIN_RETRY_AFTER_MS),
+                        );
                     }
                 }
             }
--- a/crates/foxtailhold-relay/src/feeds.rs
+++ b/crates/foxtailhold-relay/src/feeds.rs
@@ -15,7 +15,7 @@
 use crate::fleet::{BackendServer, FleetBook};
 use crate::follow::Sink;
 use crate::peers::{Member, Peers};
-use crate::platform_tables::Sources;
+use crate::platform_tables::PlatformTables;
 use crate::relay::Relay;
 
 /// Pause between two looks at entries that time alone changes.
@@ -28,9 +28,9 @@
     pub(crate) sources: R,
 }
 
-impl<D: Dialect, R: Sources> RoutesSink<D, R> {
+impl<D: Dialect, R: PlatformTables> RoutesSink<D, R> {
     fn take(&self, rows: &[VersionedRow]) {
-        let key = self.sources.routes_at().1;
+        let key = self.sources.routes_location().1;
         for row in rows {
             if row.key.key != key {
                 continue;
@@ -57,7 +57,7 @@
     }
 }
 
-impl<D: Dialect, R: Sources> Sink for RoutesSink<D, R> {
+impl<D: Dialect, R: PlatformTables> Sink for RoutesSink<D, R> {
     fn replace(&mut self, snapshot: Snapshot) {
         self.take(&snapshot.rows);
     }
@@ -100,7 +100,7 @@
     }
 }
 
-impl<D: Dialect, R: Sources> Fleet<D, R> {
+impl<D: Dialect, R: PlatformTables> Fleet<D, R> {
     fn book(&self) -> MutexGuard<'_, FleetBook> {
         self.book.lock()
     }
@@ -185,7 +185,7 @@
     }
 }
 
-impl<D: Dialect, R: Sources> Sink for Fleet<D, R> {
+impl<D: Dialect, R: PlatformTables> Sink for Fleet<D, R> {
     fn replace(&mut self, snapshot: Snapshot) {
         let now = self.relay.clock.mono();
         let mut all = Vec::new();
--- a/crates/foxtailhold-relay/src/instance.rs
+++ b/crates/foxtailhold-relay/src/instance.rs
@@ -23,11 +23,11 @@
 use crate::fleet::{Backends, FleetBook};
 use crate::follow::follow;
 use crate::jobs::{BookSink, JOBS_TABLE, JobBook, JobStore, Jobs, own_jobs, sweep_jobs};
-use crate::metrics::{RelayMetrics, State};
+use crate::metrics::{GaugeValues, RelayMetrics};
 use crate::peers::{INSTANCES_TABLE, Member, Peers};
 use crate::pending_attempts::UnsettledRuns;
 use crate::plain::PlainLoads;
-use crate::platform_tables::Sources;
+use crate::platform_tables::PlatformTables;
 use crate::relay::Relay;
 use crate::shared_store::SharedStore;
 use foxtailhold_http::clock::Clock;
@@ -58,7 +58,7 @@
 
 /// Who this instance is.
 #[derive(Debug, Clone)]
-pub struct Identity {
+pub struct InstanceIdentity {
     /// Its identity, new at each start.
     pub instance: InstanceId,
     /// Its availability zone.
@@ -70,7 +70,7 @@
     /// Its share of a core, in thousandths.
     pub core_permille: u32,
     /// How long batch jobs stay readable after their acceptance.
-    pub keep_jobs_ms: u64,
+    pub job_retention_ms: u64,
 }
 
 /// A running instance.
@@ -80,7 +80,7 @@
     pub relay: Arc<Relay<D>>,
     /// Batch jobs.
     pub jobs: Arc<Jobs<SharedStore<S>, D>>,
-    identity: Identity,
+    identity: InstanceIdentity,
     store: SharedStore<S>,
     peer_server: Server,
     backends_known: watch::Receiver<bool>,
@@ -90,8 +90,8 @@
 
 impl<S: RowStore + ObjectStore, D: Dialect> Instance<S, D> {
     /// Starts following the platform and talking to other instances.
-    pub async fn start<R: Sources>(
-        identity: Identity,
+    pub async fn start<R: PlatformTables>(
+        identity: InstanceIdentity,
         store: S,
         dialect: D,
         sources: R,
@@ -136,8 +136,8 @@
             fleet: fleet.clone(),
             sources: sources.clone(),
         };
-        tokio::spawn(follow(store.clone(), sources.routes_at().0, routes));
-        let followed = follow(store.clone(), sources.backends_at(), fleet.clone());
+        tokio::spawn(follow(store.clone(), sources.routes_location().0, routes));
+        let followed = follow(store.clone(), sources.backends_table(), fleet.clone());
         tokio::spawn(followed);
         let members = MembersSink(peers.clone());
         tokio::spawn(follow(store.clone(), INSTANCES_TABLE, members));
@@ -146,7 +146,7 @@
         tokio::spawn(peers.run());
         tokio::spawn(fleet.expire());
         tokio::spawn(persist_crashes(store.clone(), relay.peers.clone()));
-        tokio::spawn(sweep_jobs(Arc::clone(&jobs), identity.keep_jobs_ms));
+        tokio::spawn(sweep_jobs(Arc::clone(&jobs), identity.job_retention_ms));
         let (leaving, jobs_leave) = (CancellationToken::new(), CancellationToken::new());
         tokio::spawn(own_jobs(Arc::clone(&jobs), jobs_leave.clone()));
         let instance = Arc::new(Instance {
@@ -165,14 +165,14 @@
     }
 
     /// Whether it has read what it needs to serve: routes, backend servers, and what all instances know.
-    pub fn has_read_all(&self) -> bool {
+    pub fn has_loaded_tables(&self) -> bool {
         let knows_routes = self.relay.routes.load().version() > 0;
         knows_routes && *self.backends_known.borrow() && self.relay.peers.is_table_read()
     }
 
     /// Whether it should get requests.
     pub fn is_ready(&self) -> bool {
-        self.has_read_all() && !self.leaving.is_cancelled()
+        self.has_loaded_tables() && !self.leaving.is_cancelled()
     }
 
     /// Addresses that callers should use, this instance's own where nobody else is known.
@@ -271,9 +271,9 @@
     }
 
     /// What the metrics tell of the moment at which they are read.
-    pub fn state(&self) -> State {
-        let (places_in_use, requests_waiting) = self.in_use();
-        State {
+    pub fn gauge_values(&self) -> GaugeValues {
+        let (places_in_use, requests_waiting) = self.slot_usage();
+        GaugeValues {
             places_in_use,
             requests_waiting,
             batch_jobs_open: self.jobs.book.open().len(),
@@ -282,8 +282,8 @@
     }
 
     /// Places in use and requests that wait.
-    pub fn in_use(&self) -> (usize, usize) {
-        self.relay.peers.in_use()
+    pub fn slot_usage(&self) -> (usize, usize) {
+        self.relay.peers.slot_usage()
     }
 
     /// Deletes the own row and stops making calls for other instances.
--- a/crates/foxtailhold-relay/src/jobs/accept.rs
+++ b/crates/foxtailhold-relay/src/jobs/accept.rs
@@ -26,11 +26,11 @@
 
 /// What became of a job that was handed in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Accepted {
+pub enum AcceptOutcome {
     /// It is kept from now on.
-    New,
+    Created,
     /// It was kept before.
-    Before,
+    AlreadyAccepted,
 }
 
 fn check_quota(
@@ -74,9 +74,9 @@
         route: &Route,
         bounds: BatchBounds,
         new: &NewJob,
-    ) -> Result<Accepted> {
+    ) -> Result<AcceptOutcome> {
         if self.book.get(&new.id).is_some() {
-            return Ok(Accepted::Before);
+            return Ok(AcceptOutcome::AlreadyAccepted);
         }
         let new_tokens: u64 = new.items.iter().map(|item| item.tokens).sum();
         check_quota(&self.book.quota(&route.name), bounds, new_tokens)?;
@@ -89,7 +89,7 @@
             match accepted {
                 Ok(Committed::At(version)) => {
                     self.book.put(&new.id, job, version);
-                    return Ok(Accepted::New);
+                    return Ok(AcceptOutcome::Created);
                 }
                 Ok(Committed::Conflict(rows)) => {
                     // The quota's row goes into the book by the feed only, together with the job
@@ -98,13 +98,13 @@
                         self.book.put_row(row);
                     }
                     if self.book.get(&new.id).is_some() {
-                        return Ok(Accepted::Before);
+                        return Ok(AcceptOutcome::AlreadyAccepted);
                     }
                     newer = rows.iter().find_map(quota_view);
                 }
                 Err(JobError::Unknown(error)) => {
                     return match self.look_for(&new.id).await {
-                        true => Ok(Accepted::New),
+                        true => Ok(AcceptOutcome::Created),
                         false => Err(JobError::Unknown(error)),
                     };
                 }
--- a/crates/foxtailhold-relay/src/jobs/mod.rs
+++ b/crates/foxtailhold-relay/src/jobs/mod.rs
@@ -16,11 +16,11 @@
 mod store;
 mod sweep;
 
-pub use accept::Accepted;
+pub use accept::AcceptOutcome;
 pub use cache::{BookSink, Job, JobBook};
 pub use checkpoint::{Given, Partials, Piece};
 pub use owner::own_jobs;
-pub use read::{ListedResult, Page};
+pub use read::{ListedResult, ResultPage};
 pub use store::{JobStore, QuotaRow};
 pub use sweep::sweep_jobs;
 
--- a/crates/foxtailhold-relay/src/jobs/read.rs
+++ b/crates/foxtailhold-relay/src/jobs/read.rs
@@ -28,7 +28,7 @@
 
 /// Results from a position on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Page {
+pub struct ResultPage {
     /// Number of items of the job.
     pub total: usize,
     /// Position after the last result of this page.
@@ -39,7 +39,7 @@
 
 impl<S: RowStore + ObjectStore, D: Dialect> Jobs<S, D> {
     /// Reads results from position `after` on, waiting until there is one, at most `wait_ms`.
-    pub async fn read(&self, id: &JobId, after: usize, wait_ms: u64) -> Result<Page> {
+    pub async fn read(&self, id: &JobId, after: usize, wait_ms: u64) -> Result<ResultPage> {
         let until = Instant::now() + Duration::from_millis(wait_ms);
         let mut changes = self.book.changes();
         let mut known = self.find(id).await?.ok_or(JobError::NotFound)?;
@@ -52,7 +52,7 @@
         let total = known.job.items.len();
         let listed = known.job.listed.len();
         if listed <= after {
-            return Ok(Page {
+            return Ok(ResultPage {
                 total,
                 next: after,
                 results: Vec::new(),
@@ -68,7 +68,7 @@
         });
         let count = fitting.count();
         results.truncate(count);
-        Ok(Page {
+        Ok(ResultPage {
             total,
             next: after + results.len(),
             results,
--- a/crates/foxtailhold-relay/src/metrics.rs
+++ b/crates/foxtailhold-relay/src/metrics.rs
@@ -113,7 +113,7 @@
 
 /// What is read when the metrics are asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct State {
+pub struct GaugeValues {
     /// Places at engines that this instance holds.
     pub places_in_use: usize,
     /// Requests and batch items that wait for one.
@@ -148,7 +148,7 @@
         registry.register_with_unit("config_age", help, Unit::Seconds, age);
     }
 
-    fn set(&self, state: &State) {
+    fn set(&self, state: &GaugeValues) {
         self.places_in_use.set(state.places_in_use as i64);
         self.requests_waiting.set(state.requests_waiting as i64);
         self.batch_jobs_open.set(state.batch_jobs_open as i64);
@@ -331,7 +331,7 @@
     }
 
     /// All metrics in the text format.
-    pub fn text(&self, state: &State) -> Result<String, std::fmt::Error> {
+    pub fn text(&self, state: &GaugeValues) -> Result<String, std::fmt::Error> {
         self.gauges.set(state);
         if let Some(confirmed) = *self.config_confirmed.lock() {
             let age_s = confirmed.elapsed().as_secs_f64();
--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -265,7 +265,7 @@
     }
 
     /// How many places this instance holds and how many requests wait.
-    pub fn in_use(&self) -> (usize, usize) {
+    pub fn slot_usage(&self) -> (usize, usize) {
         let places = self.inner.places.lock();
         (places.held.len(), places.waiting.len())
     }
--- a/crates/foxtailhold-relay/src/plain.rs
+++ b/crates/foxtailhold-relay/src/plain.rs
@@ -10,7 +10,7 @@
 use foxtailhold::time::MonoMs;
 use parking_lot::Mutex;
 
-use crate::dialect::ToldLoad;
+use crate::dialect::ReportedLoad;
 use crate::fleet::BackendServer;
 
 /// A told load counts for this time: load changes within a few requests' time.
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct Known {
     in_flight: u32,
-    told: Option<(MonoMs, ToldLoad)>,
+    told: Option<(MonoMs, ReportedLoad)>,
     trouble: Trouble,
 }
 
@@ -68,7 +68,7 @@
     }
 
     /// Notes the load that an answer told.
-    pub fn told(&self, now: MonoMs, id: &BackendId, load: ToldLoad) {
+    pub fn told(&self, now: MonoMs, id: &BackendId, load: ReportedLoad) {
         self.known.lock().entry(id.clone()).or_default().told = Some((now, load));
     }
 
--- a/crates/foxtailhold-relay/src/platform_tables.rs
+++ b/crates/foxtailhold-relay/src/platform_tables.rs
@@ -16,12 +16,12 @@
 }
 
 /// Where the platform keeps routes and backend servers, and how they are read.
-pub trait Sources: Clone + Send + Sync + 'static {
+pub trait PlatformTables: Clone + Send + Sync + 'static {
     /// Table and key of the routes.
-    fn routes_at(&self) -> (&'static str, &'static str);
+    fn routes_location(&self) -> (&'static str, &'static str);
 
     /// Table of backend servers, one row each.
-    fn backends_at(&self) -> &'static str;
+    fn backends_table(&self) -> &'static str;
 
     /// Reads the routes.
     fn read_routes(&self, value: &[u8]) -> std::result::Result<RouteTable, RowError>;
--- a/crates/foxtailhold-relay/src/request.rs
+++ b/crates/foxtailhold-relay/src/request.rs
@@ -21,7 +21,7 @@
     /// Body.
     pub body: Bytes,
     /// How long the caller waits.
-    pub patience_ms: Option<u64>,
+    pub caller_timeout_ms: Option<u64>,
     /// The event after which a stream goes on.
     pub after_event: Option<u64>,
     /// When its head was read.
@@ -89,7 +89,7 @@
 
 /// The answer to an opaque request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum RelayOutcome {
     /// A backend server's answer.
     Served(Response<AnswerBody>),
     /// None.
--- a/crates/foxtailhold-relay/src/upstream.rs
+++ b/crates/foxtailhold-relay/src/upstream.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::connections::{Connections, InUse, SendFailure};
-use crate::dialect::{Dialect, Head, Outgoing};
+use crate::dialect::{Dialect, RequestMetadata, ResponseCheck};
 use crate::fleet::BackendServer;
 
 /// Largest whole answer that is kept until its end is known to be sound.
@@ -94,7 +94,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         *request.headers_mut() = self.headers.clone();
-        let outgoing = Outgoing {
+        let outgoing = RequestMetadata {
             request_id: self.request_id,
             backend,
             left_ms,
@@ -135,13 +135,13 @@
             }
         };
         match dialect.read(self.request_id, &response) {
-            Head::Own => Ok((response, in_use)),
-            Head::NotRun => {
+            ResponseCheck::Valid => Ok((response, in_use)),
+            ResponseCheck::NotRun => {
                 put_back_after(response.into_body(), in_use);
                 Err(Miss::NotRun)
             }
-            Head::OtherBackend => Err(Miss::Unreachable),
-            Head::Foreign => Err(Miss::Broken),
+            ResponseCheck::WrongBackend => Err(Miss::Unreachable),
+            ResponseCheck::Mismatched => Err(Miss::Broken),
         }
     }
 }
