--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -2,11 +2,11 @@
 
 mod members;
 mod message;
-mod place;
+mod slot;
 
 pub use members::{Member, Members};
 pub use message::{PeerMessage, ShortName};
-pub use place::{NoPlace, Place, PlaceQuery};
+pub use slot::{NoPlace, Place, PlaceQuery};
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -265,7 +265,7 @@
     }
 
     /// How many places this instance holds and how many requests wait.
-    pub fn in_use(&self) -> (usize, usize) {
+    pub fn slot_usage(&self) -> (usize, usize) {
         let places = self.inner.places.lock();
         (places.held.len(), places.waiting.len())
     }
