--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_book::{ContractBook, ContractChange};
+use foxtailhold::contract_registry::{ContractBook, ContractChange};
 use foxtailhold::ids::{InstanceId, TargetName};
 use foxtailhold::limits::{Ask, EXCHANGE_MS, IDLE_MS, ShareAsks};
 use foxtailhold::time::MonoMs;
--- a/crates/foxtailhold-entry/src/actors/mod.rs
+++ b/crates/foxtailhold-entry/src/actors/mod.rs
@@ -7,9 +7,9 @@
 pub mod lease;
 pub mod limits;
 pub mod membership;
-pub mod once_sweep;
+pub mod idempotency_sweep;
 pub mod orders;
-pub mod steward;
+pub mod batch_controller;
 
 use std::time::Duration;
 
--- a/crates/foxtailhold-entry/src/contract_store.rs
+++ b/crates/foxtailhold-entry/src/contract_store.rs
@@ -1,6 +1,6 @@
 //! Reads of contracts from the platform's table service.
 
-use foxtailhold::contract_book::{ContractChange, ContractEntry};
+use foxtailhold::contract_registry::{ContractChange, ContractEntry};
 use foxtailhold::contract_sync::{LOG_REPLAY, StoreSnapshot};
 use foxtailhold::ids::CustomerId;
 use foxtailhold_platform::{PlatformError, Result, TableService};
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -18,7 +18,7 @@
 use crate::actors::note_undelivered;
 use crate::gateway::results::{Outcome, ResultFile};
 use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest, rows, store_unavailable};
-use crate::jobs::landing;
+use crate::jobs::deadline_check;
 use crate::jobs::owner::{self, CancelEnd};
 use crate::messages::JobsMessage;
 use crate::shared::Shared;
@@ -98,7 +98,7 @@
     let now_ms = shared.clock.wall().0;
     let window_s = request.window_s.unwrap_or(contract.batch_window_s);
     let window_ms = window_s.min(contract.batch_window_s).saturating_mul(1_000);
-    landing::check(shared, &job, items, window_ms).await?;
+    deadline_check::check(shared, &job, items, window_ms).await?;
     let row = JobRow {
         job: job.clone(),
         customer: customer.clone(),
--- a/crates/foxtailhold-entry/src/gateway/contract_change.rs
+++ b/crates/foxtailhold-entry/src/gateway/contract_change.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_book::{ContractChange, ContractEntry};
+use foxtailhold::contract_registry::{ContractChange, ContractEntry};
 use foxtailhold::ids::CustomerId;
 use foxtailhold_operator::error::{OperatorError, Result};
 use foxtailhold_operator::gateway::ContractUpdate;
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -1,7 +1,7 @@
 //! What operators see and change through this instance.
 
 use foxtailhold::batch::{JobRow, OpenRow, OwnerRow};
-use foxtailhold::contract_book::{Catchup, ContractEntry};
+use foxtailhold::contract_registry::{Catchup, ContractEntry};
 use foxtailhold::contract_sync::Listing;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::orders::EngineSetup;
--- a/crates/foxtailhold-entry/src/jobs/policy.rs
+++ b/crates/foxtailhold-entry/src/jobs/policy.rs
@@ -7,7 +7,7 @@
 use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
 use crate::jobs::item_body::ItemBody;
 use crate::jobs::ordinary::OrdinaryItems;
-use crate::jobs::steward_item::StewardItems;
+use crate::jobs::streamed_item::StewardItems;
 use crate::settings::BatchPolicy;
 use crate::shared::Shared;
 
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::jobs::places::HeldPlace;
+use crate::jobs::chunk_slots::HeldPlace;
 use crate::jobs::store::{self, Backoff};
 use crate::jobs::{chunk, owner};
 use crate::shared::Shared;
--- a/crates/foxtailhold-entry/src/jobs/steward_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/streamed_item.rs
@@ -17,8 +17,8 @@
 use crate::gateway::dispatch::{self, Outgoing, Tries};
 use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
 use crate::jobs::item_body::{ItemBody, Received};
-use crate::jobs::steward_leg::{Leg, LegEnd};
-use crate::jobs::steward_line::PlaceLine;
+use crate::jobs::item_attempt::{Leg, LegEnd};
+use crate::jobs::slot_wait::PlaceLine;
 use crate::shared::Shared;
 
 /// Pause after an engine failed an item or refused it.
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwap;
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_book::ContractBook;
+use foxtailhold::contract_registry::ContractBook;
 use foxtailhold::ids::{CustomerId, InstanceId};
 use foxtailhold::limits::{
     Ask, EXCHANGE_MS, Grant, Holder, Limit, LimitHome, ShareAsks, Terms, Verdict, Views,
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
-use foxtailhold::contract_book::{Catchup, ContractChange};
+use foxtailhold::contract_registry::{Catchup, ContractChange};
 use foxtailhold::contract_sync::{Advert, Step, StoreSnapshot};
 use foxtailhold::ids::{BackendId, InstanceId, JobId};
 use foxtailhold::leaving::LeavingMark;
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use foxtailhold::contract_book::Catchup;
+use foxtailhold::contract_registry::Catchup;
 use foxtailhold::membership::Gossip;
 use foxtailhold::timeline::HlcTime;
 use foxtailhold_peer::{MessageClock, PeerAnswer, PeerHandler, PeerRequest};
@@ -11,7 +11,7 @@
 
 use crate::actors::membership::PROBE_TIMEOUT_MS;
 use crate::actors::{limits, note_undelivered};
-use crate::jobs::{landing, owner};
+use crate::jobs::{deadline_check, owner};
 use crate::messages::{
     ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, MembershipMessage, StewardMessage,
 };
@@ -62,7 +62,7 @@
                 PeerAnswer::Done
             }
             PeerRequest::JobCanLand { items, window_ms } => {
-                PeerAnswer::Landing(landing::judge_here(&self.0, items, window_ms))
+                PeerAnswer::Landing(deadline_check::judge_here(&self.0, items, window_ms))
             }
             PeerRequest::JobCancelled { job } => match owner::stop_here(&self.0, &job).await {
                 true => PeerAnswer::Done,
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, OnceLock};
 
 use arc_swap::ArcSwap;
-use foxtailhold::contract_book::ContractBook;
+use foxtailhold::contract_registry::ContractBook;
 use foxtailhold::contract_sync::ContractSync;
 use foxtailhold::ids::{InstanceId, RequestId};
 use foxtailhold::lease::HeldLease;
@@ -25,7 +25,7 @@
 
 use crate::admission::Admission;
 use crate::backends::BackendTable;
-use crate::jobs::places::SharedPlaces;
+use crate::jobs::chunk_slots::SharedPlaces;
 use crate::limits::Limits;
 use crate::messages::{
     ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, LimitsMessage, MembershipMessage,
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::landing::Verdict;
-use foxtailhold::contract_book::Catchup;
+use foxtailhold::contract_registry::Catchup;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::leaving::LeavingMark;
 use foxtailhold::limits::{Grant, ShareAsks};
--- a/crates/foxtailhold-standin/src/slopes/customers.rs
+++ b/crates/foxtailhold-standin/src/slopes/customers.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_book::{ContractBook, ContractChange};
+use foxtailhold::contract_registry::{ContractBook, ContractChange};
 use foxtailhold::ids::CustomerId;
 
 use crate::error::{Result, StandinError};
--- a/crates/foxtailhold-standin/tests/contract_peer.rs
+++ b/crates/foxtailhold-standin/tests/contract_peer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use foxtailhold::contract_book::Catchup;
+use foxtailhold::contract_registry::Catchup;
 use foxtailhold::timeline::HlcTime;
 use foxtailhold_peer::codec::{MAX_MESSAGE_BYTES, encode};
 use foxtailhold_peer::{PeerAnswer, PeerClient, PeerError, PeerHandler, PeerRequest, PeerServer};
--- a/crates/foxtailhold/examples/contract_book_cost.rs
+++ b/crates/foxtailhold/examples/contract_registry_cost.rs
@@ -1,11 +1,11 @@
 //! Prints what one contract change costs with a full book: `cargo run --release -p foxtailhold
-//! --example contract_book_cost`.
+//! --example contract_registry_cost`.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_book::{ContractBook, ContractChange};
+use foxtailhold::contract_registry::{ContractBook, ContractChange};
 use foxtailhold::ids::CustomerId;
 
 /// Customers at the two-year target.
--- a/crates/foxtailhold/examples/contract_spread.rs
+++ b/crates/foxtailhold/examples/contract_spread.rs
@@ -1,7 +1,7 @@
 //! Prints, over machines in one process, what the slow poll costs the store and how long a change
 //! takes that no push carries: `cargo run --release -p foxtailhold --example contract_spread`.
 
-use foxtailhold::contract_book::{Catchup, ContractChange};
+use foxtailhold::contract_registry::{Catchup, ContractChange};
 use foxtailhold::contract_sync::{ContractSync, Step};
 use foxtailhold::time::MonoMs;
 use rand::rngs::SmallRng;
--- a/crates/foxtailhold/src/contract_sync.rs
+++ b/crates/foxtailhold/src/contract_sync.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::contract_book::{Catchup, ContractBook, ContractChange};
+use crate::contract_registry::{Catchup, ContractBook, ContractChange};
 use crate::ids::CustomerId;
 use crate::time::MonoMs;
 
@@ -80,7 +80,7 @@
     /// The number from which the log is replayed over the rows, [`LOG_REPLAY`] before the head.
     pub floor: u64,
     /// All rows, each at least as new as the floor.
-    pub entries: Vec<(CustomerId, crate::contract_book::ContractEntry)>,
+    pub entries: Vec<(CustomerId, crate::contract_registry::ContractEntry)>,
     /// The log rows after the floor.
     pub tail: Vec<ContractChange>,
 }
--- a/crates/foxtailhold/src/lib.rs
+++ b/crates/foxtailhold/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod batch;
 pub mod breaker;
 pub mod contract;
-pub mod contract_book;
+pub mod contract_registry;
 pub mod contract_sync;
 pub mod crashes;
 pub mod ids;
--- a/crates/foxtailhold/tests/common/mod.rs
+++ b/crates/foxtailhold/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use foxtailhold::contract_book::ContractChange;
+use foxtailhold::contract_registry::ContractChange;
 use proptest::test_runner::{Config, RngSeed};
 
 /// Seed of the runs in CI.
--- a/crates/foxtailhold/tests/contract_sync_fuzz.rs
+++ b/crates/foxtailhold/tests/contract_sync_fuzz.rs
@@ -9,7 +9,7 @@
 
 use common::fuzz_config;
 use foxtailhold::contract::{ApiKeyDigest, Contract};
-use foxtailhold::contract_book::{Catchup, ContractBook, ContractChange, ContractEntry};
+use foxtailhold::contract_registry::{Catchup, ContractBook, ContractChange, ContractEntry};
 use foxtailhold::contract_sync::{
     Advert, CURRENT_BOUND_MS, ContractSync, Listing, Step, StoreSnapshot,
 };
--- a/crates/foxtailhold/tests/contracts.rs
+++ b/crates/foxtailhold/tests/contracts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::change;
-use foxtailhold::contract_book::{Catchup, ContractBook, ContractChange, ContractEntry};
+use foxtailhold::contract_registry::{Catchup, ContractBook, ContractChange, ContractEntry};
 use foxtailhold::contract_sync::{
     Advert, CURRENT_BOUND_MS, ContractSync, Listing, POLL_AFTER_MS, POLL_JITTER_MS, Step,
 };
