--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_registry::{ContractBook, ContractChange};
+use foxtailhold::contract_registry::{ContractChange, ContractRegistry};
 use foxtailhold::ids::{InstanceId, TargetName};
 use foxtailhold::limits::{Ask, EXCHANGE_MS, IDLE_MS, ShareAsks};
 use foxtailhold::time::MonoMs;
@@ -43,7 +43,12 @@
 }
 
 /// Sends one request of a customer whose home is this instance.
-fn admit(limits: &Limits, contract: &Contract, book: &ContractBook, now: MonoMs) -> Result<bool> {
+fn admit(
+    limits: &Limits,
+    contract: &Contract,
+    book: &ContractRegistry,
+    now: MonoMs,
+) -> Result<bool> {
     for _ in 0..2 {
         match limits.decide(contract, 16.0, Attempt::First, now) {
             Decision::Admitted(_) => return Ok(true),
@@ -57,7 +62,7 @@
 }
 
 /// Asks this instance as the home and takes its answer in.
-fn exchange(limits: &Limits, asks: Vec<Ask>, book: &ContractBook, now: MonoMs) -> Result<()> {
+fn exchange(limits: &Limits, asks: Vec<Ask>, book: &ContractRegistry, now: MonoMs) -> Result<()> {
     let from = InstanceId::try_from(ME)?;
     let asks = ShareAsks { from, asks };
     let grants = limits.answer(&asks, book, now).grants;
@@ -69,7 +74,7 @@
     name: &str,
     contracts: &[Arc<Contract>],
     limits: &Limits,
-    book: &ContractBook,
+    book: &ContractRegistry,
 ) -> Result<()> {
     let start = Instant::now();
     let mut admitted = 0;
@@ -84,7 +89,7 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<()> {
-    let mut book = ContractBook::default();
+    let mut book = ContractRegistry::default();
     let mut contracts = Vec::new();
     for index in 0..CUSTOMERS {
         let contract = contract(index)?;
--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -18,7 +18,7 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::actors::{note_undelivered, tick};
+use crate::actors::{log_undelivered, tick};
 use crate::backends::{BackendTable, Cell};
 use crate::messages::{PlaceSignal, StewardMessage};
 use crate::online;
@@ -36,7 +36,7 @@
 
 /// The actor.
 #[derive(Debug)]
-pub struct StewardActor<P>(pub Shared<P>);
+pub struct BatchControllerActor<P>(pub Shared<P>);
 
 #[derive(Debug)]
 struct Stewarded {
@@ -55,7 +55,7 @@
     backends: Option<Arc<BackendTable>>,
 }
 
-impl<P: Platform> Actor for StewardActor<P> {
+impl<P: Platform> Actor for BatchControllerActor<P> {
     type Msg = StewardMessage;
     type State = StewardState;
     type Arguments = ();
@@ -131,7 +131,7 @@
     }
 }
 
-impl<P: Platform> StewardActor<P> {
+impl<P: Platform> BatchControllerActor<P> {
     fn tick(&self, myself: &ActorRef<StewardMessage>, state: &mut StewardState, now: MonoMs) {
         self.refresh(state, now);
         online::look(&self.0);
@@ -227,7 +227,7 @@
                 report.slots = 0;
             }
             let message = StewardMessage::Reported(cell.backend.id.clone(), report);
-            note_undelivered(myself.send_message(message));
+            log_undelivered(myself.send_message(message));
         });
     }
 
@@ -287,7 +287,7 @@
                     let answer = shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await;
                     if let Ok(PeerAnswer::PlacesInUse(ask)) = answer {
                         let message = StewardMessage::Told(ask);
-                        note_undelivered(myself.send_message(message));
+                        log_undelivered(myself.send_message(message));
                         return;
                     }
                 }
@@ -319,7 +319,7 @@
                 match shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await {
                     Ok(PeerAnswer::Places(grant)) => {
                         let message = StewardMessage::Answered(grant, now);
-                        note_undelivered(myself.send_message(message));
+                        log_undelivered(myself.send_message(message));
                     }
                     Ok(_) => log::debug!("steward {steward} gave no places"),
                     Err(error) => log::debug!("steward {steward} gave no answer: {error}"),
--- a/crates/foxtailhold-entry/src/actors/contracts.rs
+++ b/crates/foxtailhold-entry/src/actors/contracts.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use foxtailhold::contract_sync::{ContractSync, Step};
+use foxtailhold::contract_sync::{ContractSync, SyncStep};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::Event;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -15,7 +15,7 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use rand::seq::IndexedRandom;
 
-use crate::actors::{note_undelivered, tick};
+use crate::actors::{log_undelivered, tick};
 use crate::contract_store;
 use crate::messages::{ContractsMessage, Found};
 use crate::shared::Shared;
@@ -72,10 +72,10 @@
                 sent_at,
                 address,
             } => {
-                if advert.number > sync.book().number() {
+                if advert.number > sync.registry().number() {
                     state.ahead = Some(address);
                 }
-                sync.on_advert(advert, sent_at, now);
+                sync.on_peer_status(advert, sent_at, now);
             }
             ContractsMessage::Ended(step, None) => sync.on_failed(step, rand::random(), now),
             ContractsMessage::Ended(_, Some(found)) => take(sync, found, now),
@@ -110,13 +110,13 @@
 
 impl<P: Platform> ContractsActor<P> {
     fn publish(&self, sync: &ContractSync) {
-        let number = sync.book().number();
+        let number = sync.registry().number();
         let before = self.0.contracts.load().number();
         self.0.contract_sync.store(Arc::new(sync.clone()));
         if number == before {
             return;
         }
-        self.0.contracts.store(Arc::new(sync.book().clone()));
+        self.0.contracts.store(Arc::new(sync.registry().clone()));
         self.0.metrics.contracts_number.set(number as i64);
         self.0.timeline.note(Event::ContractApplied { number });
     }
@@ -125,26 +125,26 @@
         &self,
         myself: &ActorRef<ContractsMessage>,
         state: &mut ContractsState,
-        step: Step,
+        step: SyncStep,
         sent_at: MonoMs,
     ) {
         let peer = state.ahead.take().or_else(|| self.any_peer());
-        let stood_at = state.sync.book().number();
+        let stood_at = state.sync.registry().number();
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
             let found = match step {
-                Step::AskPeer { after } => ask(&shared, peer, after).await,
-                Step::ReadHead => head(&shared, sent_at, stood_at).await,
-                Step::ReadLog { after } => {
+                SyncStep::AskPeer { after } => ask(&shared, peer, after).await,
+                SyncStep::ReadHead => head(&shared, sent_at, stood_at).await,
+                SyncStep::ReadLog { after } => {
                     let read = contract_store::read_after(&shared.platform, after).await;
                     read_found("log", read.map(Found::Log))
                 }
-                Step::ReadSnapshot => {
+                SyncStep::ReadSnapshot => {
                     let read = contract_store::read_snapshot(&shared.platform).await;
                     read_found("rows", read.map(Found::Snapshot))
                 }
             };
-            note_undelivered(myself.send_message(ContractsMessage::Ended(step, found)));
+            log_undelivered(myself.send_message(ContractsMessage::Ended(step, found)));
         });
     }
 
--- a/crates/foxtailhold-entry/src/actors/crashes.rs
+++ b/crates/foxtailhold-entry/src/actors/crashes.rs
@@ -10,7 +10,7 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use rand::seq::IndexedRandom;
 
-use crate::actors::{note_undelivered, tick};
+use crate::actors::{log_undelivered, tick};
 use crate::messages::CrashesMessage;
 use crate::shared::Shared;
 
@@ -162,7 +162,7 @@
             let request = PeerRequest::CrashTable;
             let answer = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS);
             if let Ok(PeerAnswer::Crashes(notices)) = answer.await {
-                note_undelivered(myself.send_message(CrashesMessage::Caught(notices)));
+                log_undelivered(myself.send_message(CrashesMessage::Caught(notices)));
             }
         });
     }
--- a/crates/foxtailhold-entry/src/actors/fleet.rs
+++ b/crates/foxtailhold-entry/src/actors/fleet.rs
@@ -11,7 +11,7 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use rand::seq::SliceRandom;
 
-use crate::actors::{note_undelivered, tick};
+use crate::actors::{log_undelivered, tick};
 use crate::backends::Cell;
 use crate::messages::{FleetMessage, LimitsMessage, MembershipMessage};
 use crate::shared::Shared;
@@ -77,7 +77,7 @@
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
             match shared.platform.fleet().await {
-                Ok(fleet) => note_undelivered(myself.send_message(FleetMessage::List(fleet))),
+                Ok(fleet) => log_undelivered(myself.send_message(FleetMessage::List(fleet))),
                 Err(error) => log::warn!("the fleet list could not be read: {error}"),
             }
         });
@@ -92,14 +92,14 @@
                 .backends
                 .store(before.updated(&fleet.backends).into());
             if first {
-                note_undelivered(myself.send_message(FleetMessage::ReadLoads));
+                log_undelivered(myself.send_message(FleetMessage::ReadLoads));
             }
         }
         if let Some(actors) = self.0.actors() {
             let listed = LimitsMessage::Listed(live_instances(&fleet));
-            note_undelivered(actors.limits.send_message(listed));
+            log_undelivered(actors.limits.send_message(listed));
             let message = MembershipMessage::Seeds(fleet.instances);
-            note_undelivered(actors.membership.send_message(message));
+            log_undelivered(actors.membership.send_message(message));
         }
     }
 
--- a/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
@@ -21,14 +21,14 @@
 
 /// Messages to the actor.
 #[derive(Debug)]
-pub enum OnceSweepMessage {
+pub enum IdempotencySweepMessage {
     /// Time to read a page.
     Sweep,
 }
 
 /// The actor.
 #[derive(Debug)]
-pub struct OnceSweepActor<P>(pub Shared<P>);
+pub struct IdempotencySweepActor<P>(pub Shared<P>);
 
 /// Its state.
 #[derive(Debug, Default)]
@@ -37,8 +37,8 @@
     after: String,
 }
 
-impl<P: Platform> Actor for OnceSweepActor<P> {
-    type Msg = OnceSweepMessage;
+impl<P: Platform> Actor for IdempotencySweepActor<P> {
+    type Msg = IdempotencySweepMessage;
     type State = OnceSweepState;
     type Arguments = ();
 
@@ -47,14 +47,14 @@
         myself: ActorRef<Self::Msg>,
         (): (),
     ) -> std::result::Result<OnceSweepState, ActorProcessingErr> {
-        tick(&myself, || OnceSweepMessage::Sweep, SWEEP_PERIOD_MS);
+        tick(&myself, || IdempotencySweepMessage::Sweep, SWEEP_PERIOD_MS);
         Ok(OnceSweepState::default())
     }
 
     async fn handle(
         &self,
         _: ActorRef<Self::Msg>,
-        OnceSweepMessage::Sweep: Self::Msg,
+        IdempotencySweepMessage::Sweep: Self::Msg,
         state: &mut OnceSweepState,
     ) -> std::result::Result<(), ActorProcessingErr> {
         if !self.0.is_home(HOME_KEY) {
@@ -67,7 +67,7 @@
     }
 }
 
-impl<P: Platform> OnceSweepActor<P> {
+impl<P: Platform> IdempotencySweepActor<P> {
     async fn sweep(&self, state: &mut OnceSweepState) -> Result<()> {
         let platform = &self.0.platform;
         let fence = platform.get(tables::ONCE_FENCE, tables::FENCE_KEY).await?;
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -12,7 +12,7 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
 use tokio_util::sync::CancellationToken;
 
-use crate::actors::{note_undelivered, tick};
+use crate::actors::{log_undelivered, tick};
 use crate::jobs::owner::{self, scan_all};
 use crate::jobs::runner::{self, RunStop};
 use crate::jobs::sweep;
@@ -138,7 +138,7 @@
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
             let look = look_through(&shared, &running, watched).await;
-            note_undelivered(myself.send_message(JobsMessage::Scanned(look)));
+            log_undelivered(myself.send_message(JobsMessage::Scanned(look)));
         });
     }
 
@@ -187,7 +187,7 @@
             if end == RunStop::Stopped && shared.is_stopping() {
                 owner::release(&shared, &owned).await;
             }
-            note_undelivered(myself.send_message(JobsMessage::Ended(job)));
+            log_undelivered(myself.send_message(JobsMessage::Ended(job)));
         });
     }
 }
--- a/crates/foxtailhold-entry/src/actors/limits.rs
+++ b/crates/foxtailhold-entry/src/actors/limits.rs
@@ -18,13 +18,13 @@
 
 /// The instances there are, in reach or not.
 #[derive(Debug, Default)]
-pub struct Instances {
+pub struct ReachableInstances {
     listed: Vec<InstanceId>,
     /// Those that left by a planned stop: they are not out of reach, though the list lags.
     left: BTreeSet<InstanceId>,
 }
 
-impl Instances {
+impl ReachableInstances {
     fn note_left(&mut self, members: &[Member]) {
         for member in members {
             match member.state {
@@ -55,7 +55,7 @@
 
 impl<P: Platform> Actor for LimitsActor<P> {
     type Msg = LimitsMessage;
-    type State = Instances;
+    type State = ReachableInstances;
     type Arguments = ();
 
     async fn pre_start(
@@ -64,7 +64,7 @@
         (): (),
     ) -> Result<Self::State, ActorProcessingErr> {
         tick(&myself, || LimitsMessage::Tick, HURRY_MS);
-        Ok(Instances::default())
+        Ok(ReachableInstances::default())
     }
 
     async fn handle(
@@ -82,7 +82,7 @@
 }
 
 impl<P: Platform> LimitsActor<P> {
-    fn tick(&self, instances: &mut Instances) {
+    fn tick(&self, instances: &mut ReachableInstances) {
         let shared = &self.0;
         let now = shared.clock.mono();
         let members = shared.live_members();
@@ -103,13 +103,13 @@
 }
 
 /// Asks the home of one customer at once, where no ask is on its way.
-pub fn ask_now<P: Platform>(shared: &Shared<P>, customer: &CustomerId) {
+pub fn request_shares_now<P: Platform>(shared: &Shared<P>, customer: &CustomerId) {
     let due = shared.limits.due_ask(customer, shared.clock.mono());
     send(shared, due.into_iter().collect());
 }
 
 /// Gives room that another instance lacks: asks the homes of these customers at once.
-pub fn give_room<P: Platform>(shared: &Shared<P>, customers: &[CustomerId]) {
+pub fn release_unused_shares<P: Platform>(shared: &Shared<P>, customers: &[CustomerId]) {
     send(
         shared,
         shared.limits.recalled(customers, shared.clock.mono()),
@@ -117,7 +117,7 @@
 }
 
 /// Answers asks as the home of the customers, and tells holders where another one lacks room.
-pub fn answer<P: Platform>(shared: &Shared<P>, asks: &ShareAsks) -> Vec<Grant> {
+pub fn grant_shares<P: Platform>(shared: &Shared<P>, asks: &ShareAsks) -> Vec<Grant> {
     let (contracts, now) = (shared.contracts.load(), shared.clock.mono());
     let shares = shared.limits.answer(asks, &contracts, now);
     for (instance, customers) in shares.recalls {
@@ -129,7 +129,7 @@
 
 async fn recall<P: Platform>(shared: &Shared<P>, holder: &InstanceId, customers: Vec<CustomerId>) {
     if *holder == shared.settings.instance {
-        give_room(shared, &customers);
+        release_unused_shares(shared, &customers);
         return;
     }
     let Some(holder) = shared.member(holder) else {
@@ -153,7 +153,7 @@
             continue;
         }
         let asks = ShareAsks { from: home, asks };
-        let grants = answer(shared, &asks);
+        let grants = grant_shares(shared, &asks);
         take_in(shared, &asks.asks, &grants);
     }
 }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use foxtailhold::contract_sync::Advert;
+use foxtailhold::contract_sync::ContractStatus;
 use foxtailhold::ids::InstanceId;
 use foxtailhold::leaving::LeavingMark;
 use foxtailhold::membership::{Carried, Gossip, Member, MemberState, Membership, PROBE_PERIOD_MS};
@@ -14,7 +14,7 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
 use tokio::task::JoinSet;
 
-use crate::actors::{note_undelivered, tick};
+use crate::actors::{log_undelivered, tick};
 use crate::messages::{Answer, ContractsMessage, FleetMessage, MembershipMessage};
 use crate::shared::Shared;
 
@@ -96,7 +96,7 @@
 impl<P: Platform> MembershipActor<P> {
     fn carried(&self, now: MonoMs) -> Carried {
         Carried {
-            contracts: self.0.contract_sync.load().advert(now),
+            contracts: self.0.contract_sync.load().status(now),
             leaving: self.0.leaving.load().told(now),
         }
     }
@@ -166,7 +166,7 @@
                 (_, Some(id)) => MembershipMessage::NoAnswer(id),
                 (_, None) => return,
             };
-            note_undelivered(myself.send_message(message));
+            log_undelivered(myself.send_message(message));
         });
     }
 
@@ -201,7 +201,7 @@
                 }
             }
             let message = MembershipMessage::Indirect(id, answered);
-            note_undelivered(myself.send_message(message));
+            log_undelivered(myself.send_message(message));
         });
     }
 
@@ -217,18 +217,18 @@
             return;
         }
         if let Some(actors) = self.0.actors() {
-            note_undelivered(actors.fleet.send_message(FleetMessage::Marks(marks)));
+            log_undelivered(actors.fleet.send_message(FleetMessage::Marks(marks)));
         }
     }
 
-    fn advert_seen(&self, advert: Advert, sent_at: Option<MonoMs>, address: SocketAddr) {
+    fn advert_seen(&self, advert: ContractStatus, sent_at: Option<MonoMs>, address: SocketAddr) {
         if let Some(actors) = self.0.actors() {
             let message = ContractsMessage::Advert {
                 advert,
                 sent_at,
                 address,
             };
-            note_undelivered(actors.contracts.send_message(message));
+            log_undelivered(actors.contracts.send_message(message));
         }
     }
 
--- a/crates/foxtailhold-entry/src/actors/mod.rs
+++ b/crates/foxtailhold-entry/src/actors/mod.rs
@@ -1,15 +1,15 @@
 //! Actors that own the slow state of an instance and publish snapshots of it.
 
+pub mod batch_controller;
 pub mod contracts;
 pub mod crashes;
 pub mod fleet;
+pub mod idempotency_sweep;
 pub mod jobs;
 pub mod lease;
 pub mod limits;
 pub mod membership;
-pub mod idempotency_sweep;
 pub mod orders;
-pub mod batch_controller;
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 /// Notes that a message could not be delivered because the actor has stopped.
-pub(crate) fn note_undelivered<M>(sent: std::result::Result<(), ractor::MessagingErr<M>>) {
+pub(crate) fn log_undelivered<M>(sent: std::result::Result<(), ractor::MessagingErr<M>>) {
     if sent.is_err() {
         log::debug!("a message came after its actor had stopped");
     }
--- a/crates/foxtailhold-entry/src/contract_store.rs
+++ b/crates/foxtailhold-entry/src/contract_store.rs
@@ -1,7 +1,7 @@
 //! Reads of contracts from the platform's table service.
 
 use foxtailhold::contract_registry::{ContractChange, ContractEntry};
-use foxtailhold::contract_sync::{LOG_REPLAY, StoreSnapshot};
+use foxtailhold::contract_sync::{ContractStoreSnapshot, SNAPSHOT_REPLAY_CHANGES};
 use foxtailhold::ids::CustomerId;
 use foxtailhold_platform::{PlatformError, Result, TableService};
 use serde::{Deserialize, Serialize};
@@ -43,18 +43,18 @@
 }
 
 /// All contract rows, with the end of the log that heals rows read from the past.
-pub async fn read_snapshot<T: TableService>(table: &T) -> Result<StoreSnapshot> {
+pub async fn read_snapshot<T: TableService>(table: &T) -> Result<ContractStoreSnapshot> {
     let head = read_head(table).await?;
-    let floor = head.saturating_sub(LOG_REPLAY);
-    let entries = match floor {
+    let replay_after = head.saturating_sub(SNAPSHOT_REPLAY_CHANGES);
+    let entries = match replay_after {
         0 => Vec::new(),
         _ => read_entries(table).await?,
     };
-    Ok(StoreSnapshot {
+    Ok(ContractStoreSnapshot {
         head,
-        floor,
+        replay_after,
         entries,
-        tail: read_after(table, floor).await?,
+        replayed: read_after(table, replay_after).await?,
     })
 }
 
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 
 use crate::actors::crashes::NOTICE_TIMEOUT_MS;
-use crate::actors::note_undelivered;
+use crate::actors::log_undelivered;
 use crate::backends::{Cell, InFlight};
 use crate::messages::CrashesMessage;
 use crate::shared::Shared;
@@ -197,7 +197,7 @@
         let Some(address) = home(&self.shared) else {
             if let Some(actors) = self.shared.actors() {
                 let message = CrashesMessage::Ended(fingerprint, backend, end);
-                note_undelivered(actors.crashes.send_message(message));
+                log_undelivered(actors.crashes.send_message(message));
             }
             return;
         };
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -15,11 +15,11 @@
 use foxtailhold_platform::{Expect, Operation, Platform, Row, Transacted};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::actors::note_undelivered;
+use crate::actors::log_undelivered;
 use crate::gateway::results::{Outcome, ResultFile};
 use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest, rows, store_unavailable};
 use crate::jobs::deadline_check;
-use crate::jobs::owner::{self, CancelEnd};
+use crate::jobs::owner::{self, CancelOutcome};
 use crate::messages::JobsMessage;
 use crate::shared::Shared;
 use crate::tables;
@@ -182,7 +182,7 @@
     };
     if *home == shared.settings.instance {
         if let Some(actors) = shared.actors() {
-            note_undelivered(actors.jobs.send_message(JobsMessage::Scan));
+            log_undelivered(actors.jobs.send_message(JobsMessage::Scan));
         }
         return;
     }
@@ -276,7 +276,7 @@
     let customer = &contract.customer;
     let cancelled = owner::cancel(shared, customer, job).await;
     let end = cancelled.map_err(|error| store_unavailable(&error))?;
-    if end == CancelEnd::NotKnown {
+    if end == CancelOutcome::Unconfirmed {
         let refusal = Refusal::not_run(RefusalReason::StoreUnavailable);
         let refusal = refusal.with_ran(Ran::MayHaveRun);
         return Err(refusal.retry_after_ms(STORE_RETRY_AFTER_MS));
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_sync::Listing;
+use foxtailhold::contract_sync::ListingState;
 use foxtailhold::ids::{FileId, JobId, RequestId, TargetName};
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
@@ -68,10 +68,10 @@
 
 /// What the members given to callers have in common: they are current, or where none is, at least
 /// connected.
-fn best_listing(members: &[Member]) -> Option<Listing> {
+fn best_listing(members: &[Member]) -> Option<ListingState> {
     let alive = members.iter().filter(|m| m.state == MemberState::Alive);
     let best = alive.map(|member| member.listing).max()?;
-    (best >= Listing::Behind).then_some(best)
+    (best >= ListingState::Behind).then_some(best)
 }
 
 impl<P: Platform> EntryGateway<P> {
@@ -123,7 +123,7 @@
             if attempt == Attempt::First {
                 attempt = Attempt::Again;
             }
-            limits::ask_now(shared, customer);
+            limits::request_shares_now(shared, customer);
             let wait = Duration::from_millis(FIRST_SHARE_WAIT_MS);
             let _ = tokio::time::timeout(wait, answered.changed()).await;
             shared.limits.fall_back(customer, shared.clock.mono());
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -1,8 +1,8 @@
 //! What operators see and change through this instance.
 
 use foxtailhold::batch::{JobRow, OpenRow, OwnerRow};
-use foxtailhold::contract_registry::{Catchup, ContractEntry};
-use foxtailhold::contract_sync::Listing;
+use foxtailhold::contract_registry::{ContractEntry, ContractSyncData};
+use foxtailhold::contract_sync::ListingState;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::orders::EngineSetup;
 use foxtailhold::timeline::Event;
@@ -17,7 +17,7 @@
 use foxtailhold_platform::{Platform, PlatformError};
 use tokio::sync::mpsc;
 
-use crate::actors::note_undelivered;
+use crate::actors::log_undelivered;
 use crate::gateway::{EntryGateway, contract_change, orders};
 use crate::gauges;
 use crate::jobs::owner::{finished_chunks, scan_all};
@@ -48,10 +48,10 @@
 
 /// Applies a change here and tells every other instance. Returns when two of them have it, or all
 /// were tried.
-async fn spread<P: Platform>(shared: &Shared<P>, catchup: &Catchup) {
+async fn spread<P: Platform>(shared: &Shared<P>, catchup: &ContractSyncData) {
     if let Some(actors) = shared.actors() {
         let message = ContractsMessage::Pushed(catchup.clone(), None);
-        note_undelivered(actors.contracts.send_message(message));
+        log_undelivered(actors.contracts.send_message(message));
     }
     let (told, mut have_it) = mpsc::unbounded_channel();
     for member in shared.live_members() {
@@ -131,7 +131,7 @@
         shared.timeline.note(Event::ContractAccepted {
             number: change.number,
         });
-        spread(shared, &Catchup::Changes(vec![change])).await;
+        spread(shared, &ContractSyncData::Changes(vec![change])).await;
         Ok(accepted)
     }
 
@@ -212,14 +212,14 @@
         }
         let listing = self.0.members.load().first().map(|me| me.listing);
         match listing {
-            Some(Listing::Listed) => {}
-            Some(Listing::Behind) => {
+            Some(ListingState::Listed) => {}
+            Some(ListingState::Behind) => {
                 reasons.push("a contract change is known that cannot be read".to_owned());
             }
-            Some(Listing::CutOff) => {
+            Some(ListingState::CutOff) => {
                 reasons.push("neither the store nor most instances can be reached".to_owned());
             }
-            Some(Listing::Loading) | None => {
+            Some(ListingState::Loading) | None => {
                 reasons.push("the contracts have not been loaded".to_owned());
             }
         }
--- a/crates/foxtailhold-entry/src/gauges.rs
+++ b/crates/foxtailhold-entry/src/gauges.rs
@@ -20,7 +20,7 @@
     let now = shared.clock.mono();
     let gauges = &shared.metrics.gauges;
     let sync = shared.contract_sync.load();
-    if let Some(age_ms) = sync.advert(now).confirmed_age_ms {
+    if let Some(age_ms) = sync.status(now).confirmed_age_ms {
         gauges
             .contracts_age_seconds
             .set(f64::from(age_ms) / 1_000.0);
--- a/crates/foxtailhold-entry/src/instance.rs
+++ b/crates/foxtailhold-entry/src/instance.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use foxtailhold::contract_sync::Listing;
+use foxtailhold::contract_sync::ListingState;
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold::timeline::Event;
 use foxtailhold_caller::CallerHandler;
@@ -13,16 +13,16 @@
 use foxtailhold_platform::Platform;
 use ractor::{Actor, ActorRef};
 
+use crate::actors::batch_controller::BatchControllerActor;
 use crate::actors::contracts::ContractsActor;
 use crate::actors::crashes::CrashesActor;
 use crate::actors::fleet::FleetActor;
+use crate::actors::idempotency_sweep::{IdempotencySweepActor, IdempotencySweepMessage};
 use crate::actors::jobs::JobsActor;
 use crate::actors::lease::{LeaseActor, LeaseMessage};
 use crate::actors::limits::LimitsActor;
 use crate::actors::membership::MembershipActor;
-use crate::actors::idempotency_sweep::{OnceSweepActor, OnceSweepMessage};
 use crate::actors::orders::{OrdersActor, OrdersMessage};
-use crate::actors::batch_controller::StewardActor;
 use crate::error::{EntryError, Result};
 use crate::gateway::EntryGateway;
 use crate::messages::{JobsMessage, MembershipMessage};
@@ -51,7 +51,7 @@
     shared: Shared<Metered<P>>,
     actors: Actors,
     lease: ActorRef<LeaseMessage>,
-    once_sweep: ActorRef<OnceSweepMessage>,
+    idempotency_sweep: ActorRef<IdempotencySweepMessage>,
     orders: ActorRef<OrdersMessage>,
     callers: Server,
     operators: Server,
@@ -90,7 +90,7 @@
             peer_address,
             operator_address: settings.operator_address,
             availability_zone: settings.availability_zone.clone(),
-            listing: Listing::Loading,
+            listing: ListingState::Loading,
         };
         let metrics = Metrics::default();
         let platform = Metered::new(platform, metrics.platform.clone());
@@ -103,8 +103,9 @@
         let (jobs, _) = Actor::spawn(None, JobsActor(shared.clone()), ()).await?;
         let (fleet, _) = Actor::spawn(None, FleetActor(shared.clone()), ()).await?;
         let (limits, _) = Actor::spawn(None, LimitsActor(shared.clone()), ()).await?;
-        let (steward, _) = Actor::spawn(None, StewardActor(shared.clone()), ()).await?;
-        let (once_sweep, _) = Actor::spawn(None, OnceSweepActor(shared.clone()), ()).await?;
+        let (steward, _) = Actor::spawn(None, BatchControllerActor(shared.clone()), ()).await?;
+        let (idempotency_sweep, _) =
+            Actor::spawn(None, IdempotencySweepActor(shared.clone()), ()).await?;
         let (orders, _) = Actor::spawn(None, OrdersActor(shared.clone()), ()).await?;
         let actors = Actors {
             membership,
@@ -133,7 +134,7 @@
         Ok(Instance {
             actors,
             lease,
-            once_sweep,
+            idempotency_sweep,
             orders,
             callers,
             operators,
@@ -190,7 +191,7 @@
         if self.lease.call(LeaseMessage::End, ended).await.is_err() {
             log::warn!("the lease was not ended, it runs out");
         }
-        self.once_sweep.stop(None);
+        self.idempotency_sweep.stop(None);
         self.orders.stop(None);
         self.actors.fleet.stop(None);
         self.actors.jobs.stop(None);
--- a/crates/foxtailhold-entry/src/jobs/chunk_slots.rs
+++ b/crates/foxtailhold-entry/src/jobs/chunk_slots.rs
@@ -12,21 +12,21 @@
 
 /// A handle of the places and of the work that waits for them.
 #[derive(Debug, Clone)]
-pub struct SharedPlaces {
+pub struct SharedChunkSlots {
     places: Arc<Mutex<ChunkPlaces>>,
     landing: Arc<Mutex<Landing>>,
 }
 
-impl Default for SharedPlaces {
+impl Default for SharedChunkSlots {
     fn default() -> Self {
-        SharedPlaces {
+        SharedChunkSlots {
             places: Arc::new(Mutex::new(ChunkPlaces::new(CHUNK_PLACES))),
             landing: Arc::default(),
         }
     }
 }
 
-impl SharedPlaces {
+impl SharedChunkSlots {
     /// The places, for one short step.
     pub fn lock(&self) -> MutexGuard<'_, ChunkPlaces> {
         self.places.lock()
@@ -45,7 +45,7 @@
 
 /// A place taken before.
 #[derive(Debug)]
-pub struct HeldPlace(SharedPlaces);
+pub struct HeldPlace(SharedChunkSlots);
 
 impl Drop for HeldPlace {
     fn drop(&mut self) {
--- a/crates/foxtailhold-entry/src/jobs/deadline_check.rs
+++ b/crates/foxtailhold-entry/src/jobs/deadline_check.rs
@@ -13,7 +13,7 @@
 const JUDGE_TIMEOUT_MS: u64 = 500;
 
 /// Judges a job of `items` due within `window_ms`, by the work and the rate of this instance.
-pub fn judge_here<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> Verdict {
+pub fn estimate_locally<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> Verdict {
     let landing = shared.chunk_places.landing();
     landing.judge(items, window_ms, shared.clock.wall())
 }
@@ -52,7 +52,7 @@
     let home = rendezvous::home(ids, job.as_str().as_bytes());
     let home = home.filter(|home| **home != shared.settings.instance);
     let Some(member) = home.and_then(|home| shared.member(home)) else {
-        return judge_here(shared, items, window_ms);
+        return estimate_locally(shared, items, window_ms);
     };
     let request = PeerRequest::JobCanLand { items, window_ms };
     let address = member.peer_address;
--- a/crates/foxtailhold-entry/src/jobs/item_attempt.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_attempt.rs
@@ -33,7 +33,7 @@
 
 /// A leg that has begun. Dropping it cancels the item at its engine.
 #[derive(Debug)]
-pub struct Leg<P: Platform> {
+pub struct ItemAttempt<P: Platform> {
     shared: Shared<P>,
     cell: Arc<Cell>,
     answer: EngineAnswer,
@@ -43,7 +43,7 @@
     body_bytes: u64,
 }
 
-impl<P: Platform> Leg<P> {
+impl<P: Platform> ItemAttempt<P> {
     /// Sends the item, or the rest of it, to the engine at which it has a place.
     pub async fn open(
         shared: &Shared<P>,
@@ -77,7 +77,7 @@
                 return Err(error);
             }
         };
-        Ok(Leg {
+        Ok(ItemAttempt {
             shared: shared.clone(),
             cell: cell.clone(),
             answer,
@@ -90,7 +90,7 @@
 
     /// The leg of a trial.
     pub fn of_trial(shared: &Shared<P>, outgoing: &Outgoing, opened: Opened<P>) -> Self {
-        Leg {
+        ItemAttempt {
             shared: shared.clone(),
             cell: opened.cell,
             answer: opened.answer,
@@ -103,7 +103,7 @@
 
     /// Reads to the end. What came is in `received` also when the future is dropped.
     pub async fn run(self, received: &mut Received) -> LegEnd {
-        let Leg {
+        let ItemAttempt {
             shared,
             cell,
             answer,
--- a/crates/foxtailhold-entry/src/jobs/owner.rs
+++ b/crates/foxtailhold-entry/src/jobs/owner.rs
@@ -121,14 +121,14 @@
 
 /// How far a cancel came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CancelEnd {
+pub enum CancelOutcome {
     /// The status is final.
     Final,
     /// The cancel is committed, its owner could not be asked: it becomes final once the owner sees
     /// it or its lease has run out.
-    Marked,
+    Pending,
     /// The cancel may not be committed.
-    NotKnown,
+    Unconfirmed,
     /// There is no such job.
     NoJob,
 }
@@ -138,17 +138,17 @@
     shared: &Shared<P>,
     customer: &CustomerId,
     job: &JobId,
-) -> Result<CancelEnd> {
+) -> Result<CancelOutcome> {
     let key = tables::job_key(customer, job);
     let mut pause = Backoff::default();
     for _ in 0..MAX_WRITE_TRIES {
         let Some(row) = store::read(shared, tables::JOB, &key).await? else {
-            return Ok(CancelEnd::NoJob);
+            return Ok(CancelOutcome::NoJob);
         };
         let owner: Option<Versioned<OwnerRow>> =
             store::read(shared, tables::OWNER, job.as_str()).await?;
         let marked = match Cancel::plan(row, owner.as_ref()) {
-            CancelPlan::Final => return Ok(CancelEnd::Final),
+            CancelPlan::Final => return Ok(CancelOutcome::Final),
             CancelPlan::Marked(marked) => Some(marked),
             CancelPlan::Mark(cancel) => {
                 let outcome = store::send(&shared.platform, cancel.transaction()).await;
@@ -160,15 +160,15 @@
         }
         pause.pause().await;
     }
-    Ok(CancelEnd::NotKnown)
+    Ok(CancelOutcome::Unconfirmed)
 }
 
-async fn stop<P: Platform>(shared: &Shared<P>, marked: &Marked) -> Result<CancelEnd> {
+async fn stop<P: Platform>(shared: &Shared<P>, marked: &Marked) -> Result<CancelOutcome> {
     let job = &marked.job.row.job;
     if let Some(holder) = &marked.owner
         && !stop_at(shared, holder, job).await
     {
-        return Ok(CancelEnd::Marked);
+        return Ok(CancelOutcome::Pending);
     }
     let counts = counts(&shared.platform, job).await?;
     let finish = Finish::cancelled(&marked.job, counts, shared.clock.wall());
@@ -178,19 +178,19 @@
         match finish.on(outcome) {
             FinishStep::Ended => {
                 note_ended(shared, finish.ended());
-                return Ok(CancelEnd::Final);
+                return Ok(CancelOutcome::Final);
             }
-            FinishStep::JobChanged(_) => return Ok(CancelEnd::Final),
-            FinishStep::OwnerChanged => return Ok(CancelEnd::Marked),
+            FinishStep::JobChanged(_) => return Ok(CancelOutcome::Final),
+            FinishStep::OwnerChanged => return Ok(CancelOutcome::Pending),
             FinishStep::Resend => pause.pause().await,
         }
     }
-    Ok(CancelEnd::Marked)
+    Ok(CancelOutcome::Pending)
 }
 
 async fn stop_at<P: Platform>(shared: &Shared<P>, holder: &InstanceId, job: &JobId) -> bool {
     if *holder == shared.settings.instance {
-        return stop_here(shared, job).await;
+        return stop_local(shared, job).await;
     }
     let Some(member) = shared.member(holder) else {
         return false;
@@ -202,7 +202,7 @@
 }
 
 /// Stops a job running here. Returns whether it has stopped.
-pub async fn stop_here<P: Platform>(shared: &Shared<P>, job: &JobId) -> bool {
+pub async fn stop_local<P: Platform>(shared: &Shared<P>, job: &JobId) -> bool {
     let Some(actors) = shared.actors() else {
         return false;
     };
--- a/crates/foxtailhold-entry/src/jobs/slot_wait.rs
+++ b/crates/foxtailhold-entry/src/jobs/slot_wait.rs
@@ -7,7 +7,7 @@
 use foxtailhold_platform::Platform;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-use crate::actors::note_undelivered;
+use crate::actors::log_undelivered;
 use crate::messages::{PlaceSignal, StewardMessage};
 use crate::shared::Shared;
 
@@ -41,7 +41,7 @@
         };
         let sent = actors.steward.send_message(message);
         let delivered = sent.is_ok();
-        note_undelivered(sent);
+        log_undelivered(sent);
         delivered
     }
 
--- a/crates/foxtailhold-entry/src/jobs/streamed_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/streamed_item.rs
@@ -16,8 +16,8 @@
 
 use crate::gateway::dispatch::{self, Outgoing, Tries};
 use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
+use crate::jobs::item_attempt::{ItemAttempt, LegEnd};
 use crate::jobs::item_body::{ItemBody, Received};
-use crate::jobs::item_attempt::{Leg, LegEnd};
 use crate::jobs::slot_wait::PlaceLine;
 use crate::shared::Shared;
 
@@ -108,7 +108,7 @@
         let Some(cell) = cells.find(|cell| cell.backend.id == *backend) else {
             return LegEnd::Failed(EngineError::Leaving);
         };
-        let opened = Leg::open(self.shared, &self.outgoing, &self.received, cell).await;
+        let opened = ItemAttempt::open(self.shared, &self.outgoing, &self.received, cell).await;
         match opened {
             Ok(leg) => leg.run(&mut self.received).await,
             Err(error) => LegEnd::Failed(error),
@@ -127,7 +127,7 @@
         let opened = dispatch::open(self.shared, &self.outgoing, resume, &mut tries).await;
         let end = match opened {
             Ok(opened) => {
-                let leg = Leg::of_trial(self.shared, &self.outgoing, opened);
+                let leg = ItemAttempt::of_trial(self.shared, &self.outgoing, opened);
                 leg.run(&mut self.received).await
             }
             Err(refusal) if refusal.reason == RefusalReason::Quarantined => {
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwap;
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_registry::ContractBook;
+use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::ids::{CustomerId, InstanceId};
 use foxtailhold::limits::{
     Ask, EXCHANGE_MS, Grant, Holder, Limit, LimitHome, ShareAsks, Terms, Verdict, Views,
@@ -222,7 +222,7 @@
     }
 
     /// Answers an instance's asks as the home of the customers; leaves out the others.
-    pub fn answer(&self, asks: &ShareAsks, contracts: &ContractBook, now: MonoMs) -> Shares {
+    pub fn answer(&self, asks: &ShareAsks, contracts: &ContractRegistry, now: MonoMs) -> Shares {
         let views = self.0.views.load();
         let mut home = self.0.home.lock();
         let mut shares = Shares::default();
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
-use foxtailhold::contract_registry::{Catchup, ContractChange};
-use foxtailhold::contract_sync::{Advert, Step, StoreSnapshot};
+use foxtailhold::contract_registry::{ContractChange, ContractSyncData};
+use foxtailhold::contract_sync::{ContractStatus, ContractStoreSnapshot, SyncStep};
 use foxtailhold::ids::{BackendId, InstanceId, JobId};
 use foxtailhold::leaving::LeavingMark;
 use foxtailhold::membership::Gossip;
@@ -21,18 +21,18 @@
 #[derive(Debug)]
 pub enum ContractsMessage {
     /// Changes known to be committed, pushed by the instance that accepted them.
-    Pushed(Catchup, Option<RpcReplyPort<()>>),
+    Pushed(ContractSyncData, Option<RpcReplyPort<()>>),
     /// A peer told of its contracts.
     Advert {
         /// What it told.
-        advert: Advert,
+        advert: ContractStatus,
         /// When the message that it answers was sent; `None` for a message of its own.
         sent_at: Option<MonoMs>,
         /// The peer.
         address: SocketAddr,
     },
     /// A step ended.
-    Ended(Step, Option<Found>),
+    Ended(SyncStep, Option<Found>),
     /// Time to look at what is due.
     Tick,
 }
@@ -50,11 +50,11 @@
         stood_at: u64,
     },
     /// A peer's answer.
-    Peer(Catchup),
+    Peer(ContractSyncData),
     /// Log rows.
     Log(Vec<ContractChange>),
     /// All contract rows.
-    Snapshot(StoreSnapshot),
+    Snapshot(ContractStoreSnapshot),
 }
 
 /// Messages to the keeper of requests that crash backend servers.
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use foxtailhold::contract_registry::Catchup;
+use foxtailhold::contract_registry::ContractSyncData;
 use foxtailhold::membership::Gossip;
 use foxtailhold::timeline::HlcTime;
 use foxtailhold_peer::{MessageClock, PeerAnswer, PeerHandler, PeerRequest};
@@ -10,7 +10,7 @@
 use ractor::rpc::CallResult;
 
 use crate::actors::membership::PROBE_TIMEOUT_MS;
-use crate::actors::{limits, note_undelivered};
+use crate::actors::{limits, log_undelivered};
 use crate::jobs::{deadline_check, owner};
 use crate::messages::{
     ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, MembershipMessage, StewardMessage,
@@ -41,30 +41,30 @@
             PeerRequest::ContractsAfter { number } => {
                 let sync = self.0.contract_sync.load();
                 match sync.is_loaded() {
-                    true => PeerAnswer::Contracts(sync.book().after(number)),
+                    true => PeerAnswer::Contracts(sync.registry().updates_after(number)),
                     false => PeerAnswer::Refused,
                 }
             }
             PeerRequest::Contracts(catchup) => self.apply(actors, catchup).await,
             PeerRequest::BackendsLeaving(marks) => {
                 let message = FleetMessage::Marks(marks);
-                note_undelivered(actors.fleet.send_message(message));
+                log_undelivered(actors.fleet.send_message(message));
                 PeerAnswer::Done
             }
             PeerRequest::ProbeFor { address } => self.probe(actors, address).await,
-            PeerRequest::Shares(asks) => PeerAnswer::Shares(limits::answer(&self.0, &asks)),
+            PeerRequest::Shares(asks) => PeerAnswer::Shares(limits::grant_shares(&self.0, &asks)),
             PeerRequest::SharesRecalled(customers) => {
-                limits::give_room(&self.0, &customers);
+                limits::release_unused_shares(&self.0, &customers);
                 PeerAnswer::Done
             }
             PeerRequest::JobOffered { .. } => {
-                note_undelivered(actors.jobs.send_message(JobsMessage::Scan));
+                log_undelivered(actors.jobs.send_message(JobsMessage::Scan));
                 PeerAnswer::Done
             }
             PeerRequest::JobCanLand { items, window_ms } => {
-                PeerAnswer::Landing(deadline_check::judge_here(&self.0, items, window_ms))
+                PeerAnswer::Landing(deadline_check::estimate_locally(&self.0, items, window_ms))
             }
-            PeerRequest::JobCancelled { job } => match owner::stop_here(&self.0, &job).await {
+            PeerRequest::JobCancelled { job } => match owner::stop_local(&self.0, &job).await {
                 true => PeerAnswer::Done,
                 false => PeerAnswer::Refused,
             },
@@ -87,7 +87,7 @@
                 false => PeerAnswer::Refused,
             },
             PeerRequest::Crashes(notices) => {
-                note_undelivered(actors.crashes.send_message(CrashesMessage::Told(notices)));
+                log_undelivered(actors.crashes.send_message(CrashesMessage::Told(notices)));
                 PeerAnswer::Done
             }
             PeerRequest::CrashTable => {
@@ -112,7 +112,7 @@
                 end,
             } => {
                 let message = CrashesMessage::Ended(fingerprint, backend, end);
-                note_undelivered(actors.crashes.send_message(message));
+                log_undelivered(actors.crashes.send_message(message));
                 PeerAnswer::Done
             }
         }
@@ -123,7 +123,7 @@
             from: self.0.settings.instance.clone(),
             updates: Vec::new(),
             want_all: false,
-            contracts: self.0.contract_sync.load().advert(self.0.clock.mono()),
+            contracts: self.0.contract_sync.load().status(self.0.clock.mono()),
             leaving: Vec::new(),
             members: 0,
         };
@@ -135,14 +135,14 @@
                     sent_at: Some(sent_at),
                     address,
                 };
-                note_undelivered(actors.contracts.send_message(message));
+                log_undelivered(actors.contracts.send_message(message));
                 PeerAnswer::Done
             }
             _ => PeerAnswer::Refused,
         }
     }
 
-    async fn apply(&self, actors: &Actors, catchup: Catchup) -> PeerAnswer {
+    async fn apply(&self, actors: &Actors, catchup: ContractSyncData) -> PeerAnswer {
         let pushed = |reply| ContractsMessage::Pushed(catchup, Some(reply));
         match actors.contracts.call(pushed, None).await {
             Ok(CallResult::Success(())) => PeerAnswer::Done,
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, OnceLock};
 
 use arc_swap::ArcSwap;
-use foxtailhold::contract_registry::ContractBook;
+use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::contract_sync::ContractSync;
 use foxtailhold::ids::{InstanceId, RequestId};
 use foxtailhold::lease::HeldLease;
@@ -25,7 +25,7 @@
 
 use crate::admission::Admission;
 use crate::backends::BackendTable;
-use crate::jobs::chunk_slots::SharedPlaces;
+use crate::jobs::chunk_slots::SharedChunkSlots;
 use crate::limits::Limits;
 use crate::messages::{
     ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, LimitsMessage, MembershipMessage,
@@ -75,7 +75,7 @@
     /// Instances, this one first.
     pub members: ArcSwap<Vec<Member>>,
     /// Contracts in force.
-    pub contracts: ArcSwap<ContractBook>,
+    pub contracts: ArcSwap<ContractRegistry>,
     /// The same with what is known of their currency.
     pub contract_sync: ArcSwap<ContractSync>,
     /// Backend servers.
@@ -99,7 +99,7 @@
     /// Places for batch items that run or wait for a steward's place in this instance.
     pub batch_places: Semaphore,
     /// Places for chunks, and the work that waits for them.
-    pub chunk_places: SharedPlaces,
+    pub chunk_places: SharedChunkSlots,
     /// Stewards of engines.
     pub stewards: ArcSwap<Stewards>,
     /// Whether a planned stop has begun.
@@ -147,7 +147,7 @@
             peers: PeerClient::new(timeline.clock().clone()),
             timeline,
             request_prefix: format!("{}-{:08x}", settings.instance, rand::random::<u32>()),
-            chunk_places: SharedPlaces::default(),
+            chunk_places: SharedChunkSlots::default(),
             batch_places: Semaphore::new(batch_places(&settings)),
             settings,
             clock,
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::landing::Verdict;
-use foxtailhold::contract_registry::Catchup;
+use foxtailhold::contract_registry::ContractSyncData;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::leaving::LeavingMark;
 use foxtailhold::limits::{Grant, ShareAsks};
@@ -23,7 +23,7 @@
         number: u64,
     },
     /// Tells of contract changes just accepted.
-    Contracts(Catchup),
+    Contracts(ContractSyncData),
     /// Tells the home of a job that it was accepted.
     JobOffered {
         /// Whose.
@@ -88,7 +88,7 @@
     /// To [`PeerRequest::Gossip`].
     Gossip(Gossip),
     /// To [`PeerRequest::ContractsAfter`].
-    Contracts(Catchup),
+    Contracts(ContractSyncData),
     /// Taken note of.
     Done,
     /// The receiver could not act.
--- a/crates/foxtailhold-standin/src/slopes/customers.rs
+++ b/crates/foxtailhold-standin/src/slopes/customers.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_registry::{ContractBook, ContractChange};
+use foxtailhold::contract_registry::{ContractChange, ContractRegistry};
 use foxtailhold::ids::CustomerId;
 
 use crate::error::{Result, StandinError};
@@ -37,9 +37,9 @@
 ///
 /// The book is given back, to be kept while others are measured: freed memory would be used again
 /// and hide what the next book takes.
-pub fn run(customers: u64) -> Result<ContractBook> {
+pub fn run(customers: u64) -> Result<ContractRegistry> {
     let before = resident_bytes(std::process::id())?;
-    let mut book = ContractBook::default();
+    let mut book = ContractRegistry::default();
     let mut number = 0;
     for customer in 0..customers {
         number += 1;
--- a/crates/foxtailhold-standin/tests/contract_peer.rs
+++ b/crates/foxtailhold-standin/tests/contract_peer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use foxtailhold::contract_registry::Catchup;
+use foxtailhold::contract_registry::ContractSyncData;
 use foxtailhold::timeline::HlcTime;
 use foxtailhold_peer::codec::{MAX_MESSAGE_BYTES, encode};
 use foxtailhold_peer::{PeerAnswer, PeerClient, PeerError, PeerHandler, PeerRequest, PeerServer};
@@ -144,7 +144,7 @@
 
 impl PeerHandler for Handler {
     async fn handle(&self, _: PeerRequest) -> PeerAnswer {
-        PeerAnswer::Contracts(Catchup::Changes(Vec::new()))
+        PeerAnswer::Contracts(ContractSyncData::Changes(Vec::new()))
     }
 
     fn receive(&self, at: HlcTime) {
--- a/crates/foxtailhold/examples/contract_registry_cost.rs
+++ b/crates/foxtailhold/examples/contract_registry_cost.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use foxtailhold::contract::Contract;
-use foxtailhold::contract_registry::{ContractBook, ContractChange};
+use foxtailhold::contract_registry::{ContractChange, ContractRegistry};
 use foxtailhold::ids::CustomerId;
 
 /// Customers at the two-year target.
@@ -29,7 +29,7 @@
 }
 
 fn main() {
-    let mut book = ContractBook::default();
+    let mut book = ContractRegistry::default();
     for number in 1..=CUSTOMERS {
         let applied = change(number, number).is_some_and(|change| book.apply(&change));
         assert!(applied, "change {number} was not applied");
--- a/crates/foxtailhold/examples/contract_spread.rs
+++ b/crates/foxtailhold/examples/contract_spread.rs
@@ -1,8 +1,8 @@
 //! Prints, over machines in one process, what the slow poll costs the store and how long a change
 //! takes that no push carries: `cargo run --release -p foxtailhold --example contract_spread`.
 
-use foxtailhold::contract_registry::{Catchup, ContractChange};
-use foxtailhold::contract_sync::{ContractSync, Step};
+use foxtailhold::contract_registry::{ContractChange, ContractSyncData};
+use foxtailhold::contract_sync::{ContractSync, SyncStep};
 use foxtailhold::time::MonoMs;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -48,29 +48,31 @@
 
     fn gossip(&mut self, from: usize) {
         let (now, to) = (self.now(), self.rng.random_range(0..self.syncs.len()));
-        let advert = self.syncs[from].advert(now);
-        self.syncs[to].on_advert(advert, None, now);
-        let answer = self.syncs[to].advert(now);
-        self.syncs[from].on_advert(answer, Some(now), now);
+        let advert = self.syncs[from].status(now);
+        self.syncs[to].on_peer_status(advert, None, now);
+        let answer = self.syncs[to].status(now);
+        self.syncs[from].on_peer_status(answer, Some(now), now);
     }
 
     fn step(&mut self, index: usize) {
         let (now, draw) = (self.now(), self.rng.random());
         while let Some(step) = self.syncs[index].next_step(draw, now) {
-            let number = self.syncs[index].book().number();
+            let number = self.syncs[index].registry().number();
             match step {
-                Step::ReadHead => {
+                SyncStep::ReadHead => {
                     self.head_reads += 1;
                     let head = self.log.len() as u64;
                     self.syncs[index].on_head(head, now, number, now);
                 }
-                Step::AskPeer { after } if self.gossips => {
+                SyncStep::AskPeer { after } if self.gossips => {
                     let ahead =
-                        (0..self.syncs.len()).max_by_key(|i| self.syncs[*i].book().number());
-                    let answer = self.syncs[ahead.unwrap_or(0)].book().after(after);
+                        (0..self.syncs.len()).max_by_key(|i| self.syncs[*i].registry().number());
+                    let answer = self.syncs[ahead.unwrap_or(0)]
+                        .registry()
+                        .updates_after(after);
                     self.syncs[index].on_peer_answer(&answer, now);
                 }
-                Step::ReadLog { after } => {
+                SyncStep::ReadLog { after } => {
                     self.log_reads += 1;
                     let changes = self.log[after as usize..].to_vec();
                     self.syncs[index].on_log(changes, now);
@@ -90,7 +92,11 @@
             contract: None,
         });
         let start = self.tick;
-        while self.syncs.iter().any(|sync| sync.book().number() < number) {
+        while self
+            .syncs
+            .iter()
+            .any(|sync| sync.registry().number() < number)
+        {
             self.pass();
         }
         (self.tick - start) * TICK_MS
@@ -100,7 +106,7 @@
 fn measure(count: usize, gossips: bool) {
     let mut syncs = vec![ContractSync::default(); count];
     for sync in &mut syncs {
-        sync.on_peer_answer(&Catchup::Changes(Vec::new()), MonoMs(0));
+        sync.on_peer_answer(&ContractSyncData::Changes(Vec::new()), MonoMs(0));
     }
     let mut instances = Instances {
         syncs,
--- a/crates/foxtailhold/src/contract_registry.rs
+++ b/crates/foxtailhold/src/contract_registry.rs
@@ -44,7 +44,7 @@
 
 /// What a peer gets when it asks for everything after a number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Catchup {
+pub enum ContractSyncData {
     /// The changes after the number, in order.
     Changes(Vec<ContractChange>),
     /// The whole book, for a peer that is too far behind.
@@ -60,7 +60,7 @@
 ///
 /// A clone costs the same whatever the number of customers: the maps share their nodes.
 #[derive(Debug, Clone)]
-pub struct ContractBook {
+pub struct ContractRegistry {
     changes_kept: usize,
     number: u64,
     entries: HashTrieMapSync<CustomerId, ContractEntry>,
@@ -68,16 +68,16 @@
     log: RedBlackTreeMapSync<u64, ContractChange>,
 }
 
-impl Default for ContractBook {
+impl Default for ContractRegistry {
     fn default() -> Self {
-        ContractBook::keeping(CHANGES_KEPT)
+        ContractRegistry::with_log_capacity(CHANGES_KEPT)
     }
 }
 
-impl ContractBook {
+impl ContractRegistry {
     /// An empty book that keeps the last `changes_kept` changes for peers.
-    pub fn keeping(changes_kept: usize) -> Self {
-        ContractBook {
+    pub fn with_log_capacity(changes_kept: usize) -> Self {
+        ContractRegistry {
             changes_kept,
             number: 0,
             entries: HashTrieMapSync::default(),
@@ -143,16 +143,16 @@
 
     /// Applies what a peer or the store answered. Returns how many changes took effect; a snapshot
     /// counts as one.
-    pub fn apply_catchup(&mut self, catchup: &Catchup) -> usize {
+    pub fn apply_update(&mut self, catchup: &ContractSyncData) -> usize {
         match catchup {
-            Catchup::Changes(changes) => {
+            ContractSyncData::Changes(changes) => {
                 let mut applied = 0;
                 for change in changes {
                     applied += usize::from(self.apply(change));
                 }
                 applied
             }
-            Catchup::Snapshot { number, entries } => {
+            ContractSyncData::Snapshot { number, entries } => {
                 if *number <= self.number {
                     return 0;
                 }
@@ -163,21 +163,21 @@
     }
 
     /// What a peer that stands at `number` is missing.
-    pub fn after(&self, number: u64) -> Catchup {
+    pub fn updates_after(&self, number: u64) -> ContractSyncData {
         let first_kept = self.log.first().map_or(self.number + 1, |(n, _)| *n);
         if number + 1 >= first_kept {
             let changes = self.log.range(number + 1..);
-            return Catchup::Changes(changes.map(|(_, change)| change.clone()).collect());
+            return ContractSyncData::Changes(changes.map(|(_, change)| change.clone()).collect());
         }
         let entries = self.entries.iter().map(|(c, e)| (c.clone(), e.clone()));
-        Catchup::Snapshot {
+        ContractSyncData::Snapshot {
             number: self.number,
             entries: entries.collect(),
         }
     }
 
     fn replace(&mut self, number: u64, entries: &[(CustomerId, ContractEntry)]) {
-        *self = ContractBook::keeping(self.changes_kept);
+        *self = ContractRegistry::with_log_capacity(self.changes_kept);
         self.number = number;
         for (customer, entry) in entries {
             self.store(customer, entry.clone());
--- a/crates/foxtailhold/src/contract_sync.rs
+++ b/crates/foxtailhold/src/contract_sync.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::contract_registry::{Catchup, ContractBook, ContractChange};
+use crate::contract_registry::{ContractChange, ContractRegistry, ContractSyncData};
 use crate::ids::CustomerId;
 use crate::time::MonoMs;
 
@@ -26,13 +26,13 @@
 /// Wait after a read of the head row that failed, before jitter.
 pub const RETRY_MS: u64 = 500;
 /// Log rows replayed over a scan of contract rows; a scan may lag by as many changes.
-pub const LOG_REPLAY: u64 = 1_000;
+pub const SNAPSHOT_REPLAY_CHANGES: u64 = 1_000;
 /// Changes kept that came before their predecessors.
 const EARLY_KEPT: usize = 1_000;
 
 /// What to do next to learn of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum SyncStep {
     /// Read the head row.
     ReadHead,
     /// Ask a peer for everything after a number.
@@ -52,7 +52,7 @@
 /// Whether an instance may be given to callers, the least fit first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Listing {
+pub enum ListingState {
     /// It has no contracts yet.
     Loading,
     /// It hears neither the store nor most of its peers.
@@ -65,7 +65,7 @@
 
 /// What an instance tells peers of its contracts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Advert {
+pub struct ContractStatus {
     /// Number of the last change applied.
     pub number: u64,
     /// Age of its evidence that no later change was accepted; `None` without evidence.
@@ -74,15 +74,15 @@
 
 /// The contract rows read from the table service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StoreSnapshot {
+pub struct ContractStoreSnapshot {
     /// The head number read before the rows.
     pub head: u64,
-    /// The number from which the log is replayed over the rows, [`LOG_REPLAY`] before the head.
-    pub floor: u64,
-    /// All rows, each at least as new as the floor.
+    /// The number from which the log is replayed over the rows, [`SNAPSHOT_REPLAY_CHANGES`] before the head.
+    pub replay_after: u64,
+    /// All rows, each at least as new as the replay_after.
     pub entries: Vec<(CustomerId, crate::contract_registry::ContractEntry)>,
-    /// The log rows after the floor.
-    pub tail: Vec<ContractChange>,
+    /// The log rows after the replay_after.
+    pub replayed: Vec<ContractChange>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -94,7 +94,7 @@
 /// One instance's contracts with what is known of their currency.
 #[derive(Debug, Clone, Default)]
 pub struct ContractSync {
-    book: ContractBook,
+    book: ContractRegistry,
     loaded: bool,
     load_until: Option<u64>,
     confirmed_at: Option<MonoMs>,
@@ -109,15 +109,15 @@
 
 impl ContractSync {
     /// Nothing loaded, with a book that keeps `changes_kept` changes for peers.
-    pub fn keeping(changes_kept: usize) -> Self {
+    pub fn with_log_capacity(changes_kept: usize) -> Self {
         ContractSync {
-            book: ContractBook::keeping(changes_kept),
+            book: ContractRegistry::with_log_capacity(changes_kept),
             ..ContractSync::default()
         }
     }
 
     /// The contracts in force.
-    pub fn book(&self) -> &ContractBook {
+    pub fn registry(&self) -> &ContractRegistry {
         &self.book
     }
 
@@ -127,45 +127,45 @@
     }
 
     /// What peers are told.
-    pub fn advert(&self, now: MonoMs) -> Advert {
+    pub fn status(&self, now: MonoMs) -> ContractStatus {
         let age = |at: MonoMs| u32::try_from(now.since_ms(at)).unwrap_or(u32::MAX);
-        Advert {
+        ContractStatus {
             number: self.book.number(),
             confirmed_age_ms: self.confirmed_at.map(age),
         }
     }
 
     /// Whether the instance may be given to callers; `cut_off` tells that most probes of peers fail.
-    pub fn listing(&self, cut_off: bool, now: MonoMs) -> Listing {
+    pub fn listing(&self, cut_off: bool, now: MonoMs) -> ListingState {
         if !self.loaded {
-            return Listing::Loading;
+            return ListingState::Loading;
         }
         let older = |at: MonoMs| now.since_ms(at) > CURRENT_BOUND_MS;
         if !self.confirmed_at.is_none_or(older) {
-            return Listing::Listed;
+            return ListingState::Listed;
         }
         if cut_off {
-            return Listing::CutOff;
+            return ListingState::CutOff;
         }
         if self.behind_since.is_some_and(older) {
-            return Listing::Behind;
+            return ListingState::Behind;
         }
-        Listing::Listed
+        ListingState::Listed
     }
 
     /// Takes in changes known to be committed, of a push or an answer. Returns whether any was
     /// applied.
-    pub fn on_catchup(&mut self, catchup: &Catchup, now: MonoMs) -> bool {
+    pub fn on_catchup(&mut self, catchup: &ContractSyncData, now: MonoMs) -> bool {
         let before = self.book.number();
         match catchup {
-            Catchup::Changes(changes) => {
+            ContractSyncData::Changes(changes) => {
                 for change in changes {
                     self.take(change, now);
                 }
             }
-            Catchup::Snapshot { number, .. } => {
+            ContractSyncData::Snapshot { number, .. } => {
                 self.head_seen(*number, now);
-                self.book.apply_catchup(catchup);
+                self.book.apply_update(catchup);
             }
         }
         self.apply_early();
@@ -173,8 +173,8 @@
         self.book.number() > before
     }
 
-    /// Takes in a loaded peer's whole answer to [`Step::AskPeer`].
-    pub fn on_peer_answer(&mut self, catchup: &Catchup, now: MonoMs) -> bool {
+    /// Takes in a loaded peer's whole answer to [`SyncStep::AskPeer`].
+    pub fn on_peer_answer(&mut self, catchup: &ContractSyncData, now: MonoMs) -> bool {
         let applied = self.on_catchup(catchup, now);
         let news = applied || !self.loaded;
         self.loaded |= self.load_until.is_none();
@@ -182,25 +182,25 @@
         applied
     }
 
-    /// Takes in the answer to [`Step::ReadLog`].
+    /// Takes in the answer to [`SyncStep::ReadLog`].
     pub fn on_log(&mut self, changes: Vec<ContractChange>, now: MonoMs) -> bool {
-        let applied = self.on_catchup(&Catchup::Changes(changes), now);
+        let applied = self.on_catchup(&ContractSyncData::Changes(changes), now);
         self.step_done(applied, now);
         applied
     }
 
-    /// Takes in the answer to [`Step::ReadSnapshot`].
-    pub fn on_store_snapshot(&mut self, snapshot: StoreSnapshot, now: MonoMs) -> bool {
+    /// Takes in the answer to [`SyncStep::ReadSnapshot`].
+    pub fn on_store_snapshot(&mut self, snapshot: ContractStoreSnapshot, now: MonoMs) -> bool {
         let newest = snapshot.entries.iter().map(|(_, entry)| entry.number);
         let head = newest.fold(snapshot.head, u64::max);
-        let rows = Catchup::Snapshot {
-            number: snapshot.floor,
+        let rows = ContractSyncData::Snapshot {
+            number: snapshot.replay_after,
             entries: snapshot.entries,
         };
         self.load_until = self.load_until.max(Some(head));
         self.head_seen(head, now);
         let replaced = self.on_catchup(&rows, now);
-        let applied = self.on_catchup(&Catchup::Changes(snapshot.tail), now);
+        let applied = self.on_catchup(&ContractSyncData::Changes(snapshot.replayed), now);
         self.step_done(replaced || applied, now);
         replaced || applied
     }
@@ -218,7 +218,7 @@
 
     /// Takes in what a peer told. `sent_at` is when the message that it answers was sent; a peer's
     /// own message is no evidence, as nothing bounds its time on the way.
-    pub fn on_advert(&mut self, advert: Advert, sent_at: Option<MonoMs>, now: MonoMs) {
+    pub fn on_peer_status(&mut self, advert: ContractStatus, sent_at: Option<MonoMs>, now: MonoMs) {
         self.head_seen(advert.number, now);
         let (Some(sent_at), Some(age_ms)) = (sent_at, advert.confirmed_age_ms) else {
             return;
@@ -231,46 +231,48 @@
     }
 
     /// Notes that a step failed.
-    pub fn on_failed(&mut self, step: Step, draw: u64, now: MonoMs) {
+    pub fn on_failed(&mut self, step: SyncStep, draw: u64, now: MonoMs) {
         self.busy_until = None;
-        let quick = matches!(step, Step::AskPeer { .. });
+        let quick = matches!(step, SyncStep::AskPeer { .. });
         if !quick {
             self.wait_until = now + RETRY_MS + draw % RETRY_MS;
         }
     }
 
     /// The step to take now, if any.
-    pub fn next_step(&mut self, draw: u64, now: MonoMs) -> Option<Step> {
+    pub fn next_step(&mut self, draw: u64, now: MonoMs) -> Option<SyncStep> {
         if now < self.wait_until || self.busy_until.is_some_and(|until| now < until) {
             return None;
         }
         let step = self.wanted(draw, now)?;
-        if step != Step::ReadHead {
+        if step != SyncStep::ReadHead {
             self.fetches += 1;
         }
         self.busy_until = Some(now + STEP_LIMIT_MS);
         Some(step)
     }
 
-    fn wanted(&self, draw: u64, now: MonoMs) -> Option<Step> {
+    fn wanted(&self, draw: u64, now: MonoMs) -> Option<SyncStep> {
         let after = self.book.number();
         let of_peer = self.fetches.is_multiple_of(2);
         let behind = self.head_known > after;
         if of_peer && (!self.loaded || behind) {
-            return Some(Step::AskPeer { after });
+            return Some(SyncStep::AskPeer { after });
         }
         if !self.loaded && self.load_until.is_none() {
-            return Some(Step::ReadSnapshot);
+            return Some(SyncStep::ReadSnapshot);
         }
         if self.head_known > after + self.book.changes_kept() as u64 {
-            return Some(Step::ReadSnapshot);
+            return Some(SyncStep::ReadSnapshot);
         }
         if behind {
-            return Some(Step::ReadLog { after });
+            return Some(SyncStep::ReadLog { after });
         }
         let poll_after_ms = POLL_AFTER_MS + draw % POLL_JITTER_MS;
         let due = |at: MonoMs| now.since_ms(at) >= poll_after_ms;
-        self.confirmed_at.is_none_or(due).then_some(Step::ReadHead)
+        self.confirmed_at
+            .is_none_or(due)
+            .then_some(SyncStep::ReadHead)
     }
 
     fn take(&mut self, change: &ContractChange, now: MonoMs) {
--- a/crates/foxtailhold/src/membership.rs
+++ b/crates/foxtailhold/src/membership.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-use crate::contract_sync::{Advert, Listing};
+use crate::contract_sync::{ContractStatus, ListingState};
 use crate::ids::{AvailabilityZone, InstanceId};
 use crate::leaving::LeavingMark;
 use crate::time::MonoMs;
@@ -70,7 +70,7 @@
     /// Its availability zone.
     pub availability_zone: AvailabilityZone,
     /// Whether it may be given to callers, by its contracts.
-    pub listing: Listing,
+    pub listing: ListingState,
 }
 
 impl Member {
@@ -89,7 +89,7 @@
     /// Whether the receiver should answer with all it knows.
     pub want_all: bool,
     /// What the sender has of the contracts.
-    pub contracts: Advert,
+    pub contracts: ContractStatus,
     /// Backend servers that are leaving.
     pub leaving: Vec<LeavingMark>,
     /// Members that the sender knows.
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Carried {
     /// What the sender has of the contracts.
-    pub contracts: Advert,
+    pub contracts: ContractStatus,
     /// Backend servers that are leaving.
     pub leaving: Vec<LeavingMark>,
 }
@@ -159,7 +159,7 @@
     }
 
     /// Changes whether the instance itself may be given to callers.
-    pub fn set_listing(&mut self, listing: Listing) {
+    pub fn set_listing(&mut self, listing: ListingState) {
         if self.me.listing != listing {
             self.me.listing = listing;
             self.me.incarnation += 1;
--- a/crates/foxtailhold/tests/common/gossip.rs
+++ b/crates/foxtailhold/tests/common/gossip.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use foxtailhold::contract_sync::{Advert, Listing};
+use foxtailhold::contract_sync::{ContractStatus, ListingState};
 use foxtailhold::ids::InstanceId;
 use foxtailhold::membership::{Carried, Gossip, Member, MemberState, Membership, PROBE_PERIOD_MS};
 use foxtailhold::time::MonoMs;
@@ -45,7 +45,7 @@
         peer_address: address(7200),
         operator_address: address(7300),
         availability_zone: "concord-hall".try_into().unwrap(),
-        listing: Listing::Listed,
+        listing: ListingState::Listed,
     }
 }
 
@@ -103,7 +103,7 @@
 
     pub fn carried(&self) -> Carried {
         Carried {
-            contracts: Advert {
+            contracts: ContractStatus {
                 number: 100_000,
                 confirmed_age_ms: Some(1_000),
             },
--- a/crates/foxtailhold/tests/contract_sync_fuzz.rs
+++ b/crates/foxtailhold/tests/contract_sync_fuzz.rs
@@ -9,9 +9,11 @@
 
 use common::fuzz_config;
 use foxtailhold::contract::{ApiKeyDigest, Contract};
-use foxtailhold::contract_registry::{Catchup, ContractBook, ContractChange, ContractEntry};
+use foxtailhold::contract_registry::{
+    ContractChange, ContractEntry, ContractRegistry, ContractSyncData,
+};
 use foxtailhold::contract_sync::{
-    Advert, CURRENT_BOUND_MS, ContractSync, Listing, Step, StoreSnapshot,
+    CURRENT_BOUND_MS, ContractStatus, ContractStoreSnapshot, ContractSync, ListingState, SyncStep,
 };
 use foxtailhold::ids::CustomerId;
 use foxtailhold::time::MonoMs;
@@ -21,7 +23,7 @@
 /// Few, so that peers far behind get the whole book.
 const CHANGES_KEPT: usize = 4;
 /// Few, so that scans of rows are used.
-const LOG_REPLAY: u64 = 3;
+const SNAPSHOT_REPLAY_CHANGES: u64 = 3;
 const INSTANCES: usize = 5;
 const CUSTOMERS: u64 = 6;
 /// The bound that the brief calls "within seconds".
@@ -111,7 +113,7 @@
 
 impl Instance {
     fn new(started_ms: u64) -> Self {
-        let sync = ContractSync::keeping(CHANGES_KEPT);
+        let sync = ContractSync::with_log_capacity(CHANGES_KEPT);
         Instance {
             sync,
             alive: true,
@@ -136,7 +138,7 @@
     now_ms: u64,
     log: Vec<(u64, ContractChange)>,
     instances: Vec<Instance>,
-    sent: Vec<(usize, Catchup)>,
+    sent: Vec<(usize, ContractSyncData)>,
     store_down: bool,
     lag_ms: u64,
 }
@@ -240,7 +242,7 @@
         if killed || answer_lost {
             return;
         }
-        let catchup = Catchup::Changes(vec![change]);
+        let catchup = ContractSyncData::Changes(vec![change]);
         for to in 0..INSTANCES {
             if to == at || told & (1 << to) != 0 {
                 self.give(to, &catchup);
@@ -250,7 +252,7 @@
         }
     }
 
-    fn give(&mut self, to: usize, catchup: &Catchup) {
+    fn give(&mut self, to: usize, catchup: &ContractSyncData) {
         if self.instances[to].runs() {
             let now = self.instances[to].clock(self.now_ms);
             self.instances[to].sync.on_catchup(catchup, now);
@@ -278,16 +280,16 @@
         let sent_at = self.instances[from].clock(self.now_ms);
         let advert = self.advert(from);
         let now = self.instances[to].clock(self.now_ms);
-        self.instances[to].sync.on_advert(advert, None, now);
+        self.instances[to].sync.on_peer_status(advert, None, now);
         let answer = self.advert(to);
         self.instances[from]
             .sync
-            .on_advert(answer, Some(sent_at), sent_at);
+            .on_peer_status(answer, Some(sent_at), sent_at);
     }
 
-    fn advert(&self, of: usize) -> Advert {
+    fn advert(&self, of: usize) -> ContractStatus {
         let instance = &self.instances[of];
-        instance.sync.advert(instance.clock(self.now_ms))
+        instance.sync.status(instance.clock(self.now_ms))
     }
 
     fn step(&mut self, index: usize, draw: u64, drops: u8) {
@@ -299,35 +301,35 @@
         let reached = drops & (1 << index | 1 << peer) == 0 && self.instances[peer].runs();
         let peer_loaded = reached && self.instances[peer].sync.is_loaded();
         let read_ms = self.read_ms(draw >> 7);
-        let of_store = !matches!(step, Step::AskPeer { .. });
+        let of_store = !matches!(step, SyncStep::AskPeer { .. });
         if of_store && self.store_down || !of_store && !peer_loaded {
             self.instances[index].sync.on_failed(step, draw, now);
             return;
         }
-        let stood_at = self.instances[index].sync.book().number();
+        let stood_at = self.instances[index].sync.registry().number();
         match step {
-            Step::ReadHead => {
+            SyncStep::ReadHead => {
                 let head = self.head_at(read_ms);
                 self.instances[index].sync.on_head(head, now, stood_at, now);
             }
-            Step::AskPeer { after } => {
-                let answer = self.instances[peer].sync.book().after(after);
+            SyncStep::AskPeer { after } => {
+                let answer = self.instances[peer].sync.registry().updates_after(after);
                 self.instances[index].sync.on_peer_answer(&answer, now);
             }
-            Step::ReadLog { after } => {
+            SyncStep::ReadLog { after } => {
                 let changes = self.log_after(after, read_ms);
                 self.instances[index].sync.on_log(changes, now);
             }
-            Step::ReadSnapshot => {
+            SyncStep::ReadSnapshot => {
                 let head = self.head_at(read_ms);
-                let floor = head
-                    .saturating_sub(LOG_REPLAY)
+                let replay_after = head
+                    .saturating_sub(SNAPSHOT_REPLAY_CHANGES)
                     .min(self.head_at(self.now_ms.saturating_sub(self.lag_ms)));
-                let snapshot = StoreSnapshot {
+                let snapshot = ContractStoreSnapshot {
                     head,
-                    floor,
+                    replay_after,
                     entries: self.scan(draw),
-                    tail: self.log_after(floor, self.read_ms(draw >> 17)),
+                    replayed: self.log_after(replay_after, self.read_ms(draw >> 17)),
                 };
                 self.instances[index].sync.on_store_snapshot(snapshot, now);
             }
@@ -349,8 +351,8 @@
         }
         for instance in &self.instances {
             let now = instance.clock(self.now_ms);
-            assert_eq!(instance.sync.book().number(), self.log.len() as u64);
-            assert_eq!(instance.sync.listing(false, now), Listing::Listed);
+            assert_eq!(instance.sync.registry().number(), self.log.len() as u64);
+            assert_eq!(instance.sync.listing(false, now), ListingState::Listed);
         }
     }
 
@@ -361,7 +363,7 @@
     }
 
     /// No entry is older than the number says. Only a scan of rows may bring newer ones.
-    fn check_book(&self, book: &ContractBook) {
+    fn check_book(&self, book: &ContractRegistry) {
         let rows = self.rows_until(book.number());
         let ahead = book
             .entries()
@@ -384,14 +386,14 @@
     }
 
     fn check_instance(&mut self, index: usize) {
-        let number = self.instances[index].sync.book().number();
+        let number = self.instances[index].sync.registry().number();
         let instance = &self.instances[index];
         assert!(number >= instance.highest, "the applied number fell");
         if instance.sync.is_loaded() {
-            self.check_book(instance.sync.book());
+            self.check_book(instance.sync.registry());
         }
         let now = instance.clock(self.now_ms);
-        let shown = instance.sync.listing(true, now) == Listing::Listed;
+        let shown = instance.sync.listing(true, now) == ListingState::Listed;
         let bound_ms = CURRENT_BOUND_MS + MAX_LAG_MS;
         if instance.runs() && shown {
             let due = self.head_at(self.now_ms.saturating_sub(bound_ms));
@@ -402,7 +404,7 @@
         }
         let instance = &mut self.instances[index];
         instance.highest = number;
-        for (customer, entry) in instance.sync.book().entries() {
+        for (customer, entry) in instance.sync.registry().entries() {
             let highest = instance.highest_of.entry(customer.clone()).or_default();
             assert!(
                 entry.number >= *highest,
--- a/crates/foxtailhold/tests/contracts.rs
+++ b/crates/foxtailhold/tests/contracts.rs
@@ -3,9 +3,12 @@
 mod common;
 
 use common::change;
-use foxtailhold::contract_registry::{Catchup, ContractBook, ContractChange, ContractEntry};
+use foxtailhold::contract_registry::{
+    ContractChange, ContractEntry, ContractRegistry, ContractSyncData,
+};
 use foxtailhold::contract_sync::{
-    Advert, CURRENT_BOUND_MS, ContractSync, Listing, POLL_AFTER_MS, POLL_JITTER_MS, Step,
+    CURRENT_BOUND_MS, ContractStatus, ContractSync, ListingState, POLL_AFTER_MS, POLL_JITTER_MS,
+    SyncStep,
 };
 use foxtailhold::ids::CustomerId;
 use foxtailhold::time::MonoMs;
@@ -20,7 +23,7 @@
     (change.customer.clone(), entry)
 }
 
-fn holder(book: &ContractBook, key: &str) -> Option<String> {
+fn holder(book: &ContractRegistry, key: &str) -> Option<String> {
     let contract = book.by_api_key(key)?;
     Some(contract.customer.to_string())
 }
@@ -37,9 +40,9 @@
         change(3, "beta", 1, "moved-key"),
         change(4, "alpha", 3, "alpha-key"),
     ];
-    let mut book = ContractBook::default();
+    let mut book = ContractRegistry::default();
     let entries = scanned.iter().map(|index| row(&changes[*index]));
-    book.apply_catchup(&Catchup::Snapshot {
+    book.apply_update(&ContractSyncData::Snapshot {
         number: 1,
         entries: entries.collect(),
     });
@@ -60,41 +63,45 @@
 fn loaded(now: MonoMs) -> ContractSync {
     let mut sync = ContractSync::default();
     let changes = vec![change(1, "alpha", 1, "alpha-key")];
-    sync.on_peer_answer(&Catchup::Changes(changes), now);
+    sync.on_peer_answer(&ContractSyncData::Changes(changes), now);
     sync
 }
 
-#[test_case(1, Listing::Listed; "a read of the own number confirms")]
-#[test_case(0, Listing::CutOff; "a lagging read confirms nothing")]
-#[test_case(2, Listing::CutOff; "a higher number confirms once it is applied")]
-fn head_row_is_evidence(head: u64, listing: Listing) {
+#[test_case(1, ListingState::Listed; "a read of the own number confirms")]
+#[test_case(0, ListingState::CutOff; "a lagging read confirms nothing")]
+#[test_case(2, ListingState::CutOff; "a higher number confirms once it is applied")]
+fn head_row_is_evidence(head: u64, listing: ListingState) {
     let now = MonoMs(10_000);
     let mut sync = loaded(now);
     sync.on_head(head, now, 1, now);
     assert_eq!(sync.listing(true, now), listing);
     sync.on_catchup(
-        &Catchup::Changes(vec![change(2, "beta", 1, "beta-key")]),
+        &ContractSyncData::Changes(vec![change(2, "beta", 1, "beta-key")]),
         now,
     );
-    let after = if head == 2 { Listing::Listed } else { listing };
+    let after = if head == 2 {
+        ListingState::Listed
+    } else {
+        listing
+    };
     assert_eq!(sync.listing(true, now), after);
 }
 
-#[test_case(Some(0), 0, Listing::Listed; "fresh")]
-#[test_case(Some(CURRENT_BOUND_MS as u32), 1, Listing::CutOff; "age and way together too old")]
-#[test_case(None, 0, Listing::CutOff; "the peer has no evidence")]
-fn peers_evidence_keeps_its_age(age_ms: Option<u32>, way_ms: u64, listing: Listing) {
+#[test_case(Some(0), 0, ListingState::Listed; "fresh")]
+#[test_case(Some(CURRENT_BOUND_MS as u32), 1, ListingState::CutOff; "age and way together too old")]
+#[test_case(None, 0, ListingState::CutOff; "the peer has no evidence")]
+fn peers_evidence_keeps_its_age(age_ms: Option<u32>, way_ms: u64, listing: ListingState) {
     let sent_at = MonoMs(10_000);
     let mut sync = loaded(sent_at);
-    let advert = Advert {
+    let advert = ContractStatus {
         number: 1,
         confirmed_age_ms: age_ms,
     };
-    sync.on_advert(advert, Some(sent_at), sent_at + way_ms);
+    sync.on_peer_status(advert, Some(sent_at), sent_at + way_ms);
     assert_eq!(sync.listing(true, sent_at + way_ms), listing);
     let mut sync = loaded(sent_at);
-    sync.on_advert(advert, None, sent_at + way_ms);
-    assert_eq!(sync.listing(true, sent_at), Listing::CutOff);
+    sync.on_peer_status(advert, None, sent_at + way_ms);
+    assert_eq!(sync.listing(true, sent_at), ListingState::CutOff);
 }
 
 #[test]
@@ -102,37 +109,37 @@
     let start = MonoMs(10_000);
     let mut sync = loaded(start);
     let later = start + 10 * CURRENT_BOUND_MS;
-    assert_eq!(sync.listing(false, later), Listing::Listed);
-    let advert = Advert {
+    assert_eq!(sync.listing(false, later), ListingState::Listed);
+    let advert = ContractStatus {
         number: 2,
         confirmed_age_ms: None,
     };
-    sync.on_advert(advert, None, start);
-    assert_eq!(sync.listing(false, start), Listing::Listed);
-    assert_eq!(sync.listing(false, later), Listing::Behind);
+    sync.on_peer_status(advert, None, start);
+    assert_eq!(sync.listing(false, start), ListingState::Listed);
+    assert_eq!(sync.listing(false, later), ListingState::Behind);
 }
 
 #[test]
 fn change_that_comes_before_its_predecessor_is_kept_and_the_predecessor_fetched() {
     let now = MonoMs(10_000);
     let mut sync = loaded(now);
-    let third = Catchup::Changes(vec![change(3, "gamma", 1, "gamma-key")]);
+    let third = ContractSyncData::Changes(vec![change(3, "gamma", 1, "gamma-key")]);
     assert!(!sync.on_catchup(&third, now));
     let step = sync.next_step(0, now);
-    assert_eq!(step, Some(Step::AskPeer { after: 1 }));
-    sync.on_failed(Step::AskPeer { after: 1 }, 0, now);
-    assert_eq!(sync.next_step(0, now), Some(Step::ReadLog { after: 1 }));
+    assert_eq!(step, Some(SyncStep::AskPeer { after: 1 }));
+    sync.on_failed(SyncStep::AskPeer { after: 1 }, 0, now);
+    assert_eq!(sync.next_step(0, now), Some(SyncStep::ReadLog { after: 1 }));
     sync.on_log(vec![change(2, "beta", 1, "beta-key")], now);
-    assert_eq!(sync.book().number(), 3);
+    assert_eq!(sync.registry().number(), 3);
 }
 
 #[test]
 fn head_row_is_read_only_when_evidence_is_older_than_the_poll_period() {
     let now = MonoMs(10_000);
     let mut sync = loaded(now);
-    assert_eq!(sync.next_step(0, now), Some(Step::ReadHead));
+    assert_eq!(sync.next_step(0, now), Some(SyncStep::ReadHead));
     sync.on_head(1, now, 1, now);
     assert_eq!(sync.next_step(0, now + (POLL_AFTER_MS - 1)), None);
     let due = now + POLL_AFTER_MS + POLL_JITTER_MS;
-    assert_eq!(sync.next_step(0, due), Some(Step::ReadHead));
+    assert_eq!(sync.next_step(0, due), Some(SyncStep::ReadHead));
 }
