--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -12,7 +12,7 @@
 use foxtailhold::limits::{Ask, EXCHANGE_MS, IDLE_MS, ShareAsks};
 use foxtailhold::time::MonoMs;
 use foxtailhold_entry::admission::Admission;
-use foxtailhold_entry::limits::{Attempt, Decision, Limits};
+use foxtailhold_entry::limits::{Decision, LimitCheck, Limits};
 use foxtailhold_http::clock::Clock;
 
 /// Customers of the two-year target.
@@ -45,7 +45,7 @@
 /// Sends one request of a customer whose home is this instance.
 fn admit(limits: &Limits, contract: &Contract, book: &ContractBook, now: MonoMs) -> Result<bool> {
     for _ in 0..2 {
-        match limits.decide(contract, 16.0, Attempt::First, now) {
+        match limits.decide(contract, 16.0, LimitCheck::First, now) {
             Decision::Admitted(_) => return Ok(true),
             Decision::Refused(_) => return Ok(false),
             Decision::Wait(_) | Decision::Pause { .. } => {}
@@ -61,7 +61,7 @@
     let from = InstanceId::try_from(ME)?;
     let asks = ShareAsks { from, asks };
     let grants = limits.answer(&asks, book, now).grants;
-    limits.granted(&asks.asks, &grants, now);
+    limits.apply_grants(&asks.asks, &grants, now);
     Ok(())
 }
 
@@ -139,7 +139,7 @@
     let admission = Admission::new(clock);
     let start = Instant::now();
     for _ in 0..REQUESTS {
-        drop(admission.enter(&model, &contracts[0], None).await?);
+        drop(admission.acquire(&model, &contracts[0], None).await?);
     }
     let cost_ns = start.elapsed().as_nanos() as f64 / f64::from(REQUESTS);
     println!("admission with room: {cost_ns:.0} ns a request");
--- a/crates/foxtailhold-entry/src/actors/contracts.rs
+++ b/crates/foxtailhold-entry/src/actors/contracts.rs
@@ -17,7 +17,7 @@
 
 use crate::actors::{note_undelivered, tick};
 use crate::contract_store;
-use crate::messages::{ContractsMessage, Found};
+use crate::messages::{ContractsMessage, SyncResult};
 use crate::shared::Shared;
 
 /// What is due is looked at this often.
@@ -77,8 +77,8 @@
                 }
                 sync.on_advert(advert, sent_at, now);
             }
-            ContractsMessage::Ended(step, None) => sync.on_failed(step, rand::random(), now),
-            ContractsMessage::Ended(_, Some(found)) => take(sync, found, now),
+            ContractsMessage::StepEnded(step, None) => sync.on_failed(step, rand::random(), now),
+            ContractsMessage::StepEnded(_, Some(found)) => take(sync, found, now),
             ContractsMessage::Tick => {}
         }
         self.publish(&state.sync);
@@ -89,20 +89,20 @@
     }
 }
 
-fn take(sync: &mut ContractSync, found: Found, now: MonoMs) {
+fn take(sync: &mut ContractSync, found: SyncResult, now: MonoMs) {
     match found {
-        Found::Head {
+        SyncResult::Head {
             number,
             sent_at,
             stood_at,
         } => sync.on_head(number, sent_at, stood_at, now),
-        Found::Peer(catchup) => {
+        SyncResult::Peer(catchup) => {
             sync.on_peer_answer(&catchup, now);
         }
-        Found::Log(changes) => {
+        SyncResult::Log(changes) => {
             sync.on_log(changes, now);
         }
-        Found::Snapshot(snapshot) => {
+        SyncResult::Snapshot(snapshot) => {
             sync.on_store_snapshot(snapshot, now);
         }
     }
@@ -137,14 +137,14 @@
                 Step::ReadHead => head(&shared, sent_at, stood_at).await,
                 Step::ReadLog { after } => {
                     let read = contract_store::read_after(&shared.platform, after).await;
-                    read_found("log", read.map(Found::Log))
+                    read_found("log", read.map(SyncResult::Log))
                 }
                 Step::ReadSnapshot => {
                     let read = contract_store::read_snapshot(&shared.platform).await;
-                    read_found("rows", read.map(Found::Snapshot))
+                    read_found("rows", read.map(SyncResult::Snapshot))
                 }
             };
-            note_undelivered(myself.send_message(ContractsMessage::Ended(step, found)));
+            note_undelivered(myself.send_message(ContractsMessage::StepEnded(step, found)));
         });
     }
 
@@ -156,9 +156,13 @@
     }
 }
 
-async fn head<P: Platform>(shared: &Shared<P>, sent_at: MonoMs, stood_at: u64) -> Option<Found> {
+async fn head<P: Platform>(
+    shared: &Shared<P>,
+    sent_at: MonoMs,
+    stood_at: u64,
+) -> Option<SyncResult> {
     let read = contract_store::read_head(&shared.platform).await;
-    let found = read.map(|number| Found::Head {
+    let found = read.map(|number| SyncResult::Head {
         number,
         sent_at,
         stood_at,
@@ -166,7 +170,7 @@
     read_found("head", found)
 }
 
-fn read_found(what: &str, read: foxtailhold_platform::Result<Found>) -> Option<Found> {
+fn read_found(what: &str, read: foxtailhold_platform::Result<SyncResult>) -> Option<SyncResult> {
     match read {
         Ok(found) => Some(found),
         Err(error) => {
@@ -180,7 +184,7 @@
     shared: &Shared<P>,
     peer: Option<SocketAddr>,
     number: u64,
-) -> Option<Found> {
+) -> Option<SyncResult> {
     let request = PeerRequest::ContractsAfter { number };
     let timeout_ms = if number == 0 {
         SNAPSHOT_TIMEOUT_MS
@@ -188,7 +192,7 @@
         PULL_TIMEOUT_MS
     };
     match shared.peers.ask(peer?, &request, timeout_ms).await {
-        Ok(PeerAnswer::Contracts(catchup)) => Some(Found::Peer(catchup)),
+        Ok(PeerAnswer::Contracts(catchup)) => Some(SyncResult::Peer(catchup)),
         Ok(_) => None,
         Err(error) => {
             log::debug!("contract changes could not be pulled: {error}");
--- a/crates/foxtailhold-entry/src/actors/crashes.rs
+++ b/crates/foxtailhold-entry/src/actors/crashes.rs
@@ -63,20 +63,20 @@
                     self.tell(notice);
                 }
             }
-            CrashesMessage::Own(notice, reply) => {
+            CrashesMessage::Observed(notice, reply) => {
                 if quarantine.on_notice(&notice, now) {
                     self.tell(notice);
                 }
                 self.publish(quarantine, now);
                 let _ = reply.send(());
             }
-            CrashesMessage::Told(notices) => {
+            CrashesMessage::FromPeer(notices) => {
                 for notice in &notices {
                     quarantine.on_notice(notice, now);
                     self.set_aside(notice, now);
                 }
             }
-            CrashesMessage::Ask(fingerprint, backends, reply) => {
+            CrashesMessage::RequestProbe(fingerprint, backends, reply) => {
                 let answer = quarantine.ask(fingerprint, &backends, now);
                 if let TrialAnswer::Granted { backend, .. } = &answer {
                     self.tell(Notice::Trial {
@@ -86,7 +86,7 @@
                 }
                 let _ = reply.send(answer);
             }
-            CrashesMessage::Ended(fingerprint, backend, end) => {
+            CrashesMessage::ProbeEnded(fingerprint, backend, end) => {
                 if let Some(notice) = quarantine.trial_ended(fingerprint, &backend, end, now) {
                     self.tell(notice);
                 }
@@ -94,7 +94,7 @@
             CrashesMessage::Snapshot(reply) => {
                 let _ = reply.send(quarantine.snapshot(now));
             }
-            CrashesMessage::Caught(notices) => {
+            CrashesMessage::SnapshotReceived(notices) => {
                 state.caught_up = true;
                 for notice in &notices {
                     quarantine.on_notice(notice, now);
@@ -139,10 +139,11 @@
         let Notice::Crashed { crash, .. } = notice else {
             return;
         };
-        for cell in &self.0.backends.load().cells {
-            let is_lost = cell.is_process(crash) && cell.availability(now) == Availability::Open;
+        for server in &self.0.backends.load().servers {
+            let is_lost =
+                server.is_crashed_process(crash) && server.availability(now) == Availability::Open;
             if is_lost {
-                cell.failed(now);
+                server.record_failure(now);
             }
         }
     }
@@ -162,7 +163,7 @@
             let request = PeerRequest::CrashTable;
             let answer = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS);
             if let Ok(PeerAnswer::Crashes(notices)) = answer.await {
-                note_undelivered(myself.send_message(CrashesMessage::Caught(notices)));
+                note_undelivered(myself.send_message(CrashesMessage::SnapshotReceived(notices)));
             }
         });
     }
@@ -170,12 +171,12 @@
     fn publish(&self, quarantine: &Quarantine, now: MonoMs) {
         let shared = &self.0;
         let standings = quarantine.standings(now);
-        if !(standings.is_empty() && shared.standings.load().is_empty()) {
-            shared.standings.store(standings.into());
+        if !(standings.is_empty() && shared.crash_statuses.load().is_empty()) {
+            shared.crash_statuses.store(standings.into());
         }
-        for cell in &shared.backends.load().cells {
-            let id = &cell.backend.id;
-            cell.set_on_trial(quarantine.trial_backends().any(|backend| backend == id));
+        for server in &shared.backends.load().servers {
+            let id = &server.backend.id;
+            server.set_probing(quarantine.trial_backends().any(|backend| backend == id));
         }
     }
 }
--- a/crates/foxtailhold-entry/src/actors/fleet.rs
+++ b/crates/foxtailhold-entry/src/actors/fleet.rs
@@ -12,7 +12,7 @@
 use rand::seq::SliceRandom;
 
 use crate::actors::{note_undelivered, tick};
-use crate::backends::Cell;
+use crate::backends::BackendState;
 use crate::messages::{FleetMessage, LimitsMessage, MembershipMessage};
 use crate::shared::Shared;
 
@@ -56,12 +56,12 @@
             FleetMessage::ReadList => self.read_list(&myself),
             FleetMessage::List(fleet) => self.publish(&myself, fleet),
             FleetMessage::ReadLoads => {
-                for cell in &self.0.backends.load().cells {
-                    self.read_load(cell);
+                for server in &self.0.backends.load().servers {
+                    self.read_load(server);
                 }
                 marks.tick(now);
             }
-            FleetMessage::Marks(told) => {
+            FleetMessage::LeavingNotices(told) => {
                 if marks.hear(&told, now) {
                     self.spread(marks, now);
                 }
@@ -85,12 +85,12 @@
 
     fn publish(&self, myself: &ActorRef<FleetMessage>, fleet: Fleet) {
         let before = self.0.backends.load();
-        let known = before.cells.iter().map(|cell| &cell.backend);
+        let known = before.servers.iter().map(|server| &server.backend);
         if !known.eq(fleet.backends.iter()) {
-            let first = before.cells.is_empty();
+            let first = before.servers.is_empty();
             self.0
                 .backends
-                .store(before.updated(&fleet.backends).into());
+                .store(before.with_fleet_list(&fleet.backends).into());
             if first {
                 note_undelivered(myself.send_message(FleetMessage::ReadLoads));
             }
@@ -107,13 +107,13 @@
     fn mark(&self, marks: &mut LeavingMarks, now: MonoMs) {
         let (backends, wall) = (self.0.backends.load(), self.0.clock.wall());
         let mut news = false;
-        for cell in &backends.cells {
-            if cell.seen_leaving() {
-                news |= marks.witness(&cell.backend.id, wall, now);
+        for server in &backends.servers {
+            if server.take_leaving_observation() {
+                news |= marks.witness(&server.backend.id, wall, now);
             }
         }
-        for cell in &backends.cells {
-            cell.set_marked_leaving(marks.is_marked(&cell.backend.id, now));
+        for server in &backends.servers {
+            server.set_marked_leaving(marks.is_marked(&server.backend.id, now));
         }
         self.0.leaving.store(Arc::new(marks.clone()));
         if news {
@@ -140,16 +140,16 @@
         }
     }
 
-    fn read_load(&self, cell: &Cell) {
-        let (shared, cell) = (self.0.clone(), cell.clone());
+    fn read_load(&self, server: &BackendState) {
+        let (shared, server) = (self.0.clone(), server.clone());
         tokio::spawn(async move {
-            let address = cell.backend.address;
-            let report = match cell.backend.kind {
+            let address = server.backend.address;
+            let report = match server.backend.kind {
                 BackendKind::Engine => shared.engines.load(address).await.ok(),
                 BackendKind::Service => shared.services.load(address).await.ok(),
             };
             if let Some(report) = report {
-                cell.reported(report, shared.clock.mono());
+                server.record_load_report(report, shared.clock.mono());
             }
         });
     }
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -16,7 +16,7 @@
 use crate::jobs::owner::{self, scan_all};
 use crate::jobs::runner::{self, RunStop};
 use crate::jobs::sweep;
-use crate::messages::{JobsMessage, Look};
+use crate::messages::{JobScan, JobsMessage};
 use crate::shared::Shared;
 use crate::tables;
 
@@ -155,7 +155,7 @@
         });
     }
 
-    fn looked(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, look: Look) {
+    fn looked(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, look: JobScan) {
         state.watched = look.watched;
         let started = state.registry.end_look(&look.claimed);
         for owned in look.claimed {
@@ -196,10 +196,10 @@
     shared: &Shared<P>,
     running: &[JobId],
     watched: WatchedLeases,
-) -> Look {
-    let mut look = Look {
+) -> JobScan {
+    let mut look = JobScan {
         watched,
-        ..Look::default()
+        ..JobScan::default()
     };
     let open = match scan_all(&shared.platform, tables::JOB_OPEN, "").await {
         Ok(open) => open,
@@ -242,5 +242,6 @@
         }
     }
     let key = job.as_str().as_bytes();
-    rendezvous::home(alive, key) == Some(&shared.settings.instance) || shared.is_home(key)
+    rendezvous::home(alive, key) == Some(&shared.settings.instance)
+        || shared.is_coordinator_for(key)
 }
--- a/crates/foxtailhold-entry/src/actors/limits.rs
+++ b/crates/foxtailhold-entry/src/actors/limits.rs
@@ -89,7 +89,7 @@
         let live: Vec<InstanceId> = members.iter().map(|member| member.id.clone()).collect();
         instances.note_left(&shared.members.load());
         let count = instances.count(&live);
-        shared.limits.set_view(live, count, now);
+        shared.limits.set_members(live, count, now);
         shared.limits.sweep(now);
         let asks = shared.limits.due_asks(now);
         let instances = members.len() as u32;
@@ -112,7 +112,7 @@
 pub fn give_room<P: Platform>(shared: &Shared<P>, customers: &[CustomerId]) {
     send(
         shared,
-        shared.limits.recalled(customers, shared.clock.mono()),
+        shared.limits.apply_recall(customers, shared.clock.mono()),
     );
 }
 
@@ -120,7 +120,7 @@
 pub fn answer<P: Platform>(shared: &Shared<P>, asks: &ShareAsks) -> Vec<Grant> {
     let (contracts, now) = (shared.contracts.load(), shared.clock.mono());
     let shares = shared.limits.answer(asks, &contracts, now);
-    for (instance, customers) in shares.recalls {
+    for (instance, customers) in shares.recalled {
         let shared = shared.clone();
         tokio::spawn(async move { recall(&shared, &instance, customers).await });
     }
@@ -146,7 +146,7 @@
 /// Sends asks, in one message to each home, and takes the answers in when they come. Asks to
 /// this instance are answered before it returns.
 fn send<P: Platform>(shared: &Shared<P>, asks: Vec<Ask>) {
-    for (home, asks) in shared.limits.by_home(asks) {
+    for (home, asks) in shared.limits.by_coordinator(asks) {
         if home != shared.settings.instance {
             let shared = shared.clone();
             tokio::spawn(async move { exchange(&shared, &home, asks).await });
@@ -160,7 +160,9 @@
 
 /// Takes answers in. A share that shrank is confirmed at once, so that its room can be used.
 fn take_in<P: Platform>(shared: &Shared<P>, asks: &[Ask], grants: &[Grant]) {
-    let due = shared.limits.granted(asks, grants, shared.clock.mono());
+    let due = shared
+        .limits
+        .apply_grants(asks, grants, shared.clock.mono());
     if !due.is_empty() {
         send(shared, due);
     }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 use crate::actors::{note_undelivered, tick};
-use crate::messages::{Answer, ContractsMessage, FleetMessage, MembershipMessage};
+use crate::messages::{ContractsMessage, FleetMessage, GossipAnswer, MembershipMessage};
 use crate::shared::Shared;
 
 /// Limit for the answer to a probe.
@@ -70,15 +70,15 @@
                 self.leaving_seen(gossip.leaving);
                 let _ = reply.send(answer);
             }
-            MembershipMessage::Answer(answer) => {
-                let (gossip, all) = (&answer.gossip, answer.asked_all);
+            MembershipMessage::GossipAnswer(answer) => {
+                let (gossip, all) = (&answer.gossip, answer.requested_full_state);
                 state.membership.on_answer(gossip, all, now);
                 self.advert_seen(gossip.contracts, Some(answer.sent_at), answer.address);
                 self.leaving_seen(answer.gossip.leaving);
             }
             MembershipMessage::NoAnswer(id) => self.ask_others(&myself, state, id),
-            MembershipMessage::Indirect(_, true) => state.membership.on_indirect_answer(),
-            MembershipMessage::Indirect(id, false) => state.membership.on_no_answer(&id, now),
+            MembershipMessage::IndirectProbe(_, true) => state.membership.on_indirect_answer(),
+            MembershipMessage::IndirectProbe(id, false) => state.membership.on_no_answer(&id, now),
             MembershipMessage::Seeds(seeds) => state.seeds = seeds,
             MembershipMessage::Leave(reply) => {
                 state.membership.leave();
@@ -152,17 +152,19 @@
         gossip: Gossip,
     ) {
         let (shared, myself) = (self.0.clone(), myself.clone());
-        let (sent_at, asked_all) = (shared.clock.mono(), gossip.want_all);
+        let (sent_at, requested_full_state) = (shared.clock.mono(), gossip.want_all);
         let request = PeerRequest::Gossip(gossip);
         tokio::spawn(async move {
             let answer = shared.peers.ask(address, &request, PROBE_TIMEOUT_MS).await;
             let message = match (answer, id) {
-                (Ok(PeerAnswer::Gossip(gossip)), _) => MembershipMessage::Answer(Answer {
-                    gossip,
-                    address,
-                    sent_at,
-                    asked_all,
-                }),
+                (Ok(PeerAnswer::Gossip(gossip)), _) => {
+                    MembershipMessage::GossipAnswer(GossipAnswer {
+                        gossip,
+                        address,
+                        sent_at,
+                        requested_full_state,
+                    })
+                }
                 (_, Some(id)) => MembershipMessage::NoAnswer(id),
                 (_, None) => return,
             };
@@ -200,7 +202,7 @@
                     break;
                 }
             }
-            let message = MembershipMessage::Indirect(id, answered);
+            let message = MembershipMessage::IndirectProbe(id, answered);
             note_undelivered(myself.send_message(message));
         });
     }
@@ -217,7 +219,11 @@
             return;
         }
         if let Some(actors) = self.0.actors() {
-            note_undelivered(actors.fleet.send_message(FleetMessage::Marks(marks)));
+            note_undelivered(
+                actors
+                    .fleet
+                    .send_message(FleetMessage::LeavingNotices(marks)),
+            );
         }
     }
 
--- a/crates/foxtailhold-entry/src/actors/once_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/once_sweep.rs
@@ -57,7 +57,7 @@
         OnceSweepMessage::Sweep: Self::Msg,
         state: &mut OnceSweepState,
     ) -> std::result::Result<(), ActorProcessingErr> {
-        if !self.0.is_home(HOME_KEY) {
+        if !self.0.is_coordinator_for(HOME_KEY) {
             return Ok(());
         }
         if let Err(error) = self.sweep(state).await {
--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -93,7 +93,7 @@
     fn tell(&self, state: &mut OrdersState, wanted: Vec<(BackendId, Wanted)>) {
         state.workers.retain(|_, worker| !worker.is_closed());
         for (id, wanted) in wanted {
-            let home = !self.0.is_stopping() && self.0.is_home(id.as_str().as_bytes());
+            let home = !self.0.is_stopping() && self.0.is_coordinator_for(id.as_str().as_bytes());
             match state.workers.get(&id) {
                 Some(worker) => {
                     worker.send_replace(home.then_some(wanted));
@@ -229,8 +229,8 @@
 
     fn address(&self) -> Option<std::net::SocketAddr> {
         let backends = self.shared.backends.load();
-        let mut cells = backends.cells.iter();
-        let cell = cells.find(|cell| cell.backend.id == self.backend);
-        cell.map(|cell| cell.backend.address)
+        let mut servers = backends.servers.iter();
+        let server = servers.find(|server| server.backend.id == self.backend);
+        server.map(|server| server.backend.address)
     }
 }
--- a/crates/foxtailhold-entry/src/actors/steward.rs
+++ b/crates/foxtailhold-entry/src/actors/steward.rs
@@ -19,11 +19,11 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::actors::{note_undelivered, tick};
-use crate::backends::{BackendTable, Cell};
-use crate::messages::{PlaceSignal, StewardMessage};
-use crate::online;
+use crate::backends::{BackendState, BackendTable};
+use crate::batch_controllers::{BatchControllerEntry, BatchControllers};
+use crate::messages::{BatchControllerMessage, SlotSignal};
+use crate::online_load;
 use crate::shared::Shared;
-use crate::stewards::{StewardEntry, Stewards};
 
 /// Marks, grants and questions are looked at this often.
 pub const TICK_MS: u64 = 20;
@@ -49,14 +49,14 @@
 pub struct StewardState {
     term: u64,
     desk: Desk,
-    signals: HashMap<ItemKey, UnboundedSender<PlaceSignal>>,
+    signals: HashMap<ItemKey, UnboundedSender<SlotSignal>>,
     replicas: HashMap<BackendId, Stewarded>,
     members: Option<Arc<Vec<Member>>>,
     backends: Option<Arc<BackendTable>>,
 }
 
 impl<P: Platform> Actor for StewardActor<P> {
-    type Msg = StewardMessage;
+    type Msg = BatchControllerMessage;
     type State = StewardState;
     type Arguments = ();
 
@@ -65,7 +65,7 @@
         myself: ActorRef<Self::Msg>,
         (): (),
     ) -> Result<StewardState, ActorProcessingErr> {
-        tick(&myself, || StewardMessage::Tick, TICK_MS);
+        tick(&myself, || BatchControllerMessage::Tick, TICK_MS);
         Ok(StewardState {
             term: self.0.clock.wall().0,
             desk: Desk::new(self.0.settings.instance.clone()),
@@ -84,24 +84,24 @@
     ) -> Result<(), ActorProcessingErr> {
         let now = self.0.clock.mono();
         match message {
-            StewardMessage::Tick => self.tick(&myself, state, now),
-            StewardMessage::Asked(ask, reply) => {
+            BatchControllerMessage::Tick => self.tick(&myself, state, now),
+            BatchControllerMessage::SlotsRequested(ask, reply) => {
                 let grant = self.asked(&myself, state, ask, now);
                 let _ = reply.send(grant);
             }
-            StewardMessage::Granted(grant, reply) => {
+            BatchControllerMessage::SlotsGranted(grant, reply) => {
                 let _ = reply.send(self.granted(state, &grant, now));
             }
-            StewardMessage::Told(ask) => {
+            BatchControllerMessage::SlotsInUse(ask) => {
                 if let Some(stewarded) = state.replicas.get_mut(&ask.backend) {
                     stewarded.machine.told(ask, now);
                 }
             }
-            StewardMessage::Answered(grant, asked_at) => {
+            BatchControllerMessage::RequestAnswered(grant, asked_at) => {
                 let actions = state.desk.answered(&grant, asked_at, now);
                 self.perform(state, actions);
             }
-            StewardMessage::Noticed(notice, reply) => {
+            BatchControllerMessage::OnlineWork(notice, reply) => {
                 let stewarded = state.replicas.get_mut(&notice.backend);
                 let _ = reply.send(stewarded.is_some());
                 if let Some(stewarded) = stewarded {
@@ -109,19 +109,19 @@
                     self.push(&myself, state, grants, now);
                 }
             }
-            StewardMessage::Reported(backend, report) => {
+            BatchControllerMessage::LoadReported(backend, report) => {
                 if let Some(stewarded) = state.replicas.get_mut(&backend) {
                     let grants = stewarded.machine.reported(&report, now);
                     self.push(&myself, state, grants, now);
                 }
             }
-            StewardMessage::Wait(item, waiting, signals) => {
+            BatchControllerMessage::ItemWaiting(item, waiting, signals) => {
                 state.signals.insert(item, signals);
                 let actions = state.desk.wait(item, waiting, now);
                 self.perform(state, actions);
                 self.ask(&myself, state, now);
             }
-            StewardMessage::Leave(item) => {
+            BatchControllerMessage::ItemLeft(item) => {
                 state.signals.remove(&item);
                 let actions = state.desk.leave(item, now);
                 self.perform(state, actions);
@@ -132,9 +132,14 @@
 }
 
 impl<P: Platform> StewardActor<P> {
-    fn tick(&self, myself: &ActorRef<StewardMessage>, state: &mut StewardState, now: MonoMs) {
+    fn tick(
+        &self,
+        myself: &ActorRef<BatchControllerMessage>,
+        state: &mut StewardState,
+        now: MonoMs,
+    ) {
         self.refresh(state, now);
-        online::look(&self.0);
+        online_load::notify_changes(&self.0);
         let actions = state.desk.act(now);
         self.perform(state, actions);
         self.ask(myself, state, now);
@@ -175,65 +180,67 @@
         if same_members && same_backends {
             return;
         }
-        let before = self.0.stewards.load();
+        let before = self.0.batch_controllers.load();
         let live = self.0.live_members();
-        let mut stewards = Stewards::default();
+        let mut stewards = BatchControllers::default();
         let mut replicas = Vec::new();
-        for cell in &backends.cells {
-            if cell.backend.kind != BackendKind::Engine {
+        for server in &backends.servers {
+            if server.backend.kind != BackendKind::Engine {
                 continue;
             }
-            let backend = &cell.backend.id;
+            let backend = &server.backend.id;
             let steward = steward_of(&live, backend);
             replicas.push(DeskReplica {
                 backend: backend.clone(),
-                targets: cell.backend.targets.clone(),
+                targets: server.backend.targets.clone(),
                 steward: steward.map(|member| member.id.clone()),
             });
             let Some(steward) = steward else {
                 continue;
             };
             let gauge = before.0.get(backend).map(|entry| entry.gauge.clone());
-            let entry = StewardEntry {
-                steward: steward.id.clone(),
+            let entry = BatchControllerEntry {
+                batch_controller: steward.id.clone(),
                 address: steward.peer_address,
                 gauge: gauge.unwrap_or_default(),
             };
             stewards.0.insert(backend.clone(), entry);
         }
-        self.0.stewards.store(Arc::new(stewards));
+        self.0.batch_controllers.store(Arc::new(stewards));
         state.members = Some(members);
         state.backends = Some(backends);
         let actions = state.desk.set_replicas(replicas, now);
         self.perform(state, actions);
     }
 
-    fn cell(&self, backend: &BackendId) -> Option<Arc<Cell>> {
+    fn server(&self, backend: &BackendId) -> Option<Arc<BackendState>> {
         let backends = self.0.backends.load();
-        let mut cells = backends.cells.iter();
-        cells.find(|cell| cell.backend.id == *backend).cloned()
+        let mut servers = backends.servers.iter();
+        servers
+            .find(|server| server.backend.id == *backend)
+            .cloned()
     }
 
-    fn poll(&self, myself: &ActorRef<StewardMessage>, backend: &BackendId) {
-        let Some(cell) = self.cell(backend) else {
+    fn poll(&self, myself: &ActorRef<BatchControllerMessage>, backend: &BackendId) {
+        let Some(server) = self.server(backend) else {
             return;
         };
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
-            let Ok(mut report) = shared.engines.load(cell.backend.address).await else {
+            let Ok(mut report) = shared.engines.load(server.backend.address).await else {
                 return;
             };
-            if report.leaving || cell.state() == FleetState::Leaving {
+            if report.leaving || server.state() == FleetState::Leaving {
                 report.slots = 0;
             }
-            let message = StewardMessage::Reported(cell.backend.id.clone(), report);
+            let message = BatchControllerMessage::LoadReported(server.backend.id.clone(), report);
             note_undelivered(myself.send_message(message));
         });
     }
 
     fn asked(
         &self,
-        myself: &ActorRef<StewardMessage>,
+        myself: &ActorRef<BatchControllerMessage>,
         state: &mut StewardState,
         ask: PlaceAsk,
         now: MonoMs,
@@ -263,7 +270,7 @@
     /// Tells owners of their grants; the one of this instance at once.
     fn push(
         &self,
-        myself: &ActorRef<StewardMessage>,
+        myself: &ActorRef<BatchControllerMessage>,
         state: &mut StewardState,
         grants: Vec<(InstanceId, PlaceGrant)>,
         now: MonoMs,
@@ -286,7 +293,7 @@
                     let address = member.peer_address;
                     let answer = shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await;
                     if let Ok(PeerAnswer::PlacesInUse(ask)) = answer {
-                        let message = StewardMessage::Told(ask);
+                        let message = BatchControllerMessage::SlotsInUse(ask);
                         note_undelivered(myself.send_message(message));
                         return;
                     }
@@ -297,7 +304,12 @@
     }
 
     /// Sends the questions that are due.
-    fn ask(&self, myself: &ActorRef<StewardMessage>, state: &mut StewardState, now: MonoMs) {
+    fn ask(
+        &self,
+        myself: &ActorRef<BatchControllerMessage>,
+        state: &mut StewardState,
+        now: MonoMs,
+    ) {
         for (steward, ask) in state.desk.asks(now, self.0.clock.wall()) {
             if steward == self.0.settings.instance {
                 let grant = self.asked(myself, state, ask, now);
@@ -318,7 +330,7 @@
                 let address = member.peer_address;
                 match shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await {
                     Ok(PeerAnswer::Places(grant)) => {
-                        let message = StewardMessage::Answered(grant, now);
+                        let message = BatchControllerMessage::RequestAnswered(grant, now);
                         note_undelivered(myself.send_message(message));
                     }
                     Ok(_) => log::debug!("steward {steward} gave no places"),
@@ -332,10 +344,10 @@
         let mut cuts: HashMap<BackendId, u32> = HashMap::new();
         for action in actions {
             let (item, signal) = match action {
-                DeskAction::Start { item, backend } => (item, PlaceSignal::Start(backend)),
+                DeskAction::Start { item, backend } => (item, SlotSignal::Start(backend)),
                 DeskAction::Cut { item, backend } => {
                     *cuts.entry(backend).or_default() += 1;
-                    (item, PlaceSignal::Cut)
+                    (item, SlotSignal::Preempt)
                 }
             };
             if let Some(signals) = state.signals.get(&item) {
--- a/crates/foxtailhold-entry/src/admission.rs
+++ b/crates/foxtailhold-entry/src/admission.rs
@@ -19,7 +19,7 @@
 use foxtailhold_http::clock::Clock;
 
 /// A request that waits hears by this.
-type Wake = oneshot::Sender<Option<Place>>;
+type Wake = oneshot::Sender<Option<Slot>>;
 
 #[derive(Debug)]
 struct QueueState {
@@ -44,7 +44,7 @@
 
 /// A place in flight towards a model; dropping it lets the next request go.
 #[derive(Debug)]
-pub struct Place {
+pub struct Slot {
     queue: Arc<ModelQueue>,
     since: MonoMs,
 }
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         let now = self.queue.clock.mono();
         self.queue.state.lock().queue.leave(self.since, now);
@@ -80,25 +80,25 @@
         let mut told = Vec::new();
         let mut state = self.state.lock();
         while let Some(released) = state.queue.next(now) {
-            let (id, place) = match released {
+            let (id, slot) = match released {
                 Released::Expired(id) => (id, None),
-                Released::Admitted(id) => (id, Some(self.place(now))),
+                Released::Admitted(id) => (id, Some(self.slot(now))),
             };
             match state.wakes.remove(&id) {
-                Some(wake) => told.push((Some(wake), place)),
-                None => told.push((None, place)),
+                Some(wake) => told.push((Some(wake), slot)),
+                None => told.push((None, slot)),
             }
         }
         drop(state);
-        for (wake, place) in told {
+        for (wake, slot) in told {
             if let Some(wake) = wake {
-                let _ = wake.send(place);
+                let _ = wake.send(slot);
             }
         }
     }
 
-    fn place(self: &Arc<Self>, since: MonoMs) -> Place {
-        Place {
+    fn slot(self: &Arc<Self>, since: MonoMs) -> Slot {
+        Slot {
             queue: self.clone(),
             since,
         }
@@ -132,12 +132,12 @@
     }
 
     /// Takes a place towards `model`, waiting in the customer's queue where there is none.
-    pub async fn enter(
+    pub async fn acquire(
         &self,
         model: &TargetName,
         contract: &Contract,
         deadline: Option<MonoMs>,
-    ) -> Result<Place> {
+    ) -> Result<Slot> {
         let queue = self.queue(model);
         let customer = &contract.customer;
         let now = self.clock.mono();
@@ -150,7 +150,7 @@
         let (woken, wait_ms, _guard) = {
             let mut state = queue.state.lock();
             match state.queue.enter(&arrival, now) {
-                Entered::Admitted => return Ok(queue.place(now)),
+                Entered::Admitted => return Ok(queue.slot(now)),
                 Entered::Refused { after_ms } => return Err(queue.overloaded(after_ms)),
                 Entered::Waiting {
                     id,
@@ -175,7 +175,7 @@
         };
         let wait = Duration::from_millis(wait_ms);
         match tokio::time::timeout(wait, woken).await {
-            Ok(Ok(Some(place))) => Ok(place),
+            Ok(Ok(Some(slot))) => Ok(slot),
             _ => Err(self.gave_up(&queue, deadline, now)),
         }
     }
@@ -240,11 +240,11 @@
 /// What the replicas that take new work report.
 fn capacity(backends: &BackendTable, model: &TargetName) -> Capacity {
     let mut capacity = Capacity::default();
-    for cell in backends.serving(BackendKind::Engine, model) {
-        if cell.state() != FleetState::Live {
+    for server in backends.serving(BackendKind::Engine, model) {
+        if server.state() != FleetState::Live {
             continue;
         }
-        let load = cell.load();
+        let load = server.load();
         capacity.replicas += 1;
         capacity.unreported += u32::from(load.reported_at.is_none());
         capacity.slots += load.report.slots;
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -79,7 +79,7 @@
 
 /// One backend server.
 #[derive(Debug, Clone)]
-pub struct Cell {
+pub struct BackendState {
     /// Its entry in the fleet list.
     pub backend: Backend,
     /// Its counters.
@@ -87,9 +87,9 @@
     affinity_seed: u64,
 }
 
-impl Cell {
+impl BackendState {
     fn new(backend: Backend, counters: Arc<Counters>) -> Self {
-        Cell {
+        BackendState {
             affinity_seed: affinity_seed(&backend.id),
             backend,
             counters,
@@ -112,7 +112,7 @@
     }
 
     /// Takes a load report in. Own sends after the time of which it speaks go on counting.
-    pub fn reported(&self, report: LoadReport, now: MonoMs) {
+    pub fn record_load_report(&self, report: LoadReport, now: MonoMs) {
         let back = Duration::from_millis(report.age_ms.saturating_add(REPORT_MARGIN_MS));
         let mut flights = self.counters.flights.lock();
         flights.reported_until = Instant::now().checked_sub(back);
@@ -129,7 +129,7 @@
     }
 
     /// Whether this instance has seen since the last call that it is leaving.
-    pub fn seen_leaving(&self) -> bool {
+    pub fn take_leaving_observation(&self) -> bool {
         let refused = self.counters.refused_leaving.swap(false, Ordering::Relaxed);
         refused || self.reports_leaving() || self.backend.state == FleetState::Leaving
     }
@@ -153,7 +153,7 @@
     }
 
     /// Whether it is the process that crashed, as far as its load report tells.
-    pub fn is_process(&self, crash: &CrashId) -> bool {
+    pub fn is_crashed_process(&self, crash: &CrashId) -> bool {
         let report = self.counters.report.load();
         let started = report
             .as_deref()
@@ -162,14 +162,14 @@
     }
 
     /// Sets it aside after a failure, for longer with each one.
-    pub fn failed(&self, now: MonoMs) {
+    pub fn record_failure(&self, now: MonoMs) {
         let mut flights = self.counters.flights.lock();
         flights.breaker.failed(now, rand::random());
         self.counters.publish_breaker(&flights.breaker);
     }
 
     /// Notes that it served a request.
-    pub fn succeeded(&self) {
+    pub fn record_success(&self) {
         if !self.counters.failures.load(Ordering::Relaxed) {
             return;
         }
@@ -179,7 +179,7 @@
     }
 
     /// Notes that it was chosen; after failures that is its trial.
-    pub fn chosen(&self, now: MonoMs) {
+    pub fn note_sent_after_failure(&self, now: MonoMs) {
         if !self.counters.failures.load(Ordering::Relaxed) {
             return;
         }
@@ -200,17 +200,17 @@
     }
 
     /// Whether it is set aside.
-    pub fn set_aside(&self, now: MonoMs) -> bool {
+    pub fn is_ejected(&self, now: MonoMs) -> bool {
         self.availability(now) == Availability::SetAside
     }
 
     /// Whether a request suspected of crashes is tried there.
-    pub fn set_on_trial(&self, on_trial: bool) {
+    pub fn set_probing(&self, on_trial: bool) {
         self.counters.on_trial.store(on_trial, Ordering::Relaxed);
     }
 
     /// Its pace.
-    pub fn pace(&self) -> Pace {
+    pub fn latency(&self) -> Pace {
         Pace {
             gap_us: self.counters.gap_us.load(Ordering::Relaxed),
             service_ms: self.counters.service_ms.load(Ordering::Relaxed),
@@ -218,26 +218,26 @@
     }
 
     /// Notes the time between two events of a stream.
-    pub fn note_gap(&self, gap: Duration) {
+    pub fn record_token_gap(&self, gap: Duration) {
         let mean_us = self.counters.gap_us.load(Ordering::Relaxed);
         let moved = stall::moved_mean(mean_us, gap.as_micros() as u64);
         self.counters.gap_us.store(moved, Ordering::Relaxed);
     }
 
     /// Notes the time of a whole request.
-    pub fn note_service(&self, time: Duration) {
+    pub fn record_service_time(&self, time: Duration) {
         let mean_ms = self.counters.service_ms.load(Ordering::Relaxed);
         let moved = stall::moved_mean(mean_ms, time.as_millis() as u64);
         self.counters.service_ms.store(moved, Ordering::Relaxed);
     }
 
     /// Counts a request as sent until the guard is dropped.
-    pub fn send(&self) -> InFlight {
-        self.send_known(None)
+    pub fn start_request(&self) -> InFlightGuard {
+        self.start_tracked_request(None)
     }
 
     /// Counts a request with a fingerprint as sent until the guard is dropped.
-    pub fn send_known(&self, fingerprint: Option<Fingerprint>) -> InFlight {
+    pub fn start_tracked_request(&self, fingerprint: Option<Fingerprint>) -> InFlightGuard {
         let mut flights = self.counters.flights.lock();
         let number = flights.next;
         flights.next += 1;
@@ -249,7 +249,7 @@
         self.counters.publish_flights(&flights);
         drop(flights);
         let report = self.counters.report.load();
-        InFlight {
+        InFlightGuard {
             counters: self.counters.clone(),
             number,
             started_unix_ms: report
@@ -259,7 +259,7 @@
     }
 
     /// Requests now in flight there.
-    pub fn flights(&self) -> Vec<Flight> {
+    pub fn tracked_requests(&self) -> Vec<Flight> {
         let mut flights = Vec::new();
         for sent in &self.counters.flights.lock().sent {
             let Some(fingerprint) = sent.fingerprint else {
@@ -276,13 +276,13 @@
 
 /// A request in flight at a backend server.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightGuard {
     counters: Arc<Counters>,
     number: u64,
     started_unix_ms: u64,
 }
 
-impl InFlight {
+impl InFlightGuard {
     /// When the process that got it had started, in ms since the Unix epoch by its own clock; 0
     /// where its load report did not say.
     pub fn started_unix_ms(&self) -> u64 {
@@ -290,7 +290,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut flights = self.counters.flights.lock();
         let place = flights.sent.iter().position(|s| s.number == self.number);
@@ -305,43 +305,43 @@
 #[derive(Debug, Default)]
 pub struct BackendTable {
     /// All of them.
-    pub cells: Vec<Arc<Cell>>,
-    engines: HashMap<TargetName, Vec<Arc<Cell>>>,
-    services: HashMap<TargetName, Vec<Arc<Cell>>>,
+    pub servers: Vec<Arc<BackendState>>,
+    engines: HashMap<TargetName, Vec<Arc<BackendState>>>,
+    services: HashMap<TargetName, Vec<Arc<BackendState>>>,
 }
 
 impl BackendTable {
     /// A table of the list's backend servers that keeps the counters of those known before at the
     /// same address.
-    pub fn updated(&self, backends: &[Backend]) -> Self {
-        let mut known: HashMap<&BackendId, &Cell> = HashMap::new();
-        for cell in &self.cells {
-            known.insert(&cell.backend.id, cell);
+    pub fn with_fleet_list(&self, backends: &[Backend]) -> Self {
+        let mut known: HashMap<&BackendId, &BackendState> = HashMap::new();
+        for server in &self.servers {
+            known.insert(&server.backend.id, server);
         }
         let mut table = BackendTable::default();
         for backend in backends {
             let before = known.get(&backend.id);
-            let before = before.filter(|cell| cell.backend.address == backend.address);
-            let counters = before.map(|cell| cell.counters.clone());
-            let cell = Cell::new(backend.clone(), counters.unwrap_or_default());
-            table.add(Arc::new(cell));
+            let before = before.filter(|server| server.backend.address == backend.address);
+            let counters = before.map(|server| server.counters.clone());
+            let server = BackendState::new(backend.clone(), counters.unwrap_or_default());
+            table.add(Arc::new(server));
         }
         table
     }
 
-    fn add(&mut self, cell: Arc<Cell>) {
-        let by_target = match cell.backend.kind {
+    fn add(&mut self, server: Arc<BackendState>) {
+        let by_target = match server.backend.kind {
             BackendKind::Engine => &mut self.engines,
             BackendKind::Service => &mut self.services,
         };
-        for target in &cell.backend.targets {
+        for target in &server.backend.targets {
             let serving = by_target.entry(target.clone()).or_default();
-            serving.push(cell.clone());
+            serving.push(server.clone());
         }
-        self.cells.push(cell);
+        self.servers.push(server);
     }
 
-    fn by_target(&self, kind: BackendKind) -> &HashMap<TargetName, Vec<Arc<Cell>>> {
+    fn by_target(&self, kind: BackendKind) -> &HashMap<TargetName, Vec<Arc<BackendState>>> {
         match kind {
             BackendKind::Engine => &self.engines,
             BackendKind::Service => &self.services,
@@ -349,9 +349,9 @@
     }
 
     /// The backend servers of a model or service.
-    pub fn serving(&self, kind: BackendKind, target: &TargetName) -> &[Arc<Cell>] {
-        let cells = self.by_target(kind).get(target);
-        cells.map(Vec::as_slice).unwrap_or_default()
+    pub fn serving(&self, kind: BackendKind, target: &TargetName) -> &[Arc<BackendState>] {
+        let servers = self.by_target(kind).get(target);
+        servers.map(Vec::as_slice).unwrap_or_default()
     }
 
     /// Names served by any backend server of a kind.
@@ -366,27 +366,27 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Serving<'a> {
     /// The backend servers.
-    pub cells: &'a [Arc<Cell>],
+    pub servers: &'a [Arc<BackendState>],
     /// The moment.
     pub now: MonoMs,
 }
 
 impl Candidates for Serving<'_> {
     fn len(&self) -> usize {
-        self.cells.len()
+        self.servers.len()
     }
 
     fn get(&self, index: usize) -> Candidate<'_> {
-        let cell = &self.cells[index];
+        let server = &self.servers[index];
         Candidate {
-            id: &cell.backend.id,
-            availability_zone: &cell.backend.availability_zone,
-            affinity_seed: cell.affinity_seed,
-            state: cell.state(),
-            load: cell.load(),
-            availability: cell.availability(self.now),
-            on_trial: cell.counters.on_trial.load(Ordering::Relaxed),
-            gap_us: cell.counters.gap_us.load(Ordering::Relaxed),
+            id: &server.backend.id,
+            availability_zone: &server.backend.availability_zone,
+            affinity_seed: server.affinity_seed,
+            state: server.state(),
+            load: server.load(),
+            availability: server.availability(self.now),
+            on_trial: server.counters.on_trial.load(Ordering::Relaxed),
+            gap_us: server.counters.gap_us.load(Ordering::Relaxed),
         }
     }
 }
--- a/crates/foxtailhold-entry/src/batch_controllers.rs
+++ b/crates/foxtailhold-entry/src/batch_controllers.rs
@@ -9,7 +9,7 @@
 
 /// What the steward of one engine was told of this instance's online work there.
 #[derive(Debug, Default)]
-pub struct OnlineGauge {
+pub struct OnlineNotification {
     pub(crate) batch: AtomicU32,
     pub(crate) pressed: AtomicBool,
     pub(crate) telling: AtomicBool,
@@ -22,9 +22,9 @@
 /// A batch item in flight at an engine, counted until dropped, so that it does not pass for online
 /// work.
 #[derive(Debug)]
-pub struct BatchFlight(Arc<OnlineGauge>);
+pub struct BatchItemInFlight(Arc<OnlineNotification>);
 
-impl Drop for BatchFlight {
+impl Drop for BatchItemInFlight {
     fn drop(&mut self) {
         self.0.batch.fetch_sub(1, Ordering::Relaxed);
     }
@@ -32,24 +32,24 @@
 
 /// The steward of one engine.
 #[derive(Debug, Clone)]
-pub struct StewardEntry {
+pub struct BatchControllerEntry {
     /// The instance.
-    pub steward: InstanceId,
+    pub batch_controller: InstanceId,
     /// Where it takes messages of peers.
     pub address: SocketAddr,
     /// What it was told.
-    pub gauge: Arc<OnlineGauge>,
+    pub gauge: Arc<OnlineNotification>,
 }
 
 /// The stewards of all engines, as published for the request path.
 #[derive(Debug, Clone, Default)]
-pub struct Stewards(pub HashMap<BackendId, StewardEntry>);
+pub struct BatchControllers(pub HashMap<BackendId, BatchControllerEntry>);
 
-impl Stewards {
+impl BatchControllers {
     /// Counts a batch item that is about to be sent to an engine.
-    pub fn batch_flight(&self, backend: &BackendId) -> Option<BatchFlight> {
+    pub fn start_batch_item(&self, backend: &BackendId) -> Option<BatchItemInFlight> {
         let gauge = self.0.get(backend)?.gauge.clone();
         gauge.batch.fetch_add(1, Ordering::Relaxed);
-        Some(BatchFlight(gauge))
+        Some(BatchItemInFlight(gauge))
     }
 }
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -19,7 +19,7 @@
 
 use crate::actors::crashes::NOTICE_TIMEOUT_MS;
 use crate::actors::note_undelivered;
-use crate::backends::{Cell, InFlight};
+use crate::backends::{BackendState, InFlightGuard};
 use crate::messages::CrashesMessage;
 use crate::shared::Shared;
 
@@ -32,8 +32,8 @@
 
 impl<P: Platform> Shared<P> {
     /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint) -> Standing {
-        let standings = self.standings.load();
+    pub fn crash_status(&self, fingerprint: Fingerprint) -> Standing {
+        let standings = self.crash_statuses.load();
         let standing = standings.get(&fingerprint);
         standing.copied().unwrap_or(Standing::Clear)
     }
@@ -50,24 +50,24 @@
     )
 }
 
-enum Probe {
+enum ProcessStatus {
     Gone,
     Running(u64),
     Unknown,
 }
 
-async fn probe<P: Platform>(shared: &Shared<P>, address: SocketAddr) -> Probe {
+async fn process_status<P: Platform>(shared: &Shared<P>, address: SocketAddr) -> ProcessStatus {
     let wait = Duration::from_millis(PROBE_TIMEOUT_MS);
     match tokio::time::timeout(wait, TcpStream::connect(address)).await {
-        Err(_) => return Probe::Unknown,
+        Err(_) => return ProcessStatus::Unknown,
         Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-            return Probe::Gone;
+            return ProcessStatus::Gone;
         }
         Ok(_) => {}
     }
     match tokio::time::timeout(wait, shared.engines.load(address)).await {
-        Ok(Ok(report)) => Probe::Running(report.started_unix_ms),
-        _ => Probe::Unknown,
+        Ok(Ok(report)) => ProcessStatus::Running(report.started_unix_ms),
+        _ => ProcessStatus::Unknown,
     }
 }
 
@@ -75,9 +75,9 @@
 /// process answers there.
 async fn has_ended<P: Platform>(shared: &Shared<P>, address: SocketAddr, started: u64) -> bool {
     for _ in 0..PROBES {
-        match probe(shared, address).await {
-            Probe::Gone => return true,
-            Probe::Running(now) if started != 0 && now != started => return true,
+        match process_status(shared, address).await {
+            ProcessStatus::Gone => return true,
+            ProcessStatus::Running(now) if started != 0 && now != started => return true,
             _ => tokio::time::sleep(Duration::from_millis(PROBE_PAUSE_MS)).await,
         }
     }
@@ -85,28 +85,28 @@
 }
 
 /// Finds out whether a failure was a crash, and if so tells all instances what was in flight.
-pub async fn examine<P: Platform>(
+pub async fn report_if_crashed<P: Platform>(
     shared: &Shared<P>,
-    cell: &Cell,
-    in_flight: &InFlight,
+    server: &BackendState,
+    in_flight: &InFlightGuard,
     error: &EngineError,
 ) -> TrialEnd {
     let started = in_flight.started_unix_ms();
-    if !may_be_crash(error) || !has_ended(shared, cell.backend.address, started).await {
+    if !may_be_crash(error) || !has_ended(shared, server.backend.address, started).await {
         return TrialEnd::Unknown;
     }
     shared.metrics.crashes.inc();
     let notice = Notice::Crashed {
         crash: CrashId {
-            backend: cell.backend.id.clone(),
+            backend: server.backend.id.clone(),
             started_unix_ms: started,
         },
-        flights: cell.flights(),
+        flights: server.tracked_requests(),
     };
     if let Some(actors) = shared.actors() {
         let told = actors
             .crashes
-            .call(|reply| CrashesMessage::Own(notice, reply), None);
+            .call(|reply| CrashesMessage::Observed(notice, reply), None);
         if told.await.is_err() {
             log::warn!("a crash could not be noted");
         }
@@ -129,7 +129,7 @@
 }
 
 /// Asks for a trial of a suspect on one of `backends`. `None` where the home does not answer.
-pub async fn ask<P: Platform>(
+pub async fn request_probe<P: Platform>(
     shared: &Shared<P>,
     fingerprint: Fingerprint,
     backends: Vec<BackendId>,
@@ -145,7 +145,7 @@
             _ => None,
         };
     }
-    let ask = |reply| CrashesMessage::Ask(fingerprint, backends, reply);
+    let ask = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
     match shared.actors()?.crashes.call(ask, None).await {
         Ok(CallResult::Success(answer)) => Some(answer),
         _ => None,
@@ -154,26 +154,26 @@
 
 /// A trial that runs. Dropping it without [`TrialGuard::close`] ends it without a verdict.
 #[derive(Debug)]
-pub struct TrialGuard<P: Platform> {
+pub struct ProbeGuard<P: Platform> {
     shared: Shared<P>,
     fingerprint: Fingerprint,
-    cell: Arc<Cell>,
+    server: Arc<BackendState>,
     strict: bool,
     end: TrialEnd,
 }
 
-impl<P: Platform> TrialGuard<P> {
+impl<P: Platform> ProbeGuard<P> {
     /// The guard of a trial that was granted.
     pub fn new(
         shared: &Shared<P>,
         fingerprint: Fingerprint,
-        cell: &Arc<Cell>,
+        server: &Arc<BackendState>,
         strict: bool,
     ) -> Self {
-        TrialGuard {
+        ProbeGuard {
             shared: shared.clone(),
             fingerprint,
-            cell: cell.clone(),
+            server: server.clone(),
             strict,
             end: TrialEnd::Unknown,
         }
@@ -190,13 +190,13 @@
     }
 }
 
-impl<P: Platform> Drop for TrialGuard<P> {
+impl<P: Platform> Drop for ProbeGuard<P> {
     fn drop(&mut self) {
         let (fingerprint, end) = (self.fingerprint, self.end);
-        let backend = self.cell.backend.id.clone();
+        let backend = self.server.backend.id.clone();
         let Some(address) = home(&self.shared) else {
             if let Some(actors) = self.shared.actors() {
-                let message = CrashesMessage::Ended(fingerprint, backend, end);
+                let message = CrashesMessage::ProbeEnded(fingerprint, backend, end);
                 note_undelivered(actors.crashes.send_message(message));
             }
             return;
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -19,9 +19,9 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::backends::{Cell, InFlight, Serving};
-use crate::crashes::{self, TrialGuard};
-use crate::online;
+use crate::backends::{BackendState, InFlightGuard, Serving};
+use crate::crashes::{self, ProbeGuard};
+use crate::online_load;
 use crate::shared::Shared;
 
 /// Backend servers that may have run it, for one request.
@@ -43,7 +43,7 @@
 
 /// A request as it is sent to engines.
 #[derive(Debug, Clone)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Identifier.
     pub id: RequestId,
     /// Path at the engine.
@@ -61,12 +61,12 @@
     /// When the caller gives up, on this process's clock, with the deadline it gave.
     pub deadline: Option<(MonoMs, u64)>,
     /// Whether it may be sent to a backend server after another one may have run it.
-    pub repeatable: bool,
+    pub retry_allowed: bool,
     /// The epoch of this instance's lease under which alone it may be sent, where that is bounded.
     pub lease_epoch: Option<u64>,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Until when it may be sent, where that is bounded.
     pub fn not_after<P: Platform>(&self, shared: &Shared<P>) -> Option<Instant> {
         self.lease_epoch.map(|epoch| shared.acts_until(epoch))
@@ -75,20 +75,20 @@
 
 /// An answer that has begun, with the place it takes at its backend server.
 #[derive(Debug)]
-pub struct Opened<P: Platform> {
+pub struct StartedAnswer<P: Platform> {
     /// The backend server.
-    pub cell: Arc<Cell>,
+    pub server: Arc<BackendState>,
     /// Frees the place when dropped.
-    pub in_flight: InFlight,
+    pub in_flight: InFlightGuard,
     /// The trial it is, for a stream of a suspect.
-    pub trial: Option<TrialGuard<P>>,
+    pub probe: Option<ProbeGuard<P>>,
     /// The answer.
     pub answer: EngineAnswer,
 }
 
 /// What is known after some tries.
 #[derive(Debug, Clone, Default)]
-pub struct Tries {
+pub struct AttemptHistory {
     /// Backend servers tried.
     pub tried: Vec<BackendId>,
     /// Whether one of them may have run it.
@@ -97,20 +97,20 @@
     last_error: Option<EngineError>,
 }
 
-impl Tries {
+impl AttemptHistory {
     /// Notes a failure at a backend server.
-    pub fn failed(&mut self, cell: &Cell, error: EngineError, now: MonoMs) {
-        self.tried.push(cell.backend.id.clone());
+    pub fn record_failure(&mut self, server: &BackendState, error: EngineError, now: MonoMs) {
+        self.tried.push(server.backend.id.clone());
         if !error.is_not_run() {
             self.may_have_run = true;
             self.runs += 1;
         }
         match error {
             EngineError::Full => {}
-            EngineError::Leaving => cell.refused_as_leaving(),
-            _ => cell.failed(now),
+            EngineError::Leaving => server.refused_as_leaving(),
+            _ => server.record_failure(now),
         }
-        log::warn!("backend server {} failed: {error}", cell.backend.id);
+        log::warn!("backend server {} failed: {error}", server.backend.id);
         self.last_error = Some(error);
     }
 
@@ -162,11 +162,11 @@
     target: &TargetName,
     body: &[u8],
     tried: &[BackendId],
-) -> Option<Arc<Cell>> {
+) -> Option<Arc<BackendState>> {
     let backends = shared.backends.load();
     let now = shared.clock.mono();
-    let cells = backends.serving(kind, target);
-    let serving = Serving { cells, now };
+    let servers = backends.serving(kind, target);
+    let serving = Serving { servers, now };
     let query = RouteQuery {
         availability_zone: &shared.settings.availability_zone,
         prefix_hash: xxh3_64(&body[..body.len().min(PREFIX_BYTES)]),
@@ -177,16 +177,16 @@
         BackendKind::Engine => BoundedAffinity.choose(&query, &serving),
         BackendKind::Service => LeastLoaded.choose(&query, &serving),
     };
-    let cell = &cells[index?];
-    cell.chosen(now);
-    Some(cell.clone())
+    let server = &servers[index?];
+    server.note_sent_after_failure(now);
+    Some(server.clone())
 }
 
 /// Time left to the caller's deadline; a refusal at once where none is left.
 pub fn time_left_ms<P: Platform>(
     shared: &Shared<P>,
-    outgoing: &Outgoing,
-    tries: &Tries,
+    outgoing: &OutgoingRequest,
+    attempts: &AttemptHistory,
 ) -> Result<u64> {
     let Some((deadline, deadline_ms)) = outgoing.deadline else {
         return Ok(DEFAULT_WAIT_MS);
@@ -194,15 +194,15 @@
     match deadline.since_ms(shared.clock.mono()) {
         0 => {
             let reason = RefusalReason::DeadlinePassed { deadline_ms };
-            Err(tries.refused(reason, BACKEND_RETRY_AFTER_MS))
+            Err(attempts.refused(reason, BACKEND_RETRY_AFTER_MS))
         }
         left_ms => Ok(left_ms),
     }
 }
 
 /// How long the answer of a backend server may take to come, or to begin for a stream.
-pub fn bound_ms(cell: &Cell, outgoing: &Outgoing) -> u64 {
-    let (load, pace) = (cell.load(), cell.pace());
+pub fn answer_timeout_ms(server: &BackendState, outgoing: &OutgoingRequest) -> u64 {
+    let (load, pace) = (server.load(), server.latency());
     let bytes = outgoing.body.len() as u64;
     match outgoing.streamed {
         true => stall::first_event_bound_ms(&load, pace, bytes),
@@ -211,40 +211,43 @@
 }
 
 struct Route<P: Platform> {
-    cell: Arc<Cell>,
-    trial: Option<TrialGuard<P>>,
+    server: Arc<BackendState>,
+    probe: Option<ProbeGuard<P>>,
 }
 
 fn plain_route<P: Platform>(
     shared: &Shared<P>,
-    outgoing: &Outgoing,
-    tries: &Tries,
+    outgoing: &OutgoingRequest,
+    attempts: &AttemptHistory,
 ) -> Result<Route<P>> {
-    let (model, tried) = (&outgoing.model, &tries.tried);
+    let (model, tried) = (&outgoing.model, &attempts.tried);
     let chosen = choose(shared, BackendKind::Engine, model, &outgoing.body, tried);
-    let cell = chosen.ok_or_else(|| tries.refusal(model))?;
-    Ok(Route { cell, trial: None })
+    let server = chosen.ok_or_else(|| attempts.refusal(model))?;
+    Ok(Route {
+        server,
+        probe: None,
+    })
 }
 
 /// Backend servers for a trial, the least loaded first.
-fn trial_cells<P: Platform>(
+fn probe_servers<P: Platform>(
     shared: &Shared<P>,
-    outgoing: &Outgoing,
-    tries: &Tries,
-) -> Vec<Arc<Cell>> {
+    outgoing: &OutgoingRequest,
+    attempts: &AttemptHistory,
+) -> Vec<Arc<BackendState>> {
     let backends = shared.backends.load();
     let now = shared.clock.mono();
-    let mut cells = Vec::new();
-    for cell in backends.serving(BackendKind::Engine, &outgoing.model) {
-        let tried = tries.tried.contains(&cell.backend.id);
-        if tried || cell.state() != FleetState::Live || cell.set_aside(now) {
+    let mut servers = Vec::new();
+    for server in backends.serving(BackendKind::Engine, &outgoing.model) {
+        let tried = attempts.tried.contains(&server.backend.id);
+        if tried || server.state() != FleetState::Live || server.is_ejected(now) {
             continue;
         }
-        cells.push(cell.clone());
+        servers.push(server.clone());
     }
-    cells.sort_by_key(|cell| cell.load().estimate());
-    cells.truncate(TRIAL_BACKENDS);
-    cells
+    servers.sort_by_key(|server| server.load().estimate());
+    servers.truncate(TRIAL_BACKENDS);
+    servers
 }
 
 async fn pause(after_ms: u64) {
@@ -255,28 +258,31 @@
 /// Chooses a backend server; a suspect waits for its trial, a convicted request is refused.
 async fn route<P: Platform>(
     shared: &Shared<P>,
-    outgoing: &Outgoing,
-    tries: &Tries,
+    outgoing: &OutgoingRequest,
+    attempts: &AttemptHistory,
 ) -> Result<Route<P>> {
     let fingerprint = outgoing.fingerprint;
     let begun = shared.clock.mono();
     let mut asking = Asking::default();
     loop {
-        time_left_ms(shared, outgoing, tries)?;
-        match shared.standing(fingerprint) {
-            Standing::Clear => return plain_route(shared, outgoing, tries),
-            Standing::Convicted { left_ms } => return Err(tries.quarantined(left_ms)),
+        time_left_ms(shared, outgoing, attempts)?;
+        match shared.crash_status(fingerprint) {
+            Standing::Clear => return plain_route(shared, outgoing, attempts),
+            Standing::Convicted { left_ms } => return Err(attempts.quarantined(left_ms)),
             Standing::Suspect => {}
         }
         if shared.clock.mono().since_ms(begun) >= TRIAL_WAIT_MS {
-            return Err(tries.refusal(&outgoing.model));
+            return Err(attempts.refusal(&outgoing.model));
         }
-        let cells = trial_cells(shared, outgoing, tries);
-        if cells.is_empty() {
-            return Err(tries.refusal(&outgoing.model));
+        let servers = probe_servers(shared, outgoing, attempts);
+        if servers.is_empty() {
+            return Err(attempts.refusal(&outgoing.model));
         }
-        let ids = cells.iter().map(|cell| cell.backend.id.clone()).collect();
-        let Some(answer) = crashes::ask(shared, fingerprint, ids).await else {
+        let ids = servers
+            .iter()
+            .map(|server| server.backend.id.clone())
+            .collect();
+        let Some(answer) = crashes::request_probe(shared, fingerprint, ids).await else {
             pause(HOME_PAUSE_MS).await;
             continue;
         };
@@ -286,31 +292,35 @@
                 strict,
                 quiet_ms,
             } => {
-                let cell = cells.iter().find(|cell| cell.backend.id == backend);
-                let Some(cell) = cell else {
+                let server = servers.iter().find(|server| server.backend.id == backend);
+                let Some(server) = server else {
                     continue;
                 };
-                let trial = Some(TrialGuard::new(shared, fingerprint, cell, strict));
+                let probe = Some(ProbeGuard::new(shared, fingerprint, server, strict));
                 tokio::time::sleep(Duration::from_millis(quiet_ms)).await;
-                let cell = cell.clone();
-                return Ok(Route { cell, trial });
+                let server = server.clone();
+                return Ok(Route { server, probe });
             }
-            NextStep::Refuse { left_ms } => return Err(tries.quarantined(left_ms)),
-            NextStep::Send => return plain_route(shared, outgoing, tries),
+            NextStep::Refuse { left_ms } => return Err(attempts.quarantined(left_ms)),
+            NextStep::Send => return plain_route(shared, outgoing, attempts),
             NextStep::AskAgain { after_ms } => pause(after_ms).await,
         }
     }
 }
 
 /// Whether another try is allowed; takes it out of the retry budget.
-fn may_try<P: Platform>(shared: &Shared<P>, outgoing: &Outgoing, tries: &Tries) -> bool {
-    if tries.runs >= MAX_TRIES || tries.tried.len() >= MAX_TRIES_NOT_RUN {
+fn may_try<P: Platform>(
+    shared: &Shared<P>,
+    outgoing: &OutgoingRequest,
+    attempts: &AttemptHistory,
+) -> bool {
+    if attempts.runs >= MAX_TRIES || attempts.tried.len() >= MAX_TRIES_NOT_RUN {
         return false;
     }
-    if tries.may_have_run && !outgoing.repeatable {
+    if attempts.may_have_run && !outgoing.retry_allowed {
         return false;
     }
-    if tries.last_error.is_none() {
+    if attempts.last_error.is_none() {
         shared.retries.first_try();
         return true;
     }
@@ -324,9 +334,9 @@
 
 async fn send<P: Platform>(
     shared: &Shared<P>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     resume: Option<Resume<'_>>,
-    cell: &Cell,
+    server: &BackendState,
     timeout_ms: u64,
 ) -> std::result::Result<EngineAnswer, EngineError> {
     let request = EngineRequest {
@@ -338,7 +348,10 @@
         timeout_ms,
         not_after: outgoing.not_after(shared),
     };
-    let answer = shared.engines.send(cell.backend.address, &request).await?;
+    let answer = shared
+        .engines
+        .send(server.backend.address, &request)
+        .await?;
     match &answer {
         EngineAnswer::Whole(whole) if resume.is_some() => {
             let status = whole.status.as_u16();
@@ -351,53 +364,53 @@
 /// Sends the request until an answer begins, no try is left, or repeating it is not allowed.
 pub async fn open<P: Platform>(
     shared: &Shared<P>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     resume: Option<Resume<'_>>,
-    tries: &mut Tries,
-) -> Result<Opened<P>> {
-    while may_try(shared, outgoing, tries) {
-        let Route { cell, trial } = route(shared, outgoing, tries).await?;
-        let left_ms = time_left_ms(shared, outgoing, tries)?;
-        let timeout_ms = left_ms.min(bound_ms(&cell, outgoing));
-        let in_flight = cell.send_known(Some(outgoing.fingerprint));
-        online::sent(shared, &cell);
+    attempts: &mut AttemptHistory,
+) -> Result<StartedAnswer<P>> {
+    while may_try(shared, outgoing, attempts) {
+        let Route { server, probe } = route(shared, outgoing, attempts).await?;
+        let left_ms = time_left_ms(shared, outgoing, attempts)?;
+        let timeout_ms = left_ms.min(answer_timeout_ms(&server, outgoing));
+        let in_flight = server.start_tracked_request(Some(outgoing.fingerprint));
+        online_load::sent(shared, &server);
         shared.timeline.note(Event::Sent {
             request: outgoing.id.clone(),
-            backend: cell.backend.id.clone(),
+            backend: server.backend.id.clone(),
         });
         let begun = Instant::now();
-        let error = match send(shared, outgoing, resume, &cell, timeout_ms).await {
+        let error = match send(shared, outgoing, resume, &server, timeout_ms).await {
             Ok(answer) => {
-                let trial = answered(&cell, &answer, trial, begun);
-                return Ok(Opened {
-                    cell,
+                let probe = answered(&server, &answer, probe, begun);
+                return Ok(StartedAnswer {
+                    server,
                     in_flight,
-                    trial,
+                    probe,
                     answer,
                 });
             }
             Err(error) => error,
         };
-        failed(shared, &cell, &in_flight, trial, &error).await;
-        tries.failed(&cell, error, shared.clock.mono());
+        failed(shared, &server, &in_flight, probe, &error).await;
+        attempts.record_failure(&server, error, shared.clock.mono());
     }
-    Err(tries.refusal(&outgoing.model))
+    Err(attempts.refusal(&outgoing.model))
 }
 
 /// A whole answer ends its trial; a stream goes on with it.
 fn answered<P: Platform>(
-    cell: &Cell,
+    server: &BackendState,
     answer: &EngineAnswer,
-    trial: Option<TrialGuard<P>>,
+    probe: Option<ProbeGuard<P>>,
     begun: Instant,
-) -> Option<TrialGuard<P>> {
+) -> Option<ProbeGuard<P>> {
     if matches!(answer, EngineAnswer::Stream(_)) {
-        return trial;
+        return probe;
     }
-    cell.succeeded();
-    cell.note_service(begun.elapsed());
-    if let Some(trial) = trial {
-        trial.close(TrialEnd::Survived);
+    server.record_success();
+    server.record_service_time(begun.elapsed());
+    if let Some(probe) = probe {
+        probe.close(TrialEnd::Survived);
     }
     None
 }
@@ -405,13 +418,13 @@
 /// Finds out whether a failure was a crash and ends the trial, if it was one.
 pub async fn failed<P: Platform>(
     shared: &Shared<P>,
-    cell: &Cell,
-    in_flight: &InFlight,
-    trial: Option<TrialGuard<P>>,
+    server: &BackendState,
+    in_flight: &InFlightGuard,
+    probe: Option<ProbeGuard<P>>,
     error: &EngineError,
 ) {
-    let end = crashes::examine(shared, cell, in_flight, error).await;
-    if let Some(trial) = trial {
-        trial.close(end);
+    let end = crashes::report_if_crashed(shared, server, in_flight, error).await;
+    if let Some(probe) = probe {
+        probe.close(end);
     }
 }
--- a/crates/foxtailhold-entry/src/gateway/idempotency.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency.rs
@@ -134,7 +134,8 @@
     };
     let mut call = attempt.call.clone();
     while tried.len() < MAX_TRIES {
-        let Some(cell) = dispatch::choose(shared, attempt.kind, target, &call.body, &tried) else {
+        let Some(server) = dispatch::choose(shared, attempt.kind, target, &call.body, &tried)
+        else {
             break;
         };
         call.timeout_ms = remaining_ms(attempt, shared.clock.mono())?;
@@ -142,15 +143,15 @@
             last = RefusalReason::StoreUnavailable;
             break;
         }
-        let _in_flight = cell.send();
+        let _in_flight = server.start_request();
         shared.timeline.note(Event::Sent {
             request: attempt.id.clone(),
-            backend: cell.backend.id.clone(),
+            backend: server.backend.id.clone(),
         });
-        let address = cell.backend.address;
+        let address = server.backend.address;
         let failed = match call_fresh(shared, address, &call).await {
             Ok(answer) => {
-                cell.succeeded();
+                server.record_success();
                 shared.timeline.note(Event::Answered {
                     request: attempt.id.clone(),
                 });
@@ -162,8 +163,8 @@
             }
             Err(error) => error,
         };
-        cell.failed(shared.clock.mono());
-        tried.push(cell.backend.id.clone());
+        server.record_failure(shared.clock.mono());
+        tried.push(server.backend.id.clone());
         last = backend_failed(target, &failed);
         if !failed.is_not_sent() {
             return Err(Refusal::not_run(last).with_ran(Ran::MayHaveRun));
--- a/crates/foxtailhold-entry/src/gateway/infer.rs
+++ b/crates/foxtailhold-entry/src/gateway/infer.rs
@@ -9,9 +9,9 @@
 use foxtailhold_engine::{EngineAnswer, WholeAnswer};
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{self, Outgoing, Tries};
+use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest};
 use crate::gateway::stream::EntryStream;
-use crate::gateway::{EntryGateway, once};
+use crate::gateway::{EntryGateway, idempotency};
 use crate::shared::Shared;
 
 /// The answer in the form the caller side wants.
@@ -35,10 +35,10 @@
     Err(Refusal::not_run(RefusalReason::UnknownTarget { name }))
 }
 
-fn outgoing<P: Platform>(shared: &Shared<P>, request: &Inference) -> Outgoing {
+fn outgoing<P: Platform>(shared: &Shared<P>, request: &Inference) -> OutgoingRequest {
     let now = shared.clock.mono();
     let deadline_ms = request.context.deadline_ms;
-    Outgoing {
+    OutgoingRequest {
         id: request.context.id.clone(),
         path: request.path,
         model: request.model.clone(),
@@ -47,7 +47,7 @@
         streamed: request.streamed,
         max_tokens: request.max_tokens,
         deadline: deadline_ms.map(|wait_ms| (now + wait_ms, wait_ms)),
-        repeatable: !request.context.never_repeat,
+        retry_allowed: !request.context.never_repeat,
         lease_epoch: None,
     }
 }
@@ -60,8 +60,8 @@
     let shared = &gateway.0;
     check_model(shared, &request)?;
     let outgoing = outgoing(shared, &request);
-    if let Standing::Convicted { left_ms } = shared.standing(outgoing.fingerprint) {
-        return Err(Tries::default().quarantined(left_ms));
+    if let Standing::Convicted { left_ms } = shared.crash_status(outgoing.fingerprint) {
+        return Err(AttemptHistory::default().quarantined(left_ms));
     }
     let deadline = outgoing.deadline.map(|(deadline, _)| deadline);
     let mut admitted = gateway.admit_inference(&request, deadline).await?;
@@ -72,12 +72,12 @@
                 "a request that must not be repeated cannot be streamed; leave `stream` out",
             ));
         }
-        let answer = once::infer(shared, &request).await?;
+        let answer = idempotency::infer(shared, &request).await?;
         admitted.answered(&answer.body);
         return Ok(InferenceAnswer::Whole(answer));
     }
-    let mut tries = Tries::default();
-    let opened = dispatch::open(shared, &outgoing, None, &mut tries).await?;
+    let mut attempts = AttemptHistory::default();
+    let opened = dispatch::open(shared, &outgoing, None, &mut attempts).await?;
     if let EngineAnswer::Whole(answer) = opened.answer {
         admitted.answered(&answer.body);
         shared.timeline.note(Event::Answered {
@@ -85,6 +85,6 @@
         });
         return Ok(InferenceAnswer::Whole(whole(answer)));
     }
-    let stream = EntryStream::new(shared.clone(), outgoing, tries, opened, admitted);
+    let stream = EntryStream::new(shared.clone(), outgoing, attempts, opened, admitted);
     Ok(InferenceAnswer::Stream(stream))
 }
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -4,8 +4,8 @@
 pub mod contract_change;
 pub mod dispatch;
 pub mod files;
+pub mod idempotency;
 pub mod infer;
-pub mod once;
 pub mod operator;
 pub mod orders;
 pub mod results;
@@ -34,7 +34,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::actors::limits;
-use crate::limits::{Admitted, Attempt, Decision};
+use crate::limits::{AdmittedRequest, Decision, LimitCheck};
 use crate::metrics::{AnswerLabels, CodeLabel, KindLabel};
 use crate::shared::Shared;
 
@@ -78,7 +78,11 @@
     /// Takes a request in under its contract's limits.
     ///
     /// `tokens` are charged now and settled when the answer has ended.
-    pub(crate) async fn admit(&self, context: &RequestContext, tokens: u64) -> Result<Admitted> {
+    pub(crate) async fn admit(
+        &self,
+        context: &RequestContext,
+        tokens: u64,
+    ) -> Result<AdmittedRequest> {
         let shared = &self.0;
         let admitted = self.within_limits(&context.contract, tokens as f64).await?;
         shared.timeline.note(Event::Accepted {
@@ -93,21 +97,21 @@
         &self,
         request: &Inference,
         deadline: Option<MonoMs>,
-    ) -> Result<Admitted> {
+    ) -> Result<AdmittedRequest> {
         let context = &request.context;
         let charged = request.max_tokens.unwrap_or(DEFAULT_CHARGED_TOKENS);
         let mut admitted = self.admit(context, charged).await?;
         let admission = &self.0.admission;
-        let place = admission.enter(&request.model, &context.contract, deadline);
-        admitted.hold(place.await?);
+        let slot = admission.acquire(&request.model, &context.contract, deadline);
+        admitted.attach_slot(slot.await?);
         Ok(admitted)
     }
 
     /// Asks the customer's home first where this instance holds no share yet.
-    async fn within_limits(&self, contract: &Contract, tokens: f64) -> Result<Admitted> {
+    async fn within_limits(&self, contract: &Contract, tokens: f64) -> Result<AdmittedRequest> {
         let shared = &self.0;
         let customer = &contract.customer;
-        let mut attempt = Attempt::First;
+        let mut attempt = LimitCheck::First;
         loop {
             let now = shared.clock.mono();
             let mut answered = match shared.limits.decide(contract, tokens, attempt, now) {
@@ -115,18 +119,20 @@
                 Decision::Refused(refusal) => return Err(refusal),
                 Decision::Pause { after_ms } => {
                     tokio::time::sleep(Duration::from_millis(after_ms)).await;
-                    attempt = Attempt::Paused;
+                    attempt = LimitCheck::Paused;
                     continue;
                 }
                 Decision::Wait(answered) => answered,
             };
-            if attempt == Attempt::First {
-                attempt = Attempt::Again;
+            if attempt == LimitCheck::First {
+                attempt = LimitCheck::Again;
             }
             limits::ask_now(shared, customer);
             let wait = Duration::from_millis(FIRST_SHARE_WAIT_MS);
             let _ = tokio::time::timeout(wait, answered.changed()).await;
-            shared.limits.fall_back(customer, shared.clock.mono());
+            shared
+                .limits
+                .use_fallback_share(customer, shared.clock.mono());
         }
     }
 }
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -154,19 +154,19 @@
     fn backends(&self) -> Vec<BackendView> {
         let now = self.0.clock.mono();
         let backends = self.0.backends.load();
-        let views = backends.cells.iter().map(|cell| {
-            let load = cell.load();
+        let views = backends.servers.iter().map(|server| {
+            let load = server.load();
             BackendView {
-                backend: cell.backend.id.clone(),
-                kind: cell.backend.kind,
-                state: cell.state(),
-                availability_zone: cell.backend.availability_zone.clone(),
-                address: cell.backend.address,
-                targets: cell.backend.targets.clone(),
+                backend: server.backend.id.clone(),
+                kind: server.backend.kind,
+                state: server.state(),
+                availability_zone: server.backend.availability_zone.clone(),
+                address: server.backend.address,
+                targets: server.backend.targets.clone(),
                 running: load.report.running,
                 waiting: load.report.waiting,
                 in_flight: load.in_flight,
-                set_aside: cell.set_aside(now),
+                set_aside: server.is_ejected(now),
             }
         });
         views.collect()
@@ -207,7 +207,7 @@
         if self.0.is_stopping() {
             reasons.push("a planned stop has begun".to_owned());
         }
-        if self.0.backends.load().cells.is_empty() {
+        if self.0.backends.load().servers.is_empty() {
             reasons.push("the fleet list has not been read".to_owned());
         }
         let listing = self.0.members.load().first().map(|me| me.listing);
--- a/crates/foxtailhold-entry/src/gateway/service_call.rs
+++ b/crates/foxtailhold-entry/src/gateway/service_call.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_TRIES};
-use crate::gateway::{EntryGateway, once};
+use crate::gateway::{EntryGateway, idempotency};
 use crate::shared::Shared;
 
 fn check_service<P: Platform>(shared: &Shared<P>, call: &PlainCall) -> Result<()> {
@@ -35,19 +35,19 @@
     let _admitted = gateway.admit(&call.context, 0).await?;
     shared.metrics.service_calls.inc();
     if call.context.never_repeat {
-        return once::call_service(shared, call).await;
+        return idempotency::call_service(shared, call).await;
     }
     send(shared, call).await
 }
 
 /// What is known after some tries.
-struct CallTries {
+struct CallAttempts {
     tried: Vec<BackendId>,
     ran: Ran,
     last: RefusalReason,
 }
 
-impl CallTries {
+impl CallAttempts {
     fn refusal(self) -> Refusal {
         Refusal::not_run(self.last)
             .with_ran(self.ran)
@@ -66,13 +66,13 @@
 
 /// Whether another try is allowed; one that the service may have run is tried again only where its
 /// method is safe or idempotent (RFC 9110, section 9.2).
-fn may_try<P: Platform>(shared: &Shared<P>, method: &Method, tries: &CallTries) -> bool {
-    if tries.tried.is_empty() {
+fn may_try<P: Platform>(shared: &Shared<P>, method: &Method, attempts: &CallAttempts) -> bool {
+    if attempts.tried.is_empty() {
         shared.retries.first_try();
         return true;
     }
-    let spent = tries.tried.len() >= MAX_TRIES;
-    if spent || (tries.ran == Ran::MayHaveRun && !method.is_idempotent()) {
+    let spent = attempts.tried.len() >= MAX_TRIES;
+    if spent || (attempts.ran == Ran::MayHaveRun && !method.is_idempotent()) {
         return false;
     }
     if !shared.retries.retry(shared.clock.mono()) {
@@ -92,34 +92,34 @@
         body: call.body,
         timeout_ms: DEFAULT_WAIT_MS,
     };
-    let mut tries = CallTries {
+    let mut attempts = CallAttempts {
         tried: Vec::new(),
         ran: Ran::NotRun,
         last: RefusalReason::NoBackend {
             target: service.clone(),
         },
     };
-    while may_try(shared, &outgoing.method, &tries) {
+    while may_try(shared, &outgoing.method, &attempts) {
         let Some(left_ms) = time_left_ms(begun, deadline_ms) else {
             let deadline_ms = deadline_ms.unwrap_or_default();
-            tries.last = RefusalReason::DeadlinePassed { deadline_ms };
+            attempts.last = RefusalReason::DeadlinePassed { deadline_ms };
             break;
         };
         outgoing.timeout_ms = left_ms;
-        let (kind, tried) = (BackendKind::Service, &tries.tried);
-        let Some(cell) = dispatch::choose(shared, kind, service, &outgoing.body, tried) else {
+        let (kind, tried) = (BackendKind::Service, &attempts.tried);
+        let Some(server) = dispatch::choose(shared, kind, service, &outgoing.body, tried) else {
             break;
         };
-        let _in_flight = cell.send();
+        let _in_flight = server.start_request();
         shared.timeline.note(Event::Sent {
             request: call.context.id.clone(),
-            backend: cell.backend.id.clone(),
+            backend: server.backend.id.clone(),
         });
-        let address = cell.backend.address;
+        let address = server.backend.address;
         let sent = shared.services.call(address, &outgoing, Reuse::Pooled);
         let error = match sent.await {
             Ok(answer) => {
-                cell.succeeded();
+                server.record_success();
                 return Ok(Whole {
                     status: answer.status,
                     content_type: answer.content_type,
@@ -128,12 +128,12 @@
             }
             Err(error) => error,
         };
-        cell.failed(shared.clock.mono());
-        tries.tried.push(cell.backend.id.clone());
-        tries.last = once::backend_failed(service, &error);
+        server.record_failure(shared.clock.mono());
+        attempts.tried.push(server.backend.id.clone());
+        attempts.last = idempotency::backend_failed(service, &error);
         if !error.is_not_sent() {
-            tries.ran = Ran::MayHaveRun;
+            attempts.ran = Ran::MayHaveRun;
         }
     }
-    Err(tries.refusal())
+    Err(attempts.refusal())
 }
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -14,19 +14,19 @@
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
-use crate::backends::{Cell, InFlight};
-use crate::crashes::TrialGuard;
-use crate::gateway::dispatch::{self, Opened, Outgoing, Tries};
-use crate::limits::Admitted;
-use crate::online;
+use crate::backends::{BackendState, InFlightGuard};
+use crate::crashes::ProbeGuard;
+use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest, StartedAnswer};
+use crate::limits::AdmittedRequest;
+use crate::online_load;
 use crate::shared::Shared;
 
 /// The part of a stream that comes from one engine.
 #[derive(Debug)]
-struct Leg<P: Platform> {
-    cell: Arc<Cell>,
-    in_flight: InFlight,
-    trial: Option<TrialGuard<P>>,
+struct StreamAttempt<P: Platform> {
+    server: Arc<BackendState>,
+    in_flight: InFlightGuard,
+    probe: Option<ProbeGuard<P>>,
     stream: EngineStream,
     begun: Instant,
     last_event: Option<Instant>,
@@ -36,16 +36,16 @@
 /// Events after which an engine that failed before is trusted again.
 const PROVEN_EVENTS: u64 = 16;
 
-impl<P: Platform> Leg<P> {
+impl<P: Platform> StreamAttempt<P> {
     /// The leg that an answer begins, `None` where it came in one piece.
-    fn new(opened: Opened<P>) -> Option<Self> {
+    fn new(opened: StartedAnswer<P>) -> Option<Self> {
         let EngineAnswer::Stream(stream) = opened.answer else {
             return None;
         };
-        Some(Leg {
-            cell: opened.cell,
+        Some(StreamAttempt {
+            server: opened.server,
             in_flight: opened.in_flight,
-            trial: opened.trial,
+            probe: opened.probe,
             stream,
             begun: Instant::now(),
             last_event: None,
@@ -55,7 +55,7 @@
 
     /// How long the engine may be silent.
     fn bound_ms(&self, prompt_bytes: u64) -> u64 {
-        let (load, pace) = (self.cell.load(), self.cell.pace());
+        let (load, pace) = (self.server.load(), self.server.latency());
         let first_ms = stall::first_event_bound_ms(&load, pace, prompt_bytes);
         match self.last_event {
             None => first_ms,
@@ -77,23 +77,23 @@
     fn arrived(&mut self) {
         let now = Instant::now();
         if let Some(last) = self.last_event.replace(now) {
-            self.cell.note_gap(now - last);
+            self.server.record_token_gap(now - last);
         }
         self.events += 1;
         if self.events == PROVEN_EVENTS {
-            self.cell.succeeded();
+            self.server.record_success();
         }
-        if let Some(trial) = self.trial.take_if(|trial| !trial.is_strict()) {
-            trial.close(TrialEnd::Survived);
+        if let Some(probe) = self.probe.take_if(|probe| !probe.is_strict()) {
+            probe.close(TrialEnd::Survived);
         }
     }
 
     /// Ends the leg after the last event. Closing the stream frees the engine at once.
     fn close(self) {
-        self.cell.succeeded();
-        self.cell.note_service(self.begun.elapsed());
-        if let Some(trial) = self.trial {
-            trial.close(TrialEnd::Survived);
+        self.server.record_success();
+        self.server.record_service_time(self.begun.elapsed());
+        if let Some(probe) = self.probe {
+            probe.close(TrialEnd::Survived);
         }
         self.stream.close();
     }
@@ -103,30 +103,30 @@
 #[derive(Debug)]
 pub struct EntryStream<P: Platform> {
     shared: Shared<P>,
-    outgoing: Outgoing,
-    tries: Tries,
-    leg: Option<Leg<P>>,
+    outgoing: OutgoingRequest,
+    attempts: AttemptHistory,
+    attempt: Option<StreamAttempt<P>>,
     tokens: u64,
     tokens_at_loss: u64,
     text: String,
     finished: bool,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
 }
 
 impl<P: Platform> EntryStream<P> {
     /// A stream that has begun; an answer in one piece gives an empty one.
     pub fn new(
         shared: Shared<P>,
-        outgoing: Outgoing,
-        tries: Tries,
-        opened: Opened<P>,
-        admitted: Admitted,
+        outgoing: OutgoingRequest,
+        attempts: AttemptHistory,
+        opened: StartedAnswer<P>,
+        admitted: AdmittedRequest,
     ) -> Self {
         EntryStream {
             shared,
             outgoing,
-            tries,
-            leg: Leg::new(opened),
+            attempts,
+            attempt: StreamAttempt::new(opened),
             tokens: 0,
             tokens_at_loss: 0,
             text: String::new(),
@@ -144,32 +144,33 @@
     }
 
     /// Silence after which the engine is given up on; before the first event not past the deadline.
-    fn bound_ms(&self, leg: &Leg<P>) -> Result<u64> {
-        let bound_ms = leg.bound_ms(self.outgoing.body.len() as u64);
+    fn bound_ms(&self, attempt: &StreamAttempt<P>) -> Result<u64> {
+        let bound_ms = attempt.bound_ms(self.outgoing.body.len() as u64);
         if self.tokens > 0 {
             return Ok(bound_ms);
         }
-        let left_ms = dispatch::time_left_ms(&self.shared, &self.outgoing, &self.tries)?;
+        let left_ms = dispatch::time_left_ms(&self.shared, &self.outgoing, &self.attempts)?;
         Ok(bound_ms.min(left_ms))
     }
 
     /// Gives the engine up and opens the rest of the stream at another one.
     async fn resume(&mut self, error: EngineError) -> Result<()> {
-        if let Some(leg) = self.leg.take() {
-            let Leg {
-                cell,
+        if let Some(attempt) = self.attempt.take() {
+            let StreamAttempt {
+                server,
                 in_flight,
-                trial,
+                probe,
                 stream,
                 ..
-            } = leg;
+            } = attempt;
             stream.close();
-            dispatch::failed(&self.shared, &cell, &in_flight, trial, &error).await;
-            self.tries.failed(&cell, error, self.shared.clock.mono());
+            dispatch::failed(&self.shared, &server, &in_flight, probe, &error).await;
+            self.attempts
+                .record_failure(&server, error, self.shared.clock.mono());
         }
-        self.tries.may_have_run = true;
+        self.attempts.may_have_run = true;
         if self.tokens > self.tokens_at_loss {
-            self.tries.progressed();
+            self.attempts.progressed();
         }
         self.tokens_at_loss = self.tokens;
         self.shared.metrics.resumes.inc();
@@ -177,16 +178,21 @@
             tokens: self.tokens,
             text: &self.text,
         };
-        let opened = dispatch::open(&self.shared, &self.outgoing, Some(resume), &mut self.tries);
+        let opened = dispatch::open(
+            &self.shared,
+            &self.outgoing,
+            Some(resume),
+            &mut self.attempts,
+        );
         let opened = opened.await?;
-        self.leg = Leg::new(opened);
+        self.attempt = StreamAttempt::new(opened);
         Ok(())
     }
 
     /// Ends the stream. An engine that was lost after its last token is no loss.
     fn end(&mut self, raw: Bytes) -> Option<Result<Bytes>> {
-        if let Some(leg) = self.leg.take() {
-            leg.close();
+        if let Some(attempt) = self.attempt.take() {
+            attempt.close();
         }
         self.shared.timeline.note(Event::Answered {
             request: self.outgoing.id.clone(),
@@ -195,7 +201,7 @@
     }
 
     fn fail(&mut self, refusal: Refusal) -> Option<Result<Bytes>> {
-        self.leg = None;
+        self.attempt = None;
         Some(Err(refusal.with_ran(self.ran())))
     }
 }
@@ -203,20 +209,20 @@
 impl<P: Platform> EventSource for EntryStream<P> {
     async fn next(&mut self) -> Option<Result<Bytes>> {
         loop {
-            let bound_ms = match self.bound_ms(self.leg.as_ref()?) {
+            let bound_ms = match self.bound_ms(self.attempt.as_ref()?) {
                 Ok(bound_ms) => bound_ms,
                 Err(refusal) => return self.fail(refusal),
             };
-            let error = match self.leg.as_mut()?.next(bound_ms).await {
+            let error = match self.attempt.as_mut()?.next(bound_ms).await {
                 Ok(TokenEvent::Chunk {
                     raw,
                     text,
                     finished,
                     ..
                 }) => {
-                    if let (0, Some(leg)) = (self.tokens, &self.leg) {
-                        let took_ms = leg.begun.elapsed().as_millis() as u64;
-                        online::first_token(&self.shared, &leg.cell, took_ms);
+                    if let (0, Some(attempt)) = (self.tokens, &self.attempt) {
+                        let took_ms = attempt.begun.elapsed().as_millis() as u64;
+                        online_load::first_token(&self.shared, &attempt.server, took_ms);
                     }
                     self.tokens += 1;
                     self.admitted.generated(1);
--- a/crates/foxtailhold-entry/src/gauges.rs
+++ b/crates/foxtailhold-entry/src/gauges.rs
@@ -65,10 +65,10 @@
     for family in families {
         family.clear();
     }
-    for cell in &shared.backends.load().cells {
-        let load = cell.load();
+    for server in &shared.backends.load().servers {
+        let load = server.load();
         let counts = [load.report.running, load.report.waiting, load.in_flight];
-        let backend = cell.backend.id.to_string();
+        let backend = server.backend.id.to_string();
         let label = BackendLabel { backend };
         for (family, count) in families.into_iter().zip(counts) {
             family.get_or_create(&label).set(count.into());
--- a/crates/foxtailhold-entry/src/instance.rs
+++ b/crates/foxtailhold-entry/src/instance.rs
@@ -26,7 +26,7 @@
 use crate::error::{EntryError, Result};
 use crate::gateway::EntryGateway;
 use crate::messages::{JobsMessage, MembershipMessage};
-use crate::metered::Metered;
+use crate::metered_platform::MeteredPlatform;
 use crate::metrics::Metrics;
 use crate::peer::EntryPeer;
 use crate::settings::Settings;
@@ -48,7 +48,7 @@
 /// A running instance.
 #[derive(Debug)]
 pub struct Instance<P> {
-    shared: Shared<Metered<P>>,
+    shared: Shared<MeteredPlatform<P>>,
     actors: Actors,
     lease: ActorRef<LeaseMessage>,
     once_sweep: ActorRef<OnceSweepMessage>,
@@ -93,7 +93,7 @@
             listing: Listing::Loading,
         };
         let metrics = Metrics::default();
-        let platform = Metered::new(platform, metrics.platform.clone());
+        let platform = MeteredPlatform::new(platform, metrics.platform.clone());
         let shared = Shared::new(settings, platform, metrics, me.clone());
         let membership = MembershipActor(shared.clone());
         let (membership, _) = Actor::spawn(None, membership, me).await?;
@@ -103,7 +103,7 @@
         let (jobs, _) = Actor::spawn(None, JobsActor(shared.clone()), ()).await?;
         let (fleet, _) = Actor::spawn(None, FleetActor(shared.clone()), ()).await?;
         let (limits, _) = Actor::spawn(None, LimitsActor(shared.clone()), ()).await?;
-        let (steward, _) = Actor::spawn(None, StewardActor(shared.clone()), ()).await?;
+        let (batch_controller, _) = Actor::spawn(None, StewardActor(shared.clone()), ()).await?;
         let (once_sweep, _) = Actor::spawn(None, OnceSweepActor(shared.clone()), ()).await?;
         let (orders, _) = Actor::spawn(None, OrdersActor(shared.clone()), ()).await?;
         let actors = Actors {
@@ -113,7 +113,7 @@
             crashes,
             fleet,
             jobs,
-            steward,
+            batch_controller,
         };
         shared.set_actors(actors.clone());
         shared.timeline.note(Event::Started);
@@ -143,7 +143,7 @@
     }
 
     /// What the parts of the instance share.
-    pub fn shared(&self) -> &Shared<Metered<P>> {
+    pub fn shared(&self) -> &Shared<MeteredPlatform<P>> {
         &self.shared
     }
 
@@ -194,7 +194,7 @@
         self.orders.stop(None);
         self.actors.fleet.stop(None);
         self.actors.jobs.stop(None);
-        self.actors.steward.stop(None);
+        self.actors.batch_controller.stop(None);
         self.actors.contracts.stop(None);
         self.actors.limits.stop(None);
         self.actors.crashes.stop(None);
--- a/crates/foxtailhold-entry/src/jobs/chunk.rs
+++ b/crates/foxtailhold-entry/src/jobs/chunk.rs
@@ -118,7 +118,7 @@
         if seen == Standing::Lost {
             return None;
         }
-        let place = shared.batch_places.acquire().await.ok()?;
+        let place = shared.batch_slots.acquire().await.ok()?;
         if !run.is_owned(shared) {
             drop(place);
             standing.changed().await.ok()?;
@@ -130,7 +130,7 @@
         tokio::select! {
             ended = policy::run(shared, &run) => {
                 shared.metrics.batch_items.inc();
-                shared.chunk_places.landing().items_ended(1);
+                shared.chunk_slots.landing().items_ended(1);
                 return Some(ended);
             }
             lapsed = standing.wait_for(|seen| *seen != Standing::Held) => {
--- a/crates/foxtailhold-entry/src/jobs/item.rs
+++ b/crates/foxtailhold-entry/src/jobs/item.rs
@@ -10,7 +10,7 @@
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
-use crate::gateway::dispatch::Outgoing;
+use crate::gateway::dispatch::OutgoingRequest;
 use crate::jobs::item_body::ItemBody;
 use crate::shared::Shared;
 
@@ -69,9 +69,9 @@
     }
 
     /// The item as it is sent: for a stream, where its answer can be put together from one.
-    pub fn outgoing(&self, id: RequestId, body: ItemBody) -> Outgoing {
+    pub fn outgoing(&self, id: RequestId, body: ItemBody) -> OutgoingRequest {
         let fingerprint = Fingerprint::of(self.customer, self.item.body.get().as_bytes());
-        Outgoing {
+        OutgoingRequest {
             id,
             path: self.path,
             model: body.model,
@@ -80,7 +80,7 @@
             fingerprint,
             max_tokens: body.max_tokens,
             deadline: None,
-            repeatable: true,
+            retry_allowed: true,
             lease_epoch: Some(self.epoch),
         }
     }
--- a/crates/foxtailhold-entry/src/jobs/item_body.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_body.rs
@@ -12,7 +12,7 @@
 use serde_json::{Map, Value};
 use thiserror::Error;
 
-use crate::gateway::dispatch::Outgoing;
+use crate::gateway::dispatch::OutgoingRequest;
 
 /// Result of reading a body.
 pub type Result<T> = std::result::Result<T, BodyError>;
@@ -192,7 +192,7 @@
 
     /// The unstreamed answer in the OpenAI form, for a finished stream. `completion_tokens` counts
     /// events; the engine's own count of prompt tokens is not in a stream.
-    pub fn whole_answer(&self, outgoing: &Outgoing) -> Result<WholeAnswer> {
+    pub fn whole_answer(&self, outgoing: &OutgoingRequest) -> Result<WholeAnswer> {
         let event = RawEvent {
             raw: self.last.clone(),
         };
--- a/crates/foxtailhold-entry/src/jobs/landing.rs
+++ b/crates/foxtailhold-entry/src/jobs/landing.rs
@@ -14,7 +14,7 @@
 
 /// Judges a job of `items` due within `window_ms`, by the work and the rate of this instance.
 pub fn judge_here<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> Verdict {
-    let landing = shared.chunk_places.landing();
+    let landing = shared.chunk_slots.landing();
     landing.judge(items, window_ms, shared.clock.wall())
 }
 
--- a/crates/foxtailhold-entry/src/jobs/ordinary.rs
+++ b/crates/foxtailhold-entry/src/jobs/ordinary.rs
@@ -7,7 +7,7 @@
 use foxtailhold_engine::EngineAnswer;
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{self, Tries};
+use crate::gateway::dispatch::{self, AttemptHistory};
 use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
 use crate::jobs::item_body::ItemBody;
 use crate::shared::Shared;
@@ -39,8 +39,8 @@
                 tokio::time::sleep(Duration::from_millis(FULL_PAUSE_MS)).await;
                 continue;
             }
-            let mut tries = Tries::default();
-            match dispatch::open(shared, &outgoing, None, &mut tries).await {
+            let mut attempts = AttemptHistory::default();
+            match dispatch::open(shared, &outgoing, None, &mut attempts).await {
                 Ok(opened) => {
                     if let EngineAnswer::Whole(answer) = opened.answer
                         && let Some(ended) = run.answered(&id, &answer)
@@ -54,7 +54,7 @@
                     return run.failed(&id, "quarantined", refusal.to_string());
                 }
                 Err(refusal) => {
-                    failures += tries.tried.len() as u32;
+                    failures += attempts.tried.len() as u32;
                     if failures >= MAX_ITEM_TRIES {
                         return run.failed(&id, "backend_failed", refusal.to_string());
                     }
--- a/crates/foxtailhold-entry/src/jobs/policy.rs
+++ b/crates/foxtailhold-entry/src/jobs/policy.rs
@@ -29,7 +29,7 @@
         Err(error) => return run.failed(&id, "invalid_request", error.to_string()),
     };
     match shared.settings.batch_policy {
-        BatchPolicy::Steward => StewardItems.run(shared, run, body).await,
+        BatchPolicy::Controlled => StewardItems.run(shared, run, body).await,
         BatchPolicy::Ordinary => OrdinaryItems.run(shared, run, body).await,
         BatchPolicy::Off => NoItems.run(shared, run, body).await,
     }
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -152,7 +152,7 @@
         let row = &self.run.owned().row;
         let backlog = self.run.backlog(standing);
         let mono = self.shared.clock.mono();
-        let shared_places = &self.shared.chunk_places;
+        let shared_places = &self.shared.chunk_slots;
         shared_places.landing().update(&row.job, backlog, mono);
         let mut places = shared_places.lock();
         if !self.run.wants_room(now, standing) {
@@ -228,7 +228,7 @@
                 .note(Event::ChunkDone { job, chunk: index });
             if let Some(attempt) = attempt {
                 let chunk_ms = attempt.started.elapsed().as_millis() as u64;
-                self.shared.chunk_places.lock().took(chunk_ms);
+                self.shared.chunk_slots.lock().took(chunk_ms);
             }
         }
         self.run.chunk_ended(index, row, step);
@@ -256,9 +256,9 @@
 
     async fn close(mut self) {
         let job = &self.run.owned().row.job;
-        self.shared.chunk_places.lock().withdraw(job);
+        self.shared.chunk_slots.lock().withdraw(job);
         let now = self.shared.clock.mono();
-        self.shared.chunk_places.landing().forget(job, now);
+        self.shared.chunk_slots.landing().forget(job, now);
         for (_, attempt) in self.attempts.drain() {
             attempt.close().await;
         }
--- a/crates/foxtailhold-entry/src/jobs/steward_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_item.rs
@@ -14,7 +14,7 @@
 use foxtailhold_engine::{EngineError, Resume, WholeAnswer};
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{self, Outgoing, Tries};
+use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest};
 use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
 use crate::jobs::item_body::{ItemBody, Received};
 use crate::jobs::steward_leg::{Leg, LegEnd};
@@ -34,7 +34,7 @@
 struct Run<'a, P: Platform> {
     shared: &'a Shared<P>,
     run: &'a ItemRun<'a>,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     received: Received,
     waiting: WaitingItem,
     failures: u32,
@@ -75,7 +75,7 @@
                 tokio::time::sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
                 continue;
             }
-            let ended = match self.shared.standing(self.outgoing.fingerprint) {
+            let ended = match self.shared.crash_status(self.outgoing.fingerprint) {
                 Standing::Clear => self.next_leg(&mut line).await,
                 Standing::Suspect | Standing::Convicted { .. } => self.trial_leg().await,
             };
@@ -104,11 +104,11 @@
 
     async fn leg_at(&mut self, backend: &BackendId) -> LegEnd {
         let backends = self.shared.backends.load_full();
-        let mut cells = backends.cells.iter();
-        let Some(cell) = cells.find(|cell| cell.backend.id == *backend) else {
+        let mut servers = backends.servers.iter();
+        let Some(server) = servers.find(|server| server.backend.id == *backend) else {
             return LegEnd::Failed(EngineError::Leaving);
         };
-        let opened = Leg::open(self.shared, &self.outgoing, &self.received, cell).await;
+        let opened = Leg::open(self.shared, &self.outgoing, &self.received, server).await;
         match opened {
             Ok(leg) => leg.run(&mut self.received).await,
             Err(error) => LegEnd::Failed(error),
@@ -118,13 +118,13 @@
     /// Runs an item that was in flight at a crash, in the trial that it is granted.
     async fn trial_leg(&mut self) -> Option<EndedItem> {
         let before = self.received.tokens;
-        let mut tries = Tries::default();
+        let mut attempts = AttemptHistory::default();
         let received = self.received.clone();
         let resume = (received.tokens > 0).then_some(Resume {
             tokens: received.tokens,
             text: &received.text,
         });
-        let opened = dispatch::open(self.shared, &self.outgoing, resume, &mut tries).await;
+        let opened = dispatch::open(self.shared, &self.outgoing, resume, &mut attempts).await;
         let end = match opened {
             Ok(opened) => {
                 let leg = Leg::of_trial(self.shared, &self.outgoing, opened);
@@ -135,7 +135,7 @@
                 return Some(self.run.failed(&self.outgoing.id, "quarantined", message));
             }
             Err(refusal) => {
-                self.failures += tries.tried.len() as u32;
+                self.failures += attempts.tried.len() as u32;
                 tokio::time::sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
                 return self.given_up(&refusal.to_string());
             }
--- a/crates/foxtailhold-entry/src/jobs/steward_leg.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_leg.rs
@@ -12,13 +12,13 @@
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
-use crate::backends::{Cell, InFlight};
-use crate::crashes::TrialGuard;
-use crate::gateway::dispatch::{self, Opened, Outgoing};
+use crate::backends::{BackendState, InFlightGuard};
+use crate::batch_controllers::BatchItemInFlight;
+use crate::crashes::ProbeGuard;
+use crate::gateway::dispatch::{self, OutgoingRequest, StartedAnswer};
 use crate::jobs::item_body::Received;
-use crate::online;
+use crate::online_load;
 use crate::shared::Shared;
-use crate::stewards::BatchFlight;
 
 /// How a leg ended by itself.
 #[derive(Debug)]
@@ -35,11 +35,11 @@
 #[derive(Debug)]
 pub struct Leg<P: Platform> {
     shared: Shared<P>,
-    cell: Arc<Cell>,
+    server: Arc<BackendState>,
     answer: EngineAnswer,
-    trial: Option<TrialGuard<P>>,
-    in_flight: InFlight,
-    _batch: Option<BatchFlight>,
+    trial: Option<ProbeGuard<P>>,
+    in_flight: InFlightGuard,
+    _batch: Option<BatchItemInFlight>,
     body_bytes: u64,
 }
 
@@ -47,15 +47,15 @@
     /// Sends the item, or the rest of it, to the engine at which it has a place.
     pub async fn open(
         shared: &Shared<P>,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         received: &Received,
-        cell: &Arc<Cell>,
+        server: &Arc<BackendState>,
     ) -> foxtailhold_engine::Result<Self> {
-        let batch = online::batch_flight(shared, &cell.backend.id);
-        let in_flight = cell.send_known(Some(outgoing.fingerprint));
+        let batch = online_load::start_batch_item(shared, &server.backend.id);
+        let in_flight = server.start_tracked_request(Some(outgoing.fingerprint));
         shared.timeline.note(Event::Sent {
             request: outgoing.id.clone(),
-            backend: cell.backend.id.clone(),
+            backend: server.backend.id.clone(),
         });
         let resume = Resume {
             tokens: received.tokens,
@@ -67,19 +67,19 @@
             body: &outgoing.body,
             streamed: outgoing.streamed,
             resume: (received.tokens > 0).then_some(resume),
-            timeout_ms: dispatch::bound_ms(cell, outgoing),
+            timeout_ms: dispatch::answer_timeout_ms(server, outgoing),
             not_after: outgoing.not_after(shared),
         };
-        let answer = match shared.engines.send(cell.backend.address, &request).await {
+        let answer = match shared.engines.send(server.backend.address, &request).await {
             Ok(answer) => answer,
             Err(error) => {
-                note_failure(shared, cell, &in_flight, None, &error).await;
+                note_failure(shared, server, &in_flight, None, &error).await;
                 return Err(error);
             }
         };
         Ok(Leg {
             shared: shared.clone(),
-            cell: cell.clone(),
+            server: server.clone(),
             answer,
             trial: None,
             in_flight,
@@ -89,12 +89,16 @@
     }
 
     /// The leg of a trial.
-    pub fn of_trial(shared: &Shared<P>, outgoing: &Outgoing, opened: Opened<P>) -> Self {
+    pub fn of_trial(
+        shared: &Shared<P>,
+        outgoing: &OutgoingRequest,
+        opened: StartedAnswer<P>,
+    ) -> Self {
         Leg {
             shared: shared.clone(),
-            cell: opened.cell,
+            server: opened.server,
             answer: opened.answer,
-            trial: opened.trial,
+            trial: opened.probe,
             in_flight: opened.in_flight,
             _batch: None,
             body_bytes: outgoing.body.len() as u64,
@@ -105,7 +109,7 @@
     pub async fn run(self, received: &mut Received) -> LegEnd {
         let Leg {
             shared,
-            cell,
+            server,
             answer,
             mut trial,
             in_flight,
@@ -119,8 +123,8 @@
         let mut last_event: Option<Instant> = None;
         loop {
             let bound_ms = match last_event {
-                None => stall::first_event_bound_ms(&cell.load(), cell.pace(), body_bytes),
-                Some(_) => stall::next_event_bound_ms(cell.pace()),
+                None => stall::first_event_bound_ms(&server.load(), server.latency(), body_bytes),
+                Some(_) => stall::next_event_bound_ms(server.latency()),
             };
             let error = match next(&mut stream, bound_ms).await {
                 Ok(TokenEvent::Chunk {
@@ -132,7 +136,7 @@
                     received.push(raw, &text, finished);
                     let now = Instant::now();
                     if let Some(last) = last_event.replace(now) {
-                        cell.note_gap(now - last);
+                        server.record_token_gap(now - last);
                     }
                     if let Some(trial) = trial.take_if(|trial| !trial.is_strict()) {
                         trial.close(TrialEnd::Survived);
@@ -140,7 +144,7 @@
                     continue;
                 }
                 Ok(TokenEvent::Done { .. }) => {
-                    cell.succeeded();
+                    server.record_success();
                     if let Some(trial) = trial {
                         trial.close(TrialEnd::Survived);
                     }
@@ -150,7 +154,7 @@
                 Err(error) => error,
             };
             stream.close();
-            note_failure(&shared, &cell, &in_flight, trial, &error).await;
+            note_failure(&shared, &server, &in_flight, trial, &error).await;
             return LegEnd::Failed(error);
         }
     }
@@ -166,13 +170,13 @@
 /// Finds out whether a failure was a crash, and sets the engine aside.
 async fn note_failure<P: Platform>(
     shared: &Shared<P>,
-    cell: &Cell,
-    in_flight: &InFlight,
-    trial: Option<TrialGuard<P>>,
+    server: &BackendState,
+    in_flight: &InFlightGuard,
+    trial: Option<ProbeGuard<P>>,
     error: &EngineError,
 ) {
-    dispatch::failed(shared, cell, in_flight, trial, error).await;
+    dispatch::failed(shared, server, in_flight, trial, error).await;
     if !matches!(error, EngineError::Full) {
-        cell.failed(shared.clock.mono());
+        server.record_failure(shared.clock.mono());
     }
 }
--- a/crates/foxtailhold-entry/src/jobs/steward_line.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_line.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use crate::actors::note_undelivered;
-use crate::messages::{PlaceSignal, StewardMessage};
+use crate::messages::{BatchControllerMessage, SlotSignal};
 use crate::shared::Shared;
 
 /// Pause while the actor is not there.
@@ -19,8 +19,8 @@
 pub struct PlaceLine<P: Platform> {
     shared: Shared<P>,
     item: ItemKey,
-    sender: UnboundedSender<PlaceSignal>,
-    signals: UnboundedReceiver<PlaceSignal>,
+    sender: UnboundedSender<SlotSignal>,
+    signals: UnboundedReceiver<SlotSignal>,
 }
 
 impl<P: Platform> PlaceLine<P> {
@@ -35,11 +35,11 @@
         }
     }
 
-    fn tell(&self, message: StewardMessage) -> bool {
+    fn tell(&self, message: BatchControllerMessage) -> bool {
         let Some(actors) = self.shared.actors() else {
             return false;
         };
-        let sent = actors.steward.send_message(message);
+        let sent = actors.batch_controller.send_message(message);
         let delivered = sent.is_ok();
         note_undelivered(sent);
         delivered
@@ -47,7 +47,7 @@
 
     /// Waits for a place. A cut that came after the item had left its last place is passed over.
     pub async fn place(&mut self, waiting: &WaitingItem) -> BackendId {
-        while !self.tell(StewardMessage::Wait(
+        while !self.tell(BatchControllerMessage::ItemWaiting(
             self.item,
             waiting.clone(),
             self.sender.clone(),
@@ -55,7 +55,7 @@
             tokio::time::sleep(Duration::from_millis(NO_ACTOR_PAUSE_MS)).await;
         }
         loop {
-            if let Some(PlaceSignal::Start(backend)) = self.signals.recv().await {
+            if let Some(SlotSignal::Start(backend)) = self.signals.recv().await {
                 return backend;
             }
         }
@@ -63,12 +63,12 @@
 
     /// Waits until the place is lost.
     pub async fn cut(&mut self) {
-        while self.signals.recv().await != Some(PlaceSignal::Cut) {}
+        while self.signals.recv().await != Some(SlotSignal::Preempt) {}
     }
 
     /// Gives the place back.
     pub fn leave(&self) {
-        self.tell(StewardMessage::Leave(self.item));
+        self.tell(BatchControllerMessage::ItemLeft(self.item));
     }
 }
 
--- a/crates/foxtailhold-entry/src/jobs/sweep.rs
+++ b/crates/foxtailhold-entry/src/jobs/sweep.rs
@@ -20,7 +20,7 @@
         if !row.is_due(after_ms, shared.clock.wall()) {
             return Ok(());
         }
-        if !shared.is_home(row.job.as_str().as_bytes()) {
+        if !shared.is_coordinator_for(row.job.as_str().as_bytes()) {
             continue;
         }
         let deleted = sweep_job(shared, &row.job).await?;
--- a/crates/foxtailhold-entry/src/lib.rs
+++ b/crates/foxtailhold-entry/src/lib.rs
@@ -14,15 +14,15 @@
 pub mod jobs;
 pub mod limits;
 pub use foxtailhold_logs as logging;
+pub mod batch_controllers;
 pub mod messages;
-pub mod metered;
+pub mod metered_platform;
 pub mod metrics;
-pub mod online;
+pub mod online_load;
 pub mod peer;
 pub mod retries;
 pub mod settings;
 pub mod shared;
-pub mod stewards;
 pub mod tables;
 pub mod timeline;
 
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -17,7 +17,7 @@
 use parking_lot::{Mutex, MutexGuard};
 use tokio::sync::watch;
 
-use crate::admission::Place;
+use crate::admission::Slot;
 
 /// Requests of one customer that wait for its first share.
 const MOST_WAITING: usize = 256;
@@ -63,7 +63,7 @@
 
 /// Whether a request comes for the first time or was told to wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Attempt {
+pub enum LimitCheck {
     /// It counts as demand.
     First,
     /// It has been counted.
@@ -74,18 +74,18 @@
 
 /// What a home answers.
 #[derive(Debug, Default)]
-pub struct Shares {
+pub struct GrantedShares {
     /// One for each ask, without those of other homes.
     pub grants: Vec<Grant>,
     /// Customers of which each instance should give room, by asking at once.
-    pub recalls: BTreeMap<InstanceId, Vec<CustomerId>>,
+    pub recalled: BTreeMap<InstanceId, Vec<CustomerId>>,
 }
 
 /// What becomes of a request.
 #[derive(Debug)]
 pub enum Decision {
     /// It is within the limits.
-    Admitted(Admitted),
+    Admitted(AdmittedRequest),
     /// The customer's home is asked first: decide again when the channel is closed.
     Wait(watch::Receiver<()>),
     /// There is room in a moment: decide again then.
@@ -100,12 +100,12 @@
 /// A request within its customer's limits; dropping it frees its place and gives back the tokens
 /// that were charged and not generated.
 #[derive(Debug)]
-pub struct Admitted {
+pub struct AdmittedRequest {
     limits: Limits,
     customer: CustomerId,
     charged_tokens: f64,
     generated_tokens: f64,
-    place: Option<Place>,
+    slot: Option<Slot>,
 }
 
 impl Limits {
@@ -127,7 +127,7 @@
         &self,
         contract: &Contract,
         tokens: f64,
-        attempt: Attempt,
+        attempt: LimitCheck,
         now: MonoMs,
     ) -> Decision {
         let customer = &contract.customer;
@@ -146,18 +146,18 @@
         usage.terms = terms;
         let holder = &mut usage.holder;
         let verdict = match attempt {
-            Attempt::First => holder.admit(&terms, listed, charged_tokens, now),
-            Attempt::Again | Attempt::Paused => {
+            LimitCheck::First => holder.admit(&terms, listed, charged_tokens, now),
+            LimitCheck::Again | LimitCheck::Paused => {
                 holder.admit_again(&terms, listed, charged_tokens, now)
             }
         };
         match verdict {
-            Verdict::Admitted => Decision::Admitted(Admitted {
+            Verdict::Admitted => Decision::Admitted(AdmittedRequest {
                 limits: self.clone(),
                 customer: customer.clone(),
                 charged_tokens,
                 generated_tokens: 0.0,
-                place: None,
+                slot: None,
             }),
             Verdict::Wait => {
                 let answered = usage.answered.get_or_insert_with(|| watch::Sender::new(()));
@@ -168,7 +168,7 @@
                 Decision::Wait(answered.subscribe())
             }
             Verdict::Over { after_ms, .. }
-                if after_ms <= PAUSE_MS && attempt != Attempt::Paused =>
+                if after_ms <= PAUSE_MS && attempt != LimitCheck::Paused =>
             {
                 Decision::Pause { after_ms }
             }
@@ -179,7 +179,7 @@
     }
 
     /// Goes on without the home's answer, where there has been none.
-    pub fn fall_back(&self, customer: &CustomerId, now: MonoMs) {
+    pub fn use_fallback_share(&self, customer: &CustomerId, now: MonoMs) {
         let listed = self.0.views.load().listed();
         if let Some(usage) = self.shard(customer).get_mut(customer) {
             usage.holder.fall_back(&usage.terms, listed, now);
@@ -210,22 +210,22 @@
     }
 
     /// The asks by the home of their customers; without those of which no home is known.
-    pub fn by_home(&self, asks: Vec<Ask>) -> BTreeMap<InstanceId, Vec<Ask>> {
+    pub fn by_coordinator(&self, asks: Vec<Ask>) -> BTreeMap<InstanceId, Vec<Ask>> {
         let views = self.0.views.load();
-        let mut by_home: BTreeMap<InstanceId, Vec<Ask>> = BTreeMap::new();
+        let mut by_coordinator: BTreeMap<InstanceId, Vec<Ask>> = BTreeMap::new();
         for ask in asks {
             if let Some(home) = views.home(&ask.customer) {
-                by_home.entry(home.clone()).or_default().push(ask);
+                by_coordinator.entry(home.clone()).or_default().push(ask);
             }
         }
-        by_home
+        by_coordinator
     }
 
     /// Answers an instance's asks as the home of the customers; leaves out the others.
-    pub fn answer(&self, asks: &ShareAsks, contracts: &ContractBook, now: MonoMs) -> Shares {
+    pub fn answer(&self, asks: &ShareAsks, contracts: &ContractBook, now: MonoMs) -> GrantedShares {
         let views = self.0.views.load();
         let mut home = self.0.home.lock();
-        let mut shares = Shares::default();
+        let mut shares = GrantedShares::default();
         for ask in &asks.asks {
             let entry = contracts.get(&ask.customer);
             let Some(contract) = entry.and_then(|entry| entry.contract.as_ref()) else {
@@ -235,7 +235,7 @@
             let grant = home.ask(&asks.from, ask, &terms, &views, now);
             shares.grants.extend(grant);
             for above in home.recall(&ask.customer, now) {
-                let recalled = shares.recalls.entry(above).or_default();
+                let recalled = shares.recalled.entry(above).or_default();
                 recalled.push(ask.customer.clone());
             }
         }
@@ -243,7 +243,7 @@
     }
 
     /// Takes a home's answer to `asks` in, and returns the asks that are due then.
-    pub fn granted(&self, asks: &[Ask], grants: &[Grant], now: MonoMs) -> Vec<Ask> {
+    pub fn apply_grants(&self, asks: &[Ask], grants: &[Grant], now: MonoMs) -> Vec<Ask> {
         for grant in grants {
             if let Some(usage) = self.shard(&grant.customer).get_mut(&grant.customer) {
                 usage.holder.granted(&usage.terms, grant, now);
@@ -262,7 +262,7 @@
 
     /// Takes in that homes want these customers' shares to be asked for at once, and returns the
     /// asks.
-    pub fn recalled(&self, customers: &[CustomerId], now: MonoMs) -> Vec<Ask> {
+    pub fn apply_recall(&self, customers: &[CustomerId], now: MonoMs) -> Vec<Ask> {
         let mut due = Vec::new();
         for customer in customers {
             if let Some(usage) = self.shard(customer).get_mut(customer) {
@@ -274,7 +274,7 @@
     }
 
     /// Sets the live instances and how many there are with those out of reach.
-    pub fn set_view(&self, members: Vec<InstanceId>, listed: u32, now: MonoMs) {
+    pub fn set_members(&self, members: Vec<InstanceId>, listed: u32, now: MonoMs) {
         let mut views = Views::clone(&self.0.views.load());
         views.set(members, listed, now);
         self.0.views.store(Arc::new(views));
@@ -300,10 +300,10 @@
     }
 }
 
-impl Admitted {
+impl AdmittedRequest {
     /// Keeps the request's place towards its model until the end.
-    pub fn hold(&mut self, place: Place) {
-        self.place = Some(place);
+    pub fn attach_slot(&mut self, slot: Slot) {
+        self.slot = Some(slot);
     }
 
     /// Counts generated tokens.
@@ -330,7 +330,7 @@
     completion_tokens: u64,
 }
 
-impl Drop for Admitted {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         let unused_tokens = self.charged_tokens - self.generated_tokens;
         if let Some(usage) = self.limits.shard(&self.customer).get_mut(&self.customer) {
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -32,14 +32,14 @@
         address: SocketAddr,
     },
     /// A step ended.
-    Ended(Step, Option<Found>),
+    StepEnded(Step, Option<SyncResult>),
     /// Time to look at what is due.
     Tick,
 }
 
 /// What a step brought.
 #[derive(Debug)]
-pub enum Found {
+pub enum SyncResult {
     /// The head number, by a read sent at `sent_at` when the instance stood at `stood_at`.
     Head {
         /// The number.
@@ -63,17 +63,17 @@
     /// Time for verdicts.
     Tick,
     /// Seen here, to be told to all; answered when the table holds it.
-    Own(Notice, RpcReplyPort<()>),
+    Observed(Notice, RpcReplyPort<()>),
     /// Told by a peer.
-    Told(Vec<Notice>),
+    FromPeer(Vec<Notice>),
     /// At the home: an instance asks for a trial.
-    Ask(Fingerprint, Vec<BackendId>, RpcReplyPort<TrialAnswer>),
+    RequestProbe(Fingerprint, Vec<BackendId>, RpcReplyPort<TrialAnswer>),
     /// At the home: a trial ended.
-    Ended(Fingerprint, BackendId, TrialEnd),
+    ProbeEnded(Fingerprint, BackendId, TrialEnd),
     /// A starting instance asks for the table.
     Snapshot(RpcReplyPort<Vec<Notice>>),
     /// A peer answered with its table.
-    Caught(Vec<Notice>),
+    SnapshotReceived(Vec<Notice>),
 }
 
 /// Messages to the reader of the fleet list and of load reports.
@@ -86,7 +86,7 @@
     /// Time to read load reports.
     ReadLoads,
     /// Backend servers that are leaving, as a peer tells.
-    Marks(Vec<LeavingMark>),
+    LeavingNotices(Vec<LeavingMark>),
 }
 
 /// Messages to the keeper of batch jobs owned here.
@@ -99,7 +99,7 @@
     /// Time to delete orphaned result objects.
     Sweep,
     /// A look ended.
-    Scanned(Look),
+    Scanned(JobScan),
     /// The run of a job ended.
     Ended(JobId),
     /// A job must stop; answered once no item of it runs.
@@ -110,7 +110,7 @@
 
 /// What a look at open jobs found.
 #[derive(Debug, Default)]
-pub struct Look {
+pub struct JobScan {
     /// Jobs taken over.
     pub claimed: Vec<OwnedJob>,
     /// Jobs running here whose cancel is committed.
@@ -136,11 +136,11 @@
     /// A peer's probe.
     Gossip(Gossip, RpcReplyPort<Gossip>),
     /// The answer to a probe.
-    Answer(Answer),
+    GossipAnswer(GossipAnswer),
     /// A probe was not answered.
     NoAnswer(InstanceId),
     /// A probe was answered to another instance, or to none.
-    Indirect(InstanceId, bool),
+    IndirectProbe(InstanceId, bool),
     /// The fleet list's instances.
     Seeds(Vec<FleetInstance>),
     /// A planned stop begins; answered when every other instance was told or could not be.
@@ -149,7 +149,7 @@
 
 /// The answer to a probe.
 #[derive(Debug)]
-pub struct Answer {
+pub struct GossipAnswer {
     /// The answer.
     pub gossip: Gossip,
     /// The peer's address.
@@ -157,37 +157,37 @@
     /// When the probe was sent.
     pub sent_at: MonoMs,
     /// Whether the probe asked for all that the peer knows.
-    pub asked_all: bool,
+    pub requested_full_state: bool,
 }
 
 /// Messages to the steward of batch at replicas.
 #[derive(Debug)]
-pub enum StewardMessage {
+pub enum BatchControllerMessage {
     /// Time to look.
     Tick,
     /// An owner asks for places at an engine.
-    Asked(PlaceAsk, RpcReplyPort<PlaceGrant>),
+    SlotsRequested(PlaceAsk, RpcReplyPort<PlaceGrant>),
     /// A steward allows this owner another number of places; answered with what it has then.
-    Granted(PlaceGrant, RpcReplyPort<PlaceAsk>),
+    SlotsGranted(PlaceGrant, RpcReplyPort<PlaceAsk>),
     /// An owner's answer to a grant.
-    Told(PlaceAsk),
+    SlotsInUse(PlaceAsk),
     /// The answer to a question that was sent at this time.
-    Answered(PlaceGrant, MonoMs),
+    RequestAnswered(PlaceGrant, MonoMs),
     /// Online work at an engine; answered with whether batch is steered there.
-    Noticed(OnlineNotice, RpcReplyPort<bool>),
+    OnlineWork(OnlineNotice, RpcReplyPort<bool>),
     /// A load report read by this steward.
-    Reported(BackendId, LoadReport),
+    LoadReported(BackendId, LoadReport),
     /// An item waits for a place.
-    Wait(ItemKey, WaitingItem, UnboundedSender<PlaceSignal>),
+    ItemWaiting(ItemKey, WaitingItem, UnboundedSender<SlotSignal>),
     /// An item neither waits nor runs any more.
-    Leave(ItemKey),
+    ItemLeft(ItemKey),
 }
 
 /// What a waiting or running item is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PlaceSignal {
+pub enum SlotSignal {
     /// It has a place at this engine.
     Start(BackendId),
     /// It has lost its place: its stream must be cancelled.
-    Cut,
+    Preempt,
 }
--- a/crates/foxtailhold-entry/src/metered_platform.rs
+++ b/crates/foxtailhold-entry/src/metered_platform.rs
@@ -12,15 +12,15 @@
 
 /// A platform whose calls, errors and times are counted.
 #[derive(Debug, Clone)]
-pub struct Metered<P> {
+pub struct MeteredPlatform<P> {
     inner: P,
     metrics: PlatformMetrics,
 }
 
-impl<P: Platform> Metered<P> {
+impl<P: Platform> MeteredPlatform<P> {
     /// Counts the calls of `inner` in `metrics`.
     pub fn new(inner: P, metrics: PlatformMetrics) -> Self {
-        Metered { inner, metrics }
+        MeteredPlatform { inner, metrics }
     }
 
     async fn count<T>(
@@ -42,7 +42,7 @@
     }
 }
 
-impl<P: Platform> TableService for Metered<P> {
+impl<P: Platform> TableService for MeteredPlatform<P> {
     async fn get(&self, table: &str, key: &str) -> Result<Option<Row>> {
         self.count("table_get", self.inner.get(table, key)).await
     }
@@ -64,7 +64,7 @@
     }
 }
 
-impl<P: Platform> ObjectStore for Metered<P> {
+impl<P: Platform> ObjectStore for MeteredPlatform<P> {
     async fn put_object(&self, name: &str, bytes: Bytes) -> Result<()> {
         let put = self.inner.put_object(name, bytes);
         self.count("object_put", put).await
@@ -85,13 +85,13 @@
     }
 }
 
-impl<P: Platform> WeightStore for Metered<P> {
+impl<P: Platform> WeightStore for MeteredPlatform<P> {
     async fn weights(&self) -> Result<Vec<String>> {
         self.count("weights", self.inner.weights()).await
     }
 }
 
-impl<P: Platform> FleetList for Metered<P> {
+impl<P: Platform> FleetList for MeteredPlatform<P> {
     async fn fleet(&self) -> Result<Fleet> {
         self.count("fleet", self.inner.fleet()).await
     }
--- a/crates/foxtailhold-entry/src/online_load.rs
+++ b/crates/foxtailhold-entry/src/online_load.rs
@@ -11,10 +11,10 @@
 use foxtailhold_platform::Platform;
 use ractor::rpc::CallResult;
 
-use crate::backends::Cell;
-use crate::messages::StewardMessage;
+use crate::backends::BackendState;
+use crate::batch_controllers::{BatchControllerEntry, BatchItemInFlight, OnlineNotification};
+use crate::messages::BatchControllerMessage;
 use crate::shared::Shared;
-use crate::stewards::{BatchFlight, OnlineGauge, StewardEntry};
 
 /// Limit for telling a steward.
 const NOTICE_TIMEOUT_MS: u64 = 500;
@@ -25,47 +25,50 @@
 const QUIET_MS: u64 = 500;
 
 /// Counts a batch item that is about to be sent to an engine.
-pub fn batch_flight<P: Platform>(shared: &Shared<P>, backend: &BackendId) -> Option<BatchFlight> {
-    shared.stewards.load().batch_flight(backend)
+pub fn start_batch_item<P: Platform>(
+    shared: &Shared<P>,
+    backend: &BackendId,
+) -> Option<BatchItemInFlight> {
+    shared.batch_controllers.load().start_batch_item(backend)
 }
 
 /// Notes that an online request was sent to `cell`.
-pub fn sent<P: Platform>(shared: &Shared<P>, cell: &Arc<Cell>) {
-    note(shared, cell, is_queued(&cell.load().report));
+pub fn sent<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>) {
+    note(shared, server, is_queued(&server.load().report));
 }
 
 /// Notes how long the first token of an online request took.
-pub fn first_token<P: Platform>(shared: &Shared<P>, cell: &Arc<Cell>, took_ms: u64) {
+pub fn first_token<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>, took_ms: u64) {
     if took_ms > LATE_FIRST_TOKEN_MS {
-        note(shared, cell, true);
+        note(shared, server, true);
     }
 }
 
 /// Looks at all engines for online work that has ended, or that its steward must hear of again.
-pub fn look<P: Platform>(shared: &Shared<P>) {
-    let stewards = shared.stewards.load();
+pub fn notify_changes<P: Platform>(shared: &Shared<P>) {
+    let controllers = shared.batch_controllers.load();
     let now_ms = shared.clock.mono().0;
-    for cell in &shared.backends.load().cells {
-        let Some(entry) = stewards.0.get(&cell.backend.id) else {
+    for server in &shared.backends.load().servers {
+        let Some(entry) = controllers.0.get(&server.backend.id) else {
             continue;
         };
         let gauge = &entry.gauge;
-        let (online, told) = (in_flight(cell, gauge), gauge.told.load(Ordering::Relaxed));
+        let (online, told) = (in_flight(server, gauge), gauge.told.load(Ordering::Relaxed));
         let since_ms = now_ms.saturating_sub(gauge.told_ms.load(Ordering::Relaxed));
         if online != told || (online > 0 && since_ms >= NOTICE_PERIOD_MS) {
-            note(shared, cell, false);
+            note(shared, server, false);
         }
     }
 }
 
-fn in_flight(cell: &Cell, gauge: &OnlineGauge) -> u32 {
+fn in_flight(server: &BackendState, gauge: &OnlineNotification) -> u32 {
     let batch = gauge.batch.load(Ordering::Relaxed);
-    cell.load().in_flight.saturating_sub(batch)
+    server.load().in_flight.saturating_sub(batch)
 }
 
-fn note<P: Platform>(shared: &Shared<P>, cell: &Arc<Cell>, pressed: bool) {
-    let stewards = shared.stewards.load();
-    let Some(entry) = stewards.0.get(&cell.backend.id) else {
+fn note<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>, pressed: bool) {
+    let controllers = shared.batch_controllers.load();
+    let Some(entry) = controllers.0.get(&server.backend.id) else {
         return;
     };
     let gauge = &entry.gauge;
@@ -76,11 +79,15 @@
     if gauge.telling.swap(true, Ordering::AcqRel) {
         return;
     }
-    let (shared, cell, entry) = (shared.clone(), cell.clone(), entry.clone());
-    tokio::spawn(async move { tell(&shared, &cell, &entry).await });
+    let (shared, server, entry) = (shared.clone(), server.clone(), entry.clone());
+    tokio::spawn(async move { tell(&shared, &server, &entry).await });
 }
 
-async fn tell<P: Platform>(shared: &Shared<P>, cell: &Cell, entry: &StewardEntry) {
+async fn tell<P: Platform>(
+    shared: &Shared<P>,
+    server: &BackendState,
+    entry: &BatchControllerEntry,
+) {
     let gauge = &entry.gauge;
     let told_ms = gauge.told_ms.load(Ordering::Relaxed);
     let since_ms = shared.clock.mono().0.saturating_sub(told_ms);
@@ -91,11 +98,11 @@
         .told_ms
         .store(shared.clock.mono().0, Ordering::Relaxed);
     gauge.telling.store(false, Ordering::Release);
-    let online = in_flight(cell, gauge);
+    let online = in_flight(server, gauge);
     gauge.told.store(online, Ordering::Relaxed);
     let notice = OnlineNotice {
         from: shared.settings.instance.clone(),
-        backend: cell.backend.id.clone(),
+        backend: server.backend.id.clone(),
         number: gauge.number.fetch_add(1, Ordering::Relaxed) + 1,
         in_flight: online,
         pressed: gauge.pressed.swap(false, Ordering::Relaxed),
@@ -109,29 +116,32 @@
 /// Whether the steward has batch there, or could not be asked.
 async fn deliver<P: Platform>(
     shared: &Shared<P>,
-    entry: &StewardEntry,
+    entry: &BatchControllerEntry,
     notice: OnlineNotice,
 ) -> bool {
-    if entry.steward == shared.settings.instance {
-        return noticed_here(shared, notice).await;
+    if entry.batch_controller == shared.settings.instance {
+        return deliver_here(shared, notice).await;
     }
     let request = PeerRequest::OnlineSeen(notice);
     let address = entry.address;
     match shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS).await {
         Ok(answer) => answer == PeerAnswer::Done,
         Err(error) => {
-            log::debug!("the steward {} was not told: {error}", entry.steward);
+            log::debug!(
+                "the steward {} was not told: {error}",
+                entry.batch_controller
+            );
             true
         }
     }
 }
 
 /// Gives a notice to this instance's steward. Returns whether it has batch there.
-pub async fn noticed_here<P: Platform>(shared: &Shared<P>, notice: OnlineNotice) -> bool {
+pub async fn deliver_here<P: Platform>(shared: &Shared<P>, notice: OnlineNotice) -> bool {
     let Some(actors) = shared.actors() else {
         return false;
     };
-    let call = |reply| StewardMessage::Noticed(notice, reply);
-    let answer = actors.steward.call(call, None).await;
+    let call = |reply| BatchControllerMessage::OnlineWork(notice, reply);
+    let answer = actors.batch_controller.call(call, None).await;
     matches!(answer, Ok(CallResult::Success(true)))
 }
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -13,9 +13,10 @@
 use crate::actors::{limits, note_undelivered};
 use crate::jobs::{landing, owner};
 use crate::messages::{
-    ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, MembershipMessage, StewardMessage,
+    BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage,
+    MembershipMessage,
 };
-use crate::online;
+use crate::online_load;
 use crate::shared::{Actors, Shared};
 
 /// The peer side of one instance.
@@ -47,7 +48,7 @@
             }
             PeerRequest::Contracts(catchup) => self.apply(actors, catchup).await,
             PeerRequest::BackendsLeaving(marks) => {
-                let message = FleetMessage::Marks(marks);
+                let message = FleetMessage::LeavingNotices(marks);
                 note_undelivered(actors.fleet.send_message(message));
                 PeerAnswer::Done
             }
@@ -69,25 +70,31 @@
                 false => PeerAnswer::Refused,
             },
             PeerRequest::PlacesAsked(ask) => {
-                let call = |reply| StewardMessage::Asked(ask, reply);
-                match actors.steward.call(call, None).await {
+                let call = |reply| BatchControllerMessage::SlotsRequested(ask, reply);
+                match actors.batch_controller.call(call, None).await {
                     Ok(CallResult::Success(grant)) => PeerAnswer::Places(grant),
                     _ => PeerAnswer::Refused,
                 }
             }
             PeerRequest::PlacesGranted(grant) => {
-                let call = |reply| StewardMessage::Granted(grant, reply);
-                match actors.steward.call(call, None).await {
+                let call = |reply| BatchControllerMessage::SlotsGranted(grant, reply);
+                match actors.batch_controller.call(call, None).await {
                     Ok(CallResult::Success(ask)) => PeerAnswer::PlacesInUse(ask),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::OnlineSeen(notice) => match online::noticed_here(&self.0, notice).await {
-                true => PeerAnswer::Done,
-                false => PeerAnswer::Refused,
-            },
+            PeerRequest::OnlineSeen(notice) => {
+                match online_load::deliver_here(&self.0, notice).await {
+                    true => PeerAnswer::Done,
+                    false => PeerAnswer::Refused,
+                }
+            }
             PeerRequest::Crashes(notices) => {
-                note_undelivered(actors.crashes.send_message(CrashesMessage::Told(notices)));
+                note_undelivered(
+                    actors
+                        .crashes
+                        .send_message(CrashesMessage::FromPeer(notices)),
+                );
                 PeerAnswer::Done
             }
             PeerRequest::CrashTable => {
@@ -100,7 +107,7 @@
                 fingerprint,
                 backends,
             } => {
-                let ask = |reply| CrashesMessage::Ask(fingerprint, backends, reply);
+                let ask = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
                 match actors.crashes.call(ask, None).await {
                     Ok(CallResult::Success(answer)) => PeerAnswer::Trial(answer),
                     _ => PeerAnswer::Refused,
@@ -111,7 +118,7 @@
                 backend,
                 end,
             } => {
-                let message = CrashesMessage::Ended(fingerprint, backend, end);
+                let message = CrashesMessage::ProbeEnded(fingerprint, backend, end);
                 note_undelivered(actors.crashes.send_message(message));
                 PeerAnswer::Done
             }
--- a/crates/foxtailhold-entry/src/settings.rs
+++ b/crates/foxtailhold-entry/src/settings.rs
@@ -147,7 +147,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchPolicy {
     /// As streams, under the marks of the replicas' stewards.
-    Steward,
+    Controlled,
     /// Not at all: jobs are accepted and wait. A baseline for measurements.
     Off,
     /// As ordinary requests to the least loaded replica. A baseline for measurements.
@@ -159,7 +159,7 @@
 
     fn try_from(text: &str) -> Result<Self> {
         match text {
-            "steward" => Ok(BatchPolicy::Steward),
+            "steward" => Ok(BatchPolicy::Controlled),
             "off" => Ok(BatchPolicy::Off),
             "ordinary" => Ok(BatchPolicy::Ordinary),
             _ => Err(SettingsError::BadChoice {
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -25,16 +25,16 @@
 
 use crate::admission::Admission;
 use crate::backends::BackendTable;
+use crate::batch_controllers::BatchControllers;
 use crate::jobs::places::SharedPlaces;
 use crate::limits::Limits;
 use crate::messages::{
-    ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, LimitsMessage, MembershipMessage,
-    StewardMessage,
+    BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage,
+    LimitsMessage, MembershipMessage,
 };
 use crate::metrics::Metrics;
 use crate::retries::RetryGate;
 use crate::settings::{BatchPolicy, Settings};
-use crate::stewards::Stewards;
 use crate::timeline::{ProcessClock, Timeline};
 use foxtailhold_http::clock::Clock;
 
@@ -54,7 +54,7 @@
     /// Runs the batch jobs owned here.
     pub jobs: ActorRef<JobsMessage>,
     /// Steers batch at replicas and gives places to the items of jobs owned here.
-    pub steward: ActorRef<StewardMessage>,
+    pub batch_controller: ActorRef<BatchControllerMessage>,
 }
 
 /// What is shared. The request path reads snapshots and never waits for an actor.
@@ -83,7 +83,7 @@
     /// Which of them are leaving, by what instances tell each other.
     pub leaving: ArcSwap<LeavingMarks>,
     /// Requests that do not stand clear of crashes.
-    pub standings: ArcSwap<HashMap<Fingerprint, Standing>>,
+    pub crash_statuses: ArcSwap<HashMap<Fingerprint, Standing>>,
     /// Retries this instance may make.
     pub retries: RetryGate,
     /// This instance's lease.
@@ -97,11 +97,11 @@
     /// Events.
     pub timeline: Timeline,
     /// Places for batch items that run or wait for a steward's place in this instance.
-    pub batch_places: Semaphore,
+    pub batch_slots: Semaphore,
     /// Places for chunks, and the work that waits for them.
-    pub chunk_places: SharedPlaces,
+    pub chunk_slots: SharedPlaces,
     /// Stewards of engines.
-    pub stewards: ArcSwap<Stewards>,
+    pub batch_controllers: ArcSwap<BatchControllers>,
     /// Whether a planned stop has begun.
     pub stopping: AtomicBool,
     actors: OnceLock<Actors>,
@@ -112,10 +112,10 @@
 /// Batch items that run or wait for a place at once, under [`BatchPolicy::Steward`].
 const STEWARD_ITEMS: usize = 1_024;
 
-fn batch_places(settings: &Settings) -> usize {
+fn batch_slots(settings: &Settings) -> usize {
     match settings.batch_policy {
         BatchPolicy::Ordinary => settings.batch_slots as usize,
-        BatchPolicy::Steward | BatchPolicy::Off => STEWARD_ITEMS,
+        BatchPolicy::Controlled | BatchPolicy::Off => STEWARD_ITEMS,
     }
 }
 
@@ -147,8 +147,8 @@
             peers: PeerClient::new(timeline.clock().clone()),
             timeline,
             request_prefix: format!("{}-{:08x}", settings.instance, rand::random::<u32>()),
-            chunk_places: SharedPlaces::default(),
-            batch_places: Semaphore::new(batch_places(&settings)),
+            chunk_slots: SharedPlaces::default(),
+            batch_slots: Semaphore::new(batch_slots(&settings)),
             settings,
             clock,
             platform,
@@ -157,11 +157,11 @@
             services: ServiceClient::default(),
             members: ArcSwap::from_pointee(vec![me]),
             contracts: ArcSwap::default(),
-            stewards: ArcSwap::default(),
+            batch_controllers: ArcSwap::default(),
             contract_sync: ArcSwap::default(),
             backends: ArcSwap::default(),
             leaving: ArcSwap::default(),
-            standings: ArcSwap::default(),
+            crash_statuses: ArcSwap::default(),
             retries: RetryGate::default(),
             lease: ArcSwap::default(),
             admission: Admission::new(clock),
@@ -215,7 +215,7 @@
     }
 
     /// Whether this instance is the home of `key` among the live ones.
-    pub fn is_home(&self, key: &[u8]) -> bool {
+    pub fn is_coordinator_for(&self, key: &[u8]) -> bool {
         let members = self.live_members();
         let ids = members.iter().map(|member| &member.id);
         rendezvous::home(ids, key) == Some(&self.settings.instance)
--- a/crates/foxtailhold-entry/tests/limits.rs
+++ b/crates/foxtailhold-entry/tests/limits.rs
@@ -4,7 +4,7 @@
 use foxtailhold::ids::InstanceId;
 use foxtailhold::limits::{Credit, Grant, Share, WHOLE_PPM};
 use foxtailhold::time::{MonoMs, WallMs};
-use foxtailhold_entry::limits::{Attempt, Decision, Limits};
+use foxtailhold_entry::limits::{Decision, LimitCheck, Limits};
 
 const NOW: MonoMs = MonoMs(100_000);
 
@@ -18,8 +18,8 @@
 fn with_first_share(contract: &Contract) -> Limits {
     let me = InstanceId::try_from("entry-0").unwrap();
     let limits = Limits::new(me.clone(), NOW, WallMs(NOW.0));
-    limits.set_view(vec![me], 2, NOW);
-    let first = limits.decide(contract, 1.0, Attempt::First, NOW);
+    limits.set_members(vec![me], 2, NOW);
+    let first = limits.decide(contract, 1.0, LimitCheck::First, NOW);
     assert!(matches!(first, Decision::Wait(_)), "{first:?}");
     let ask = limits.due_ask(&contract.customer, NOW).unwrap();
     let tenth = WHOLE_PPM / 10;
@@ -38,7 +38,7 @@
         hurry: false,
         rising: false,
     };
-    limits.granted(&[ask], &[grant], NOW);
+    limits.apply_grants(&[ask], &[grant], NOW);
     limits
 }
 
@@ -46,14 +46,14 @@
 fn requests_that_come_at_once_with_a_first_share_wait_for_a_moment_in_place_of_a_refusal() {
     let contract = contract();
     let limits = with_first_share(&contract);
-    let first = limits.decide(&contract, 1.0, Attempt::Again, NOW);
+    let first = limits.decide(&contract, 1.0, LimitCheck::Again, NOW);
     assert!(matches!(first, Decision::Admitted(_)), "{first:?}");
-    let second = limits.decide(&contract, 1.0, Attempt::Again, NOW);
+    let second = limits.decide(&contract, 1.0, LimitCheck::Again, NOW);
     let Decision::Pause { after_ms } = second else {
         panic!("{second:?}");
     };
     let later = NOW + after_ms;
-    let second = limits.decide(&contract, 1.0, Attempt::Paused, later);
+    let second = limits.decide(&contract, 1.0, LimitCheck::Paused, later);
     assert!(matches!(second, Decision::Admitted(_)), "{second:?}");
 }
 
@@ -61,8 +61,8 @@
 fn a_request_pauses_once() {
     let contract = contract();
     let limits = with_first_share(&contract);
-    let first = limits.decide(&contract, 1.0, Attempt::Again, NOW);
+    let first = limits.decide(&contract, 1.0, LimitCheck::Again, NOW);
     assert!(matches!(first, Decision::Admitted(_)), "{first:?}");
-    let second = limits.decide(&contract, 1.0, Attempt::Paused, NOW);
+    let second = limits.decide(&contract, 1.0, LimitCheck::Paused, NOW);
     assert!(matches!(second, Decision::Refused(_)), "{second:?}");
 }
--- a/crates/foxtailhold-standin/src/cluster.rs
+++ b/crates/foxtailhold-standin/src/cluster.rs
@@ -89,7 +89,7 @@
         batch_slots: 24,
         checking_engines: CheckingEngines::All,
         sweep_after_ms: 900_000,
-        batch_policy: BatchPolicy::Steward,
+        batch_policy: BatchPolicy::Controlled,
         batch_share_percent: 100,
         wall_offset_ms: 0,
         worker_threads: 0,
