--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -12,7 +12,7 @@
 use foxtailhold::limits::{Ask, EXCHANGE_MS, IDLE_MS, ShareAsks};
 use foxtailhold::time::MonoMs;
 use foxtailhold_entry::admission::Admission;
-use foxtailhold_entry::limits::{Attempt, Decision, Limits};
+use foxtailhold_entry::limits::{Decision, LimitCheck, Limits};
 use foxtailhold_http::clock::Clock;
 
 /// Customers of the two-year target.
@@ -50,7 +50,7 @@
     now: MonoMs,
 ) -> Result<bool> {
     for _ in 0..2 {
-        match limits.decide(contract, 16.0, Attempt::First, now) {
+        match limits.decide(contract, 16.0, LimitCheck::First, now) {
             Decision::Admitted(_) => return Ok(true),
             Decision::Refused(_) => return Ok(false),
             Decision::Wait(_) | Decision::Pause { .. } => {}
@@ -66,7 +66,7 @@
     let from = InstanceId::try_from(ME)?;
     let asks = ShareAsks { from, asks };
     let grants = limits.answer(&asks, book, now).grants;
-    limits.granted(&asks.asks, &grants, now);
+    limits.apply_grants(&asks.asks, &grants, now);
     Ok(())
 }
 
@@ -144,7 +144,7 @@
     let admission = Admission::new(clock);
     let start = Instant::now();
     for _ in 0..REQUESTS {
-        drop(admission.enter(&model, &contracts[0], None).await?);
+        drop(admission.acquire(&model, &contracts[0], None).await?);
     }
     let cost_ns = start.elapsed().as_nanos() as f64 / f64::from(REQUESTS);
     println!("admission with room: {cost_ns:.0} ns a request");
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -2,23 +2,23 @@
 
 use std::collections::HashMap;
 
+use foxtailhold::rendezvous;
 use foxtailhold::batch::OpenRow;
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
 use foxtailhold::batch::registry::{Registry, StopStep};
 use foxtailhold::ids::JobId;
 use foxtailhold::membership::MemberState;
-use foxtailhold::rendezvous;
 use foxtailhold_platform::Platform;
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
 use tokio_util::sync::CancellationToken;
 
+use crate::tables;
 use crate::actors::{log_undelivered, tick};
-use crate::jobs::owner::{self, scan_all};
-use crate::jobs::runner::{self, RunStop};
 use crate::jobs::sweep;
-use crate::messages::{JobsMessage, Look};
+use crate::jobs::owner::{scan_all, self};
+use crate::jobs::runner::{RunStop, self};
+use crate::messages::{JobScan, JobsMessage};
 use crate::shared::Shared;
-use crate::tables;
 
 /// Open jobs are looked through this often, unless there are more than [`FLEET_LOOKS_PER_S`]
 /// instances.
@@ -155,7 +155,7 @@
         });
     }
 
-    fn looked(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, look: Look) {
+    fn looked(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, look: JobScan) {
         state.watched = look.watched;
         let started = state.registry.end_look(&look.claimed);
         for owned in look.claimed {
@@ -196,10 +196,10 @@
     shared: &Shared<P>,
     running: &[JobId],
     watched: WatchedLeases,
-) -> Look {
-    let mut look = Look {
+) -> JobScan {
+    let mut look = JobScan {
         watched,
-        ..Look::default()
+        ..JobScan::default()
     };
     let open = match scan_all(&shared.platform, tables::JOB_OPEN, "").await {
         Ok(open) => open,
@@ -242,5 +242,6 @@
         }
     }
     let key = job.as_str().as_bytes();
-    rendezvous::home(alive, key) == Some(&shared.settings.instance) || shared.is_home(key)
+    rendezvous::home(alive, key) == Some(&shared.settings.instance)
+        || shared.is_coordinator_for(key)
 }
--- a/crates/foxtailhold-entry/src/jobs/deadline_check.rs
+++ b/crates/foxtailhold-entry/src/jobs/deadline_check.rs
@@ -1,9 +1,9 @@
 //! Refuses a job at the door that cannot be finished by its deadline.
 
+use foxtailhold::rendezvous;
 use foxtailhold::batch::landing::Verdict;
 use foxtailhold::ids::JobId;
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
-use foxtailhold::rendezvous;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 
@@ -14,7 +14,7 @@
 
 /// Judges a job of `items` due within `window_ms`, by the work and the rate of this instance.
 pub fn estimate_locally<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> Verdict {
-    let landing = shared.chunk_places.landing();
+    let landing = shared.chunk_slots.landing();
     landing.judge(items, window_ms, shared.clock.wall())
 }
 
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -9,13 +9,11 @@
 use foxtailhold_platform::Platform;
 use ractor::rpc::CallResult;
 
-use crate::actors::membership::PROBE_TIMEOUT_MS;
+use crate::online_load;
 use crate::actors::{limits, log_undelivered};
+use crate::actors::membership::PROBE_TIMEOUT_MS;
 use crate::jobs::{deadline_check, owner};
-use crate::messages::{
-    ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, MembershipMessage, StewardMessage,
-};
-use crate::online;
+use crate::messages::{BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, MembershipMessage};
 use crate::shared::{Actors, Shared};
 
 /// The peer side of one instance.
@@ -47,7 +45,7 @@
             }
             PeerRequest::Contracts(catchup) => self.apply(actors, catchup).await,
             PeerRequest::BackendsLeaving(marks) => {
-                let message = FleetMessage::Marks(marks);
+                let message = FleetMessage::LeavingNotices(marks);
                 log_undelivered(actors.fleet.send_message(message));
                 PeerAnswer::Done
             }
@@ -69,25 +67,31 @@
                 false => PeerAnswer::Refused,
             },
             PeerRequest::PlacesAsked(ask) => {
-                let call = |reply| StewardMessage::Asked(ask, reply);
-                match actors.steward.call(call, None).await {
+                let call = |reply| BatchControllerMessage::SlotsRequested(ask, reply);
+                match actors.batch_controller.call(call, None).await {
                     Ok(CallResult::Success(grant)) => PeerAnswer::Places(grant),
                     _ => PeerAnswer::Refused,
                 }
             }
             PeerRequest::PlacesGranted(grant) => {
-                let call = |reply| StewardMessage::Granted(grant, reply);
-                match actors.steward.call(call, None).await {
+                let call = |reply| BatchControllerMessage::SlotsGranted(grant, reply);
+                match actors.batch_controller.call(call, None).await {
                     Ok(CallResult::Success(ask)) => PeerAnswer::PlacesInUse(ask),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::OnlineSeen(notice) => match online::noticed_here(&self.0, notice).await {
-                true => PeerAnswer::Done,
-                false => PeerAnswer::Refused,
-            },
+            PeerRequest::OnlineSeen(notice) => {
+                match online_load::deliver_here(&self.0, notice).await {
+                    true => PeerAnswer::Done,
+                    false => PeerAnswer::Refused,
+                }
+            }
             PeerRequest::Crashes(notices) => {
-                log_undelivered(actors.crashes.send_message(CrashesMessage::Told(notices)));
+                log_undelivered(
+                    actors
+                        .crashes
+                        .send_message(CrashesMessage::FromPeer(notices)),
+                );
                 PeerAnswer::Done
             }
             PeerRequest::CrashTable => {
@@ -100,7 +104,7 @@
                 fingerprint,
                 backends,
             } => {
-                let ask = |reply| CrashesMessage::Ask(fingerprint, backends, reply);
+                let ask = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
                 match actors.crashes.call(ask, None).await {
                     Ok(CallResult::Success(answer)) => PeerAnswer::Trial(answer),
                     _ => PeerAnswer::Refused,
@@ -111,7 +115,7 @@
                 backend,
                 end,
             } => {
-                let message = CrashesMessage::Ended(fingerprint, backend, end);
+                let message = CrashesMessage::ProbeEnded(fingerprint, backend, end);
                 log_undelivered(actors.crashes.send_message(message));
                 PeerAnswer::Done
             }
