--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -4,13 +4,13 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use foxtailhold::rendezvous;
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::membership::Member;
+use foxtailhold::rendezvous;
 use foxtailhold::replicas::{BackendKind, FleetState};
-use foxtailhold::steward::{PlaceAsk, PlaceGrant};
 use foxtailhold::steward::desk::{Desk, DeskAction, DeskReplica, ItemKey};
 use foxtailhold::steward::replica::ReplicaSteward;
+use foxtailhold::steward::{PlaceAsk, PlaceGrant};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::Event;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -18,11 +18,11 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::online_load;
 use crate::actors::{log_undelivered, tick};
 use crate::backends::{BackendState, BackendTable};
 use crate::batch_controllers::{BatchControllerEntry, BatchControllers};
 use crate::messages::{BatchControllerMessage, SlotSignal};
+use crate::online_load;
 use crate::shared::Shared;
 
 /// Marks, grants and questions are looked at this often.
--- a/crates/foxtailhold-entry/src/instance.rs
+++ b/crates/foxtailhold-entry/src/instance.rs
@@ -7,7 +7,7 @@
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold::timeline::Event;
 use foxtailhold_caller::CallerHandler;
-use foxtailhold_http::server::{Server, self};
+use foxtailhold_http::server::{self, Server};
 use foxtailhold_operator::OperatorHandler;
 use foxtailhold_peer::PeerServer;
 use foxtailhold_platform::Platform;
@@ -103,7 +103,8 @@
         let (jobs, _) = Actor::spawn(None, JobsActor(shared.clone()), ()).await?;
         let (fleet, _) = Actor::spawn(None, FleetActor(shared.clone()), ()).await?;
         let (limits, _) = Actor::spawn(None, LimitsActor(shared.clone()), ()).await?;
-        let (batch_controller, _) = Actor::spawn(None, BatchControllerActor(shared.clone()), ()).await?;
+        let (batch_controller, _) =
+            Actor::spawn(None, BatchControllerActor(shared.clone()), ()).await?;
         let (idempotency_sweep, _) =
             Actor::spawn(None, IdempotencySweepActor(shared.clone()), ()).await?;
         let (orders, _) = Actor::spawn(None, OrdersActor(shared.clone()), ()).await?;
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -9,7 +9,9 @@
 use foxtailhold::contract::Contract;
 use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::ids::{CustomerId, InstanceId};
-use foxtailhold::limits::{Ask, EXCHANGE_MS, Grant, Holder, Limit, LimitHome, ShareAsks, Terms, Verdict, Views};
+use foxtailhold::limits::{
+    Ask, EXCHANGE_MS, Grant, Holder, Limit, LimitHome, ShareAsks, Terms, Verdict, Views,
+};
 use foxtailhold::refusal::{Refusal, RefusalReason};
 use foxtailhold::time::{MonoMs, WallMs};
 use parking_lot::{Mutex, MutexGuard};
@@ -220,7 +222,12 @@
     }
 
     /// Answers an instance's asks as the home of the customers; leaves out the others.
-    pub fn answer(&self, asks: &ShareAsks, contracts: &ContractRegistry, now: MonoMs) -> GrantedShares {
+    pub fn answer(
+        &self,
+        asks: &ShareAsks,
+        contracts: &ContractRegistry,
+        now: MonoMs,
+    ) -> GrantedShares {
         let views = self.0.views.load();
         let mut home = self.0.home.lock();
         let mut shares = GrantedShares::default();
