--- a/crates/foxtailhold-entry/src/actors/lease.rs
+++ b/crates/foxtailhold-entry/src/actors/lease.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use foxtailhold::batch::store::Condition;
-use foxtailhold::batch::store::{FoundRow, Outcome};
+use foxtailhold::batch::transaction::Condition;
+use foxtailhold::batch::transaction::{FoundRow, Outcome};
 use foxtailhold::lease::{LEASE_RENEW_MS, LeaseKeeper, Renewal};
 use foxtailhold::lease_row::LeaseRow;
 use foxtailhold_platform::{Operation, Platform, PlatformError, Result, Transacted};
--- a/crates/foxtailhold-entry/src/actors/once_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/once_sweep.rs
@@ -4,7 +4,7 @@
 //! late finds another fence and deletes nothing. Otherwise it could delete a row that was written
 //! anew after another sweep, since versions start again at 1 where a row was deleted.
 
-use foxtailhold::once::{ClaimRow, ClaimState, StoredBody, is_expired};
+use foxtailhold::idempotency::{ClaimRow, ClaimState, StoredBody, is_expired};
 use foxtailhold_platform::{Expect, KeyedRow, Operation, Platform, Result};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 
--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -6,9 +6,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use foxtailhold::idempotency::Expected;
 use foxtailhold::ids::BackendId;
 use foxtailhold::lease_row::LeaseRow;
-use foxtailhold::once::Expected;
 use foxtailhold::orders::{
     Action, EngineSetup, Giver, LeaseWrite, LeaseWritten, Order, Ordered, Wanted,
 };
--- a/crates/foxtailhold-entry/src/gateway/once.rs
+++ b/crates/foxtailhold-entry/src/gateway/once.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use foxtailhold::idempotency::{ClaimRefusal, ClaimStep, Claimer, HeldClaim};
 use foxtailhold::ids::{RequestId, TargetName};
-use foxtailhold::once::{ClaimRefusal, ClaimStep, Claimer, HeldClaim};
 use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::time::MonoMs;
--- a/crates/foxtailhold-entry/src/gateway/once/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/once/table.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxtailhold::once::{
+use foxtailhold::idempotency::{
     ClaimRow, ClaimStep, Claimer, Expected, Found, HeldClaim, Release, ReleaseStep, StoredAnswer,
     StoredBody, Written,
 };
--- a/crates/foxtailhold-entry/src/jobs/landing.rs
+++ b/crates/foxtailhold-entry/src/jobs/landing.rs
@@ -1,6 +1,6 @@
 //! Refuses a job at the door that cannot be finished by its deadline.
 
-use foxtailhold::batch::landing::Verdict;
+use foxtailhold::batch::deadline_check::Verdict;
 use foxtailhold::ids::JobId;
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
 use foxtailhold::rendezvous;
--- a/crates/foxtailhold-entry/src/jobs/owner.rs
+++ b/crates/foxtailhold-entry/src/jobs/owner.rs
@@ -5,7 +5,7 @@
 use foxtailhold::batch::cancel::{Cancel, CancelPlan, Marked};
 use foxtailhold::batch::claim::{self, Claim, ClaimView, OwnedJob, WatchedLeases};
 use foxtailhold::batch::finish::{Finish, FinishStep};
-use foxtailhold::batch::store::Versioned;
+use foxtailhold::batch::transaction::Versioned;
 use foxtailhold::batch::{ChunkRow, JobCounts, JobRow, OwnerRow};
 use foxtailhold::ids::{CustomerId, InstanceId, JobId};
 use foxtailhold::timeline::Event;
--- a/crates/foxtailhold-entry/src/jobs/places.rs
+++ b/crates/foxtailhold-entry/src/jobs/places.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use foxtailhold::batch::landing::Landing;
-use foxtailhold::batch::places::ChunkPlaces;
+use foxtailhold::batch::chunk_slots::ChunkPlaces;
+use foxtailhold::batch::deadline_check::Landing;
 use parking_lot::{Mutex, MutexGuard};
 
 /// Chunks of one instance started and not committed at most. With chunks of 200 items this bounds
--- a/crates/foxtailhold-entry/src/jobs/store.rs
+++ b/crates/foxtailhold-entry/src/jobs/store.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxtailhold::batch::store::{
+use foxtailhold::batch::transaction::{
     Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned,
 };
 use foxtailhold::batch::{ChunkRow, JobRow};
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use foxtailhold::batch::landing::Verdict;
+use foxtailhold::batch::deadline_check::Verdict;
 use foxtailhold::contract_book::Catchup;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::leaving::LeavingMark;
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use foxtailhold::attempt_counts::{NextRun, RunAccount};
 use foxtailhold::crashes::EARLY_EVENTS;
 use foxtailhold::ids::{BackendId, JobId};
 use foxtailhold::quarantine::Fingerprint;
 use foxtailhold::routes::Route;
-use foxtailhold::run_account::{NextRun, RunAccount};
 use foxtailhold::slots::{Outcome, Urgency};
 use foxtailhold_engine::sse::RawEvent;
 use foxtailhold_platform::{ObjectStore, RowStore};
--- a/crates/foxtailhold-relay/src/jobs/mod.rs
+++ b/crates/foxtailhold-relay/src/jobs/mod.rs
@@ -28,7 +28,7 @@
 use std::sync::Arc;
 
 use foxtailhold::ids::{InstanceId, JobId};
-use foxtailhold::pace::ItemPace;
+use foxtailhold::item_duration::ItemPace;
 use foxtailhold_platform::{ObjectStore, PlatformError, RowStore};
 use parking_lot::{Mutex, MutexGuard};
 use serde::{Deserialize, Serialize};
--- a/crates/foxtailhold-relay/src/jobs/partial.rs
+++ b/crates/foxtailhold-relay/src/jobs/partial.rs
@@ -7,8 +7,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use foxtailhold::attempt_counts::RunAccount;
 use foxtailhold::ids::JobId;
-use foxtailhold::run_account::RunAccount;
 use foxtailhold_platform::VersionedRow;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
--- a/crates/foxtailhold-relay/src/jobs/store.rs
+++ b/crates/foxtailhold-relay/src/jobs/store.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
+use foxtailhold::attempt_counts::RunAccount;
 use foxtailhold::ids::JobId;
-use foxtailhold::run_account::RunAccount;
 use foxtailhold_peer::codec;
 use foxtailhold_platform::{Changes, Committed, ObjectStore, RowKey, RowStore, VersionedRow};
 use parking_lot::Mutex;
--- a/crates/foxtailhold-relay/tests/pieces.rs
+++ b/crates/foxtailhold-relay/tests/pieces.rs
@@ -1,7 +1,7 @@
 //! What items have given so far: kept in pieces, joined again without a gap or a repeat.
 
+use foxtailhold::attempt_counts::RunAccount;
 use foxtailhold::ids::JobId;
-use foxtailhold::run_account::RunAccount;
 use foxtailhold_platform::{RowKey, VersionedRow};
 use foxtailhold_relay::jobs::{Given, PIECES_TABLE, Partials, Piece};
 use test_case::test_case;
--- a/crates/foxtailhold/src/batch/cancel.rs
+++ b/crates/foxtailhold/src/batch/cancel.rs
@@ -6,7 +6,7 @@
 //! run out, the status becomes `cancelled`; only then is the cancel acknowledged as such.
 
 use crate::batch::rows::{JobRow, JobStatus, OpenRow, OwnerRow};
-use crate::batch::store::{Change, Condition, Outcome, Step, Transaction, Versioned};
+use crate::batch::transaction::{Change, Condition, Outcome, Step, Transaction, Versioned};
 use crate::ids::InstanceId;
 
 /// Marks a job as being cancelled.
--- a/crates/foxtailhold/src/batch/chunk.rs
+++ b/crates/foxtailhold/src/batch/chunk.rs
@@ -2,7 +2,9 @@
 
 use crate::batch::claim::OwnedJob;
 use crate::batch::rows::{ChunkRow, JobRow};
-use crate::batch::store::{Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned};
+use crate::batch::transaction::{
+    Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned,
+};
 
 /// Makes one result object the chunk's result, once.
 #[derive(Debug, Clone)]
--- a/crates/foxtailhold/src/batch/claim.rs
+++ b/crates/foxtailhold/src/batch/claim.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use crate::batch::rows::{JobRow, OwnerRow};
-use crate::batch::store::{Change, Condition, Outcome, Step, Transaction, Versioned};
+use crate::batch::transaction::{Change, Condition, Outcome, Step, Transaction, Versioned};
 use crate::ids::InstanceId;
 use crate::lease::WatchedLease;
 use crate::lease_row::LeaseRow;
--- a/crates/foxtailhold/src/batch/run.rs
+++ b/crates/foxtailhold/src/batch/execution.rs
@@ -4,10 +4,10 @@
 
 use crate::batch::chunk::CommitStep;
 use crate::batch::claim::OwnedJob;
+use crate::batch::deadline_check::Backlog;
 use crate::batch::finish::{Finish, FinishStep};
-use crate::batch::landing::Backlog;
 use crate::batch::rows::{ChunkRow, JobCounts, JobRow, JobStatus};
-use crate::batch::store::Versioned;
+use crate::batch::transaction::Versioned;
 use crate::lease::Standing;
 use crate::time::WallMs;
 
--- a/crates/foxtailhold/src/batch/finish.rs
+++ b/crates/foxtailhold/src/batch/finish.rs
@@ -2,8 +2,10 @@
 
 use crate::batch::claim::OwnedJob;
 use crate::batch::rows::{JobCounts, JobRow, JobStatus};
-use crate::batch::store::{Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned};
 use crate::batch::sweep::SweepRow;
+use crate::batch::transaction::{
+    Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned,
+};
 use crate::time::WallMs;
 
 /// Writes the final status with the counts of all chunks, once.
--- a/crates/foxtailhold/src/batch/mod.rs
+++ b/crates/foxtailhold/src/batch/mod.rs
@@ -4,20 +4,20 @@
 //! object gets a name unique to the attempt, and one transaction makes it the chunk's result:
 //! the chunk row is absent, the job row says `in_progress`, the owner row is the owner's own.
 //!
-//! [`claim`], [`run`], [`chunk`], [`finish`] and [`cancel`] are the machines; [`store`] holds what
+//! [`claim`], [`execution`], [`chunk`], [`finish`] and [`cancel`] are the machines; [`transaction`] holds what
 //! they ask of the table service and [`registry`] what runs on one instance.
 
 pub mod cancel;
 pub mod chunk;
+pub mod chunk_slots;
 pub mod claim;
+pub mod deadline_check;
+pub mod execution;
 pub mod finish;
-pub mod landing;
-pub mod places;
 pub mod registry;
 pub mod rows;
-pub mod run;
-pub mod store;
 pub mod sweep;
+pub mod transaction;
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
--- a/crates/foxtailhold/src/once/release.rs
+++ b/crates/foxtailhold/src/idempotency/release.rs
@@ -1,6 +1,8 @@
 //! Releasing a claim whose request was not sent, so that a resend can run.
 
-use crate::once::{ClaimRow, ClaimState, ClaimedAt, Expected, Found, RELEASE_WITHIN_MS, Written};
+use crate::idempotency::{
+    ClaimRow, ClaimState, ClaimedAt, Expected, Found, RELEASE_WITHIN_MS, Written,
+};
 use crate::time::{MonoMs, WallMs};
 
 /// What a release does next.
--- a/crates/foxtailhold/src/lease.rs
+++ b/crates/foxtailhold/src/lease.rs
@@ -4,7 +4,7 @@
 //! (Gray and Cheriton, "Leases", 1989), and stops acting a margin before the end. Another instance
 //! may take over only after it has seen the row unchanged for the whole term on its own clock.
 
-use crate::batch::store::{Condition, Outcome, Versioned};
+use crate::batch::transaction::{Condition, Outcome, Versioned};
 use crate::ids::InstanceId;
 use crate::lease_row::LeaseRow;
 use crate::time::MonoMs;
--- a/crates/foxtailhold/src/lib.rs
+++ b/crates/foxtailhold/src/lib.rs
@@ -5,21 +5,22 @@
 #![warn(clippy::unwrap_used)]
 
 pub mod admission;
+pub mod attempt_counts;
 pub mod batch;
 pub mod breaker;
 pub mod contract;
 pub mod contract_book;
 pub mod contract_sync;
 pub mod crashes;
+pub mod idempotency;
 pub mod ids;
+pub mod item_duration;
 pub mod lease;
 pub mod lease_row;
 pub mod leaving;
 pub mod limits;
 pub mod membership;
-pub mod once;
 pub mod orders;
-pub mod pace;
 pub mod quarantine;
 pub mod refusal;
 pub mod rendezvous;
@@ -27,7 +28,6 @@
 pub mod retry;
 pub mod routes;
 pub mod routing;
-pub mod run_account;
 pub mod slots;
 pub mod stall;
 pub mod steward;
--- a/crates/foxtailhold/src/orders.rs
+++ b/crates/foxtailhold/src/orders.rs
@@ -7,7 +7,7 @@
 //! Each fencing number is taken in one transaction that also checks the version of the wanted
 //! state's row, so a higher fencing number never stands for an older wanted state.
 
-pub mod giver;
+pub mod issuer;
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 
 use crate::ids::{BackendId, IdError, TargetName};
 
-pub use giver::{Action, Giver, LeaseWrite};
+pub use issuer::{Action, Giver, LeaseWrite};
 
 /// Assumed of the deployment: an order has reached the engine or is lost this long after its giver
 /// last checked its lease. It only matters for engines that ignore fencing numbers.
--- a/crates/foxtailhold/src/orders/giver.rs
+++ b/crates/foxtailhold/src/orders/issuer.rs
@@ -1,9 +1,9 @@
 //! The giver's side of the orders to one engine. One action is outstanding at a time.
 
+use crate::idempotency::Expected;
 use crate::ids::InstanceId;
 use crate::lease::{HeldLease, LEASE_MARGIN_MS, LEASE_RENEW_MS, WatchedLease};
 use crate::lease_row::LeaseRow;
-use crate::once::Expected;
 use crate::orders::{
     EngineState, Fencing, LONGEST_FLIGHT_MS, LOOK_PERIOD_MS, LeaseWritten, Order, Ordered,
     RETRY_MS, SETTLED_PERIOD_MS, Wanted,
--- a/crates/foxtailhold/tests/run_account.rs
+++ b/crates/foxtailhold/tests/attempt_counts.rs
@@ -1,6 +1,6 @@
 //! How often a batch item may run, over the loss of its owners.
 
-use foxtailhold::run_account::{MOST_OPEN_RUNS, NextRun, RunAccount};
+use foxtailhold::attempt_counts::{MOST_OPEN_RUNS, NextRun, RunAccount};
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/foxtailhold/tests/batch_landing.rs
+++ b/crates/foxtailhold/tests/batch_deadline_check.rs
@@ -1,6 +1,6 @@
 //! Jobs that cannot be finished by their deadline, by the measured rate.
 
-use foxtailhold::batch::landing::{Backlog, Landing, Verdict};
+use foxtailhold::batch::deadline_check::{Backlog, Landing, Verdict};
 use foxtailhold::ids::JobId;
 use foxtailhold::time::{MonoMs, WallMs};
 use test_case::test_case;
--- a/crates/foxtailhold/tests/batch_sim/drive.rs
+++ b/crates/foxtailhold/tests/batch_sim/drive.rs
@@ -2,9 +2,9 @@
 
 use foxtailhold::batch::cancel::{Cancel, CancelPlan, Marked};
 use foxtailhold::batch::chunk::{ChunkCommit, CommitStep};
+use foxtailhold::batch::execution::RunStep;
 use foxtailhold::batch::finish::{Finish, FinishStep};
 use foxtailhold::batch::registry::StopStep;
-use foxtailhold::batch::run::RunStep;
 use foxtailhold::batch::{ChunkRow, JobCounts, JobStatus};
 use foxtailhold::ids::JobId;
 use foxtailhold::lease::{LEASE_RENEW_MS, Standing};
--- a/crates/foxtailhold/tests/batch_sim/node.rs
+++ b/crates/foxtailhold/tests/batch_sim/node.rs
@@ -4,10 +4,10 @@
 
 use foxtailhold::batch::chunk::ChunkCommit;
 use foxtailhold::batch::claim::{Claim, ClaimView, OwnedJob, WatchedLeases};
+use foxtailhold::batch::execution::JobRun;
 use foxtailhold::batch::finish::Finish;
 use foxtailhold::batch::registry::Registry;
-use foxtailhold::batch::run::JobRun;
-use foxtailhold::batch::store::{Outcome, Transaction, Versioned};
+use foxtailhold::batch::transaction::{Outcome, Transaction, Versioned};
 use foxtailhold::batch::{ChunkRow, JobRow, OpenRow, OwnerRow};
 use foxtailhold::ids::{InstanceId, JobId};
 use foxtailhold::lease::{LeaseKeeper, Renewal};
--- a/crates/foxtailhold/tests/batch_sim/store.rs
+++ b/crates/foxtailhold/tests/batch_sim/store.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use foxtailhold::batch::store::{Change, Condition, FoundRow, Outcome, Transaction, Versioned};
+use foxtailhold::batch::transaction::{
+    Change, Condition, FoundRow, Outcome, Transaction, Versioned,
+};
 use foxtailhold::batch::{ChunkRow, JobCounts, JobRow, JobStatus, OpenRow, OwnerRow};
 use foxtailhold::ids::{InstanceId, JobId};
 use foxtailhold::lease_row::LeaseRow;
--- a/crates/foxtailhold/tests/batch_sim/world.rs
+++ b/crates/foxtailhold/tests/batch_sim/world.rs
@@ -4,9 +4,9 @@
 
 use foxtailhold::batch::cancel::{Cancel, Marked};
 use foxtailhold::batch::claim::{Claim, ClaimView, OwnedJob, other_owner, release};
+use foxtailhold::batch::execution::JobRun;
 use foxtailhold::batch::finish::Finish;
-use foxtailhold::batch::run::JobRun;
-use foxtailhold::batch::store::{Condition, FoundRow, Outcome, Versioned};
+use foxtailhold::batch::transaction::{Condition, FoundRow, Outcome, Versioned};
 use foxtailhold::batch::{JobRow, JobStatus};
 use foxtailhold::ids::JobId;
 use foxtailhold::lease::Renewal;
--- a/crates/foxtailhold/tests/once_fuzz/main.rs
+++ b/crates/foxtailhold/tests/idempotency_fuzz/main.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Mutex;
 
-use foxtailhold::once::RETENTION_MS;
+use foxtailhold::idempotency::RETENTION_MS;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
--- a/crates/foxtailhold/tests/once_fuzz/world.rs
+++ b/crates/foxtailhold/tests/idempotency_fuzz/world.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use foxtailhold::once::{
+use foxtailhold::idempotency::{
     ClaimRefusal, ClaimRow, ClaimStep, Claimer, Expected, Found, HeldClaim, RETENTION_MS, Release,
     ReleaseStep, StoredAnswer, StoredBody, Written, is_expired,
 };
--- a/crates/foxtailhold/tests/orders_fuzz/world.rs
+++ b/crates/foxtailhold/tests/orders_fuzz/world.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
+use foxtailhold::idempotency::Expected;
 use foxtailhold::lease_row::LeaseRow;
-use foxtailhold::once::Expected;
-use foxtailhold::orders::giver::{Action, Giver, LeaseWrite};
+use foxtailhold::orders::issuer::{Action, Giver, LeaseWrite};
 use foxtailhold::orders::{
     EngineSetup, EngineState, Fencing, LONGEST_FLIGHT_MS, LeaseWritten, Order, Ordered, Role,
     Wanted,
