--- a/crates/foxtailhold-caller/src/error_body.rs
+++ b/crates/foxtailhold-caller/src/error_body.rs
@@ -1,6 +1,6 @@
 //! A refusal as the documented error object.
 
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason};
 use foxtailhold_http::body::{self, AnswerBody};
 use http::{HeaderValue, Response, StatusCode, header};
 use serde::Serialize;
@@ -23,7 +23,7 @@
     /// A sentence.
     pub message: String,
     /// What is known of the effect.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// When to come back; the `Retry-After` header says the same in whole seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
@@ -88,7 +88,7 @@
             "deadline_passed",
         ),
         RefusalReason::AlreadyStarted => of(StatusCode::CONFLICT, invalid, "already_started"),
-        RefusalReason::CannotLand { .. } => of(
+        RefusalReason::DeadlineInfeasible { .. } => of(
             StatusCode::TOO_MANY_REQUESTS,
             "overloaded_error",
             "cannot_land",
--- a/crates/foxtailhold-caller/tests/refusals.rs
+++ b/crates/foxtailhold-caller/tests/refusals.rs
@@ -4,7 +4,7 @@
 
 use common::{request, serve};
 use foxtailhold::refusal::RefusalReason::*;
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason};
 use test_case::test_case;
 
 const API: &str = include_str!("../../../docs/API.md");
@@ -39,7 +39,7 @@
 #[test_case(DeadlinePassed { deadline_ms: 1 }, 504, "timeout_error", "deadline_passed"; "deadline")]
 #[test_case(AlreadyStarted, 409, "invalid_request_error", "already_started"; "already started")]
 #[test_case(
-    CannotLand { needed_ms: 2, window_ms: 1 },
+    DeadlineInfeasible { needed_ms: 2, window_ms: 1 },
     429, "overloaded_error", "cannot_land"; "cannot land"
 )]
 #[test_case(Stopping, 503, "overloaded_error", "stopping"; "stopping")]
@@ -53,9 +53,9 @@
     let row = format!("| {status} | `{code}` | `{kind}` |");
     assert!(API.contains(&row), "docs/API.md has no row {row}");
     for (ran, after_ms, after) in [
-        (Ran::NotRun, None, None),
-        (Ran::MayHaveRun, Some(1), Some("1")),
-        (Ran::Ran, Some(2_001), Some("3")),
+        (ExecutionStatus::NotRun, None, None),
+        (ExecutionStatus::MayHaveRun, Some(1), Some("1")),
+        (ExecutionStatus::Ran, Some(2_001), Some("3")),
     ] {
         let served = serve().await;
         let mut refusal = Refusal::not_run(reason.clone()).with_ran(ran);
--- a/crates/foxtailhold-engine/src/orders.rs
+++ b/crates/foxtailhold-engine/src/orders.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use foxtailhold::orders::{EngineState, Order, Ordered};
+use foxtailhold::orders::{EngineState, Order, OrderOutcome};
 use foxtailhold_http::client::{Call, HttpClient, Reuse};
 use http::{Method, StatusCode};
 
@@ -32,15 +32,15 @@
 
 impl OrderClient {
     /// Gives an order.
-    pub async fn order(&self, address: SocketAddr, order: &Order) -> Ordered {
+    pub async fn order(&self, address: SocketAddr, order: &Order) -> OrderOutcome {
         let mut call = Call::new(Method::POST, address, ORDERS_PATH);
         call.timeout_ms = CALL_TIMEOUT_MS;
         match self.http.call(&call, Some(order)).await {
-            Ok((StatusCode::CONFLICT, _)) => Ordered::Refused,
-            Ok((status, _)) if status.is_success() => Ordered::Taken,
-            Ok(_) => Ordered::Unknown,
-            Err(error) if error.is_not_sent() => Ordered::NotSent,
-            Err(_) => Ordered::Unknown,
+            Ok((StatusCode::CONFLICT, _)) => OrderOutcome::Refused,
+            Ok((status, _)) if status.is_success() => OrderOutcome::Taken,
+            Ok(_) => OrderOutcome::Unknown,
+            Err(error) if error.is_not_sent() => OrderOutcome::NotSent,
+            Err(_) => OrderOutcome::Unknown,
         }
     }
 
--- a/crates/foxtailhold-entry/src/actors/contracts.rs
+++ b/crates/foxtailhold-entry/src/actors/contracts.rs
@@ -9,7 +9,7 @@
 
 use foxtailhold::contract_sync::{ContractSync, Step};
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 use ractor::{Actor, ActorProcessingErr, ActorRef};
@@ -118,7 +118,9 @@
         }
         self.0.contracts.store(Arc::new(sync.book().clone()));
         self.0.metrics.contracts_number.set(number as i64);
-        self.0.timeline.note(Event::ContractApplied { number });
+        self.0
+            .timeline
+            .note(TimelineEvent::ContractApplied { number });
     }
 
     fn start(
--- a/crates/foxtailhold-entry/src/actors/crashes.rs
+++ b/crates/foxtailhold-entry/src/actors/crashes.rs
@@ -4,7 +4,7 @@
 use foxtailhold::membership::MemberState;
 use foxtailhold::quarantine::{Notice, Quarantine, TrialAnswer};
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 use ractor::{Actor, ActorProcessingErr, ActorRef};
@@ -111,7 +111,7 @@
     fn tell(&self, notice: Notice) {
         log::info!("told to all: {notice:?}");
         if let Notice::Convicted { fingerprint, .. } = &notice {
-            self.0.timeline.note(Event::Convicted {
+            self.0.timeline.note(TimelineEvent::Convicted {
                 fingerprint: format!("{:032x}", fingerprint.0),
             });
         }
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use foxtailhold::batch::OpenRow;
+use foxtailhold::batch::OpenJobRow;
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
-use foxtailhold::batch::registry::{Registry, StopStep};
+use foxtailhold::batch::registry::{JobRegistry, StopAction};
 use foxtailhold::ids::JobId;
 use foxtailhold::membership::MemberState;
 use foxtailhold::rendezvous;
@@ -35,7 +35,7 @@
 /// Its state.
 #[derive(Debug, Default)]
 pub struct JobsState {
-    registry: Registry,
+    registry: JobRegistry,
     runs: HashMap<JobId, CancellationToken>,
     waiting: HashMap<JobId, Vec<RpcReplyPort<()>>>,
     watched: WatchedLeases,
@@ -93,7 +93,7 @@
 impl JobsState {
     fn stop(&mut self, job: &JobId, reply: RpcReplyPort<()>) {
         let step = self.registry.stop(job);
-        if step == StopStep::Stopped {
+        if step == StopAction::Stopped {
             answer_all(vec![reply]);
             return;
         }
@@ -131,7 +131,7 @@
         if self.0.is_stopping() || self.0.lease_epoch().is_none() {
             return;
         }
-        let Some(running) = state.registry.begin_look() else {
+        let Some(running) = state.registry.begin_scan() else {
             return;
         };
         let watched = std::mem::take(&mut state.watched);
@@ -157,7 +157,7 @@
 
     fn looked(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, look: Look) {
         state.watched = look.watched;
-        let started = state.registry.end_look(&look.claimed);
+        let started = state.registry.end_scan(&look.claimed);
         for owned in look.claimed {
             if started.contains(&owned.row.job) {
                 self.start(myself, state, owned);
@@ -209,7 +209,7 @@
         }
     };
     for keyed in open {
-        let Ok(open) = keyed.row.read::<OpenRow>() else {
+        let Ok(open) = keyed.row.read::<OpenJobRow>() else {
             continue;
         };
         if running.contains(&open.job) {
@@ -242,5 +242,5 @@
         }
     }
     let key = job.as_str().as_bytes();
-    rendezvous::home(alive, key) == Some(&shared.settings.instance) || shared.is_home(key)
+    rendezvous::select(alive, key) == Some(&shared.settings.instance) || shared.is_home(key)
 }
--- a/crates/foxtailhold-entry/src/actors/lease.rs
+++ b/crates/foxtailhold-entry/src/actors/lease.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use foxtailhold::batch::transaction::Condition;
-use foxtailhold::batch::transaction::{FoundRow, Outcome};
-use foxtailhold::lease::{LEASE_RENEW_MS, LeaseKeeper, Renewal};
+use foxtailhold::batch::transaction::{ConflictingRow, TransactionOutcome};
+use foxtailhold::lease::{LEASE_RENEW_MS, LeaseRenewer, Renewal};
 use foxtailhold::lease_row::LeaseRow;
 use foxtailhold_platform::{Operation, Platform, PlatformError, Result, Transacted};
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
@@ -29,23 +29,23 @@
 
 impl<P: Platform> Actor for LeaseActor<P> {
     type Msg = LeaseMessage;
-    type State = LeaseKeeper;
+    type State = LeaseRenewer;
     type Arguments = ();
 
     async fn pre_start(
         &self,
         myself: ActorRef<Self::Msg>,
         (): (),
-    ) -> std::result::Result<LeaseKeeper, ActorProcessingErr> {
+    ) -> std::result::Result<LeaseRenewer, ActorProcessingErr> {
         tick(&myself, || LeaseMessage::Renew, LEASE_RENEW_MS);
-        Ok(LeaseKeeper::new(self.0.settings.instance.clone()))
+        Ok(LeaseRenewer::new(self.0.settings.instance.clone()))
     }
 
     async fn handle(
         &self,
         myself: ActorRef<Self::Msg>,
         message: Self::Msg,
-        keeper: &mut LeaseKeeper,
+        keeper: &mut LeaseRenewer,
     ) -> std::result::Result<(), ActorProcessingErr> {
         match message {
             LeaseMessage::Renew => {
@@ -67,7 +67,7 @@
 }
 
 impl<P: Platform> LeaseActor<P> {
-    async fn renew(&self, keeper: &mut LeaseKeeper) -> Result<()> {
+    async fn renew(&self, keeper: &mut LeaseRenewer) -> Result<()> {
         let key = tables::lease_key(&self.0.settings.instance);
         let found = match keeper.needs_read() {
             true => store::read(&self.0, tables::LEASE, key).await?,
@@ -77,10 +77,10 @@
         let sent = self.send(key, &renewal).await;
         let outcome = match &sent {
             Ok(outcome) => outcome.clone(),
-            Err(error) if error.may_have_taken_effect() => Outcome::Unknown,
-            Err(_) => Outcome::Unavailable,
+            Err(error) if error.may_have_taken_effect() => TransactionOutcome::Unknown,
+            Err(_) => TransactionOutcome::Unavailable,
         };
-        keeper.on(renewal, &outcome);
+        keeper.handle_outcome(renewal, &outcome);
         sent.map(drop)
     }
 
@@ -100,14 +100,14 @@
         &self,
         key: &str,
         renewal: &Renewal,
-    ) -> std::result::Result<Outcome, PlatformError> {
+    ) -> std::result::Result<TransactionOutcome, PlatformError> {
         let expect = store::expect(renewal.condition);
         let operation = Operation::put(tables::LEASE, key, expect, &renewal.row);
         Ok(match self.0.platform.transact(&[operation]).await? {
-            Transacted::Committed => Outcome::Committed,
-            Transacted::Conflict { .. } => Outcome::Conflict {
+            Transacted::Committed => TransactionOutcome::Committed,
+            Transacted::Conflict { .. } => TransactionOutcome::Conflict {
                 step: 0,
-                found: FoundRow::Other,
+                found: ConflictingRow::Other,
             },
         })
     }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -8,7 +8,7 @@
 use foxtailhold::leaving::LeavingMark;
 use foxtailhold::membership::{Carried, Gossip, Member, MemberState, Membership, PROBE_PERIOD_MS};
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::{FleetInstance, Platform};
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
@@ -246,7 +246,7 @@
             if old.get(&member.id) == Some(&member.state) {
                 continue;
             }
-            self.0.timeline.note(Event::MemberChanged {
+            self.0.timeline.note(TimelineEvent::MemberChanged {
                 instance: member.id.clone(),
                 state: format!("{:?}", member.state).to_lowercase(),
             });
--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -1,18 +1,19 @@
 //! Gives orders to the engines whose home this instance is.
 //!
-//! Each engine with a wanted state has a worker that drives one [`Giver`]; the actor reads the
+//! Each engine with a wanted state has a worker that drives one [`OrderIssuer`]; the actor reads the
 //! wanted states and tells the workers whether they are to give orders.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use foxtailhold::idempotency::Expected;
+use foxtailhold::idempotency::ExpectedVersion;
 use foxtailhold::ids::BackendId;
 use foxtailhold::lease_row::LeaseRow;
 use foxtailhold::orders::{
-    Action, EngineSetup, Giver, LeaseWrite, LeaseWritten, Order, Ordered, Wanted,
+    DesiredSetup, EngineSetup, IssuerAction, LeaseWrite, LeaseWriteOutcome, Order, OrderIssuer,
+    OrderOutcome,
 };
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::orders::OrderClient;
 use foxtailhold_platform::{Expect, Operation, Platform, Result, Transacted};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
@@ -42,7 +43,7 @@
 /// Its state: a worker for each engine, told what is wanted.
 #[derive(Debug, Default)]
 pub struct OrdersState {
-    workers: HashMap<BackendId, watch::Sender<Option<Wanted>>>,
+    workers: HashMap<BackendId, watch::Sender<Option<DesiredSetup>>>,
     client: OrderClient,
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl<P: Platform> OrdersActor<P> {
-    async fn wanted(&self) -> Result<Vec<(BackendId, Wanted)>> {
+    async fn wanted(&self) -> Result<Vec<(BackendId, DesiredSetup)>> {
         let table = tables::ORDER_WANTED;
         let mut wanted = Vec::new();
         for keyed in scan_all(&self.0.platform, table, "").await? {
@@ -85,12 +86,12 @@
                 continue;
             };
             let version = keyed.row.version;
-            wanted.push((id, Wanted { version, setup }));
+            wanted.push((id, DesiredSetup { version, setup }));
         }
         Ok(wanted)
     }
 
-    fn tell(&self, state: &mut OrdersState, wanted: Vec<(BackendId, Wanted)>) {
+    fn tell(&self, state: &mut OrdersState, wanted: Vec<(BackendId, DesiredSetup)>) {
         state.workers.retain(|_, worker| !worker.is_closed());
         for (id, wanted) in wanted {
             let home = !self.0.is_stopping() && self.0.is_home(id.as_str().as_bytes());
@@ -115,28 +116,28 @@
     shared: Shared<P>,
     client: OrderClient,
     backend: BackendId,
-    giver: Giver,
+    giver: OrderIssuer,
 }
 
 impl<P: Platform> Worker<P> {
     fn new(shared: &Shared<P>, backend: &BackendId, client: OrderClient) -> Self {
-        let fencing = shared.settings.checking_engines.of(backend);
+        let fencing = shared.settings.checking_engines.fencing_check(backend);
         Worker {
             shared: shared.clone(),
             client,
             backend: backend.clone(),
-            giver: Giver::new(shared.settings.instance.clone(), fencing),
+            giver: OrderIssuer::new(shared.settings.instance.clone(), fencing),
         }
     }
 
     /// Runs until the actor is gone, or this instance is not the engine's home any more and holds
     /// no lease on it.
-    async fn run(mut self, wanted: watch::Receiver<Option<Wanted>>) {
+    async fn run(mut self, wanted: watch::Receiver<Option<DesiredSetup>>) {
         while wanted.has_changed().is_ok() {
             let wanted = wanted.borrow().clone();
             let now = self.shared.clock.mono();
             let action = self.giver.next(now, wanted.as_ref());
-            if action != Action::Wait {
+            if action != IssuerAction::Wait {
                 let version = wanted.map_or(0, |wanted| wanted.version);
                 self.act(action, version).await;
                 continue;
@@ -148,17 +149,17 @@
         }
     }
 
-    async fn act(&mut self, action: Action, wanted: u64) {
+    async fn act(&mut self, action: IssuerAction, wanted: u64) {
         match action {
-            Action::Wait => {}
-            Action::ReadLease => self.read_lease().await,
-            Action::WriteLease(write) => {
+            IssuerAction::Wait => {}
+            IssuerAction::ReadLease => self.read_lease().await,
+            IssuerAction::WriteLease(write) => {
                 let written = self.write_lease(&write).await;
                 let now = self.shared.clock.mono();
                 self.giver.lease_written(now, written);
             }
-            Action::Look => self.look().await,
-            Action::Order(order) => self.order(&order, wanted).await,
+            IssuerAction::ReadEngine => self.look().await,
+            IssuerAction::SendOrder(order) => self.order(&order, wanted).await,
         }
     }
 
@@ -183,22 +184,22 @@
         tokio::time::sleep(Duration::from_millis(foxtailhold::orders::RETRY_MS)).await;
     }
 
-    async fn write_lease(&self, write: &LeaseWrite) -> LeaseWritten {
+    async fn write_lease(&self, write: &LeaseWrite) -> LeaseWriteOutcome {
         let key = self.backend.as_str();
         let expect = match write.expected {
-            Expected::Absent => Expect::Absent,
-            Expected::Version(version) => Expect::Version(version),
+            ExpectedVersion::Absent => Expect::Absent,
+            ExpectedVersion::Version(version) => Expect::Version(version),
         };
         let mut operations = vec![Operation::put(tables::ORDER_LEASE, key, expect, &write.row)];
-        if let Some(version) = write.wanted_version {
+        if let Some(version) = write.desired_version {
             let expect = Expect::Version(version);
             operations.push(Operation::check(tables::ORDER_WANTED, key, expect));
         }
         match self.shared.platform.transact(&operations).await {
-            Ok(Transacted::Committed) => LeaseWritten::Committed,
-            Ok(Transacted::Conflict { .. }) => LeaseWritten::Failed,
-            Err(error) if error.may_have_taken_effect() => LeaseWritten::Unknown,
-            Err(_) => LeaseWritten::Failed,
+            Ok(Transacted::Committed) => LeaseWriteOutcome::Committed,
+            Ok(Transacted::Conflict { .. }) => LeaseWriteOutcome::Failed,
+            Err(error) if error.may_have_taken_effect() => LeaseWriteOutcome::Unknown,
+            Err(_) => LeaseWriteOutcome::Failed,
         }
     }
 
@@ -209,22 +210,22 @@
             None => None,
         };
         let now = self.shared.clock.mono();
-        self.giver.looked(asked_at, now, state);
+        self.giver.engine_read(asked_at, now, state);
     }
 
     async fn order(&mut self, order: &Order, wanted: u64) {
         let sent_at = self.shared.clock.mono();
         let ordered = match self.address() {
             Some(address) if self.giver.holds(sent_at) => self.client.order(address, order).await,
-            _ => Ordered::NotSent,
+            _ => OrderOutcome::NotSent,
         };
-        self.shared.timeline.note(Event::EngineOrdered {
+        self.shared.timeline.note(TimelineEvent::EngineOrdered {
             backend: self.backend.clone(),
             fencing: order.fencing,
             outcome: ordered,
         });
         let now = self.shared.clock.mono();
-        self.giver.ordered(sent_at, now, wanted, ordered);
+        self.giver.order_sent(sent_at, now, wanted, ordered);
     }
 
     fn address(&self) -> Option<std::net::SocketAddr> {
--- a/crates/foxtailhold-entry/src/actors/steward.rs
+++ b/crates/foxtailhold-entry/src/actors/steward.rs
@@ -12,7 +12,7 @@
 use foxtailhold::steward::replica::ReplicaSteward;
 use foxtailhold::steward::{PlaceAsk, PlaceGrant};
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 use ractor::{Actor, ActorProcessingErr, ActorRef};
@@ -344,7 +344,9 @@
         }
         for (backend, items) in cuts {
             self.0.metrics.batch_yields.inc_by(u64::from(items));
-            self.0.timeline.note(Event::BatchYielded { backend, items });
+            self.0
+                .timeline
+                .note(TimelineEvent::BatchPreempted { backend, items });
         }
     }
 }
@@ -352,6 +354,6 @@
 /// The steward of an engine among the live members.
 fn steward_of<'a>(live: &'a [Member], backend: &BackendId) -> Option<&'a Member> {
     let key = format!("steward/{backend}");
-    let home = rendezvous::home(live.iter().map(|member| &member.id), key.as_bytes())?;
+    let home = rendezvous::select(live.iter().map(|member| &member.id), key.as_bytes())?;
     live.iter().find(|member| member.id == *home)
 }
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -118,7 +118,7 @@
 fn home<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let home = rendezvous::home(ids, TRIALS_KEY)?;
+    let home = rendezvous::select(ids, TRIALS_KEY)?;
     if *home == shared.settings.instance {
         return None;
     }
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -3,13 +3,13 @@
 use std::collections::HashSet;
 
 use foxtailhold::batch::{
-    BatchError, BatchItem, FileRow, JobCounts, JobRow, JobStatus, MAX_JOB_ITEMS, OpenRow,
+    BatchError, BatchItem, FileRow, JobCounts, JobRow, JobStatus, MAX_JOB_ITEMS, OpenJobRow,
 };
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{CustomerId, JobId};
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::rendezvous;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{BatchObject, BatchRequest};
 use foxtailhold_peer::PeerRequest;
 use foxtailhold_platform::{Expect, Operation, Platform, Row, Transacted};
@@ -120,7 +120,7 @@
             tables::JOB_OPEN,
             &key,
             Expect::Absent,
-            &OpenRow::accepted(&row),
+            &OpenJobRow::accepted(&row),
         ),
     ];
     match commit(shared, &operations).await? {
@@ -134,7 +134,7 @@
     }
     shared
         .timeline
-        .note(Event::JobAccepted { job: job.clone() });
+        .note(TimelineEvent::JobAccepted { job: job.clone() });
     offer(shared, customer, &job);
     object(shared, row).await
 }
@@ -156,7 +156,7 @@
     let refusal = Refusal::not_run(RefusalReason::StoreUnavailable);
     let refusal = refusal.retry_after_ms(STORE_RETRY_AFTER_MS);
     if last.is_some_and(|error| error.may_have_taken_effect()) {
-        return Err(refusal.with_ran(Ran::MayHaveRun));
+        return Err(refusal.with_ran(ExecutionStatus::MayHaveRun));
     }
     Err(refusal)
 }
@@ -177,7 +177,7 @@
 fn offer<P: Platform>(shared: &Shared<P>, customer: &CustomerId, job: &JobId) {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let Some(home) = rendezvous::home(ids, job.as_str().as_bytes()) else {
+    let Some(home) = rendezvous::select(ids, job.as_str().as_bytes()) else {
         return;
     };
     if *home == shared.settings.instance {
@@ -278,7 +278,7 @@
     let end = cancelled.map_err(|error| store_unavailable(&error))?;
     if end == CancelEnd::NotKnown {
         let refusal = Refusal::not_run(RefusalReason::StoreUnavailable);
-        let refusal = refusal.with_ran(Ran::MayHaveRun);
+        let refusal = refusal.with_ran(ExecutionStatus::MayHaveRun);
         return Err(refusal.retry_after_ms(STORE_RETRY_AFTER_MS));
     }
     describe(shared, contract, job).await
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -6,13 +6,13 @@
 use bytes::Bytes;
 use foxtailhold::ids::{BackendId, RequestId, TargetName};
 use foxtailhold::quarantine::{Fingerprint, Standing, TrialEnd};
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::routing::{BoundedAffinity, LeastLoaded, RoutePolicy, RouteQuery};
 use foxtailhold::stall;
 use foxtailhold::suspect::{Asking, NextStep};
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, Resume};
 use foxtailhold_platform::Platform;
 use rand::Rng;
@@ -122,11 +122,11 @@
         self.runs = 1;
     }
 
-    fn ran(&self) -> Ran {
+    fn ran(&self) -> ExecutionStatus {
         if self.may_have_run {
-            return Ran::MayHaveRun;
+            return ExecutionStatus::MayHaveRun;
         }
-        Ran::NotRun
+        ExecutionStatus::NotRun
     }
 
     fn refused(&self, reason: RefusalReason, after_ms: u64) -> Refusal {
@@ -361,7 +361,7 @@
         let timeout_ms = left_ms.min(bound_ms(&cell, outgoing));
         let in_flight = cell.send_known(Some(outgoing.fingerprint));
         online::sent(shared, &cell);
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: outgoing.id.clone(),
             backend: cell.backend.id.clone(),
         });
--- a/crates/foxtailhold-entry/src/gateway/files.rs
+++ b/crates/foxtailhold-entry/src/gateway/files.rs
@@ -3,10 +3,10 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use foxtailhold::batch::{ChunkRow, FileRow, Part, PartCutter};
+use foxtailhold::batch::{ChunkRow, FilePart, FileRow, PartSplitter};
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{CustomerId, FileId};
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold_caller::gateway::{Download, FileObject, Upload};
 use foxtailhold_platform::{Expect, Operation, Platform, Transacted};
 
@@ -24,7 +24,7 @@
     shared: Shared<P>,
     customer: CustomerId,
     file: FileId,
-    cutter: PartCutter,
+    cutter: PartSplitter,
     part_lines: Vec<u32>,
     bytes: u64,
 }
@@ -38,13 +38,13 @@
             shared: shared.clone(),
             customer: customer.clone(),
             file,
-            cutter: PartCutter::default(),
+            cutter: PartSplitter::default(),
             part_lines: Vec::new(),
             bytes: 0,
         })
     }
 
-    async fn store(&mut self, part: Part) -> Result<()> {
+    async fn store(&mut self, part: FilePart) -> Result<()> {
         let name = tables::part_object(&self.file, self.part_lines.len() as u32);
         let put = self
             .shared
@@ -166,7 +166,7 @@
         Ok(Transacted::Committed) => Ok(()),
         Ok(Transacted::Conflict { .. }) => Err(rows::no_file(file)),
         Err(error) if error.may_have_taken_effect() => {
-            Err(store_unavailable(&error).with_ran(Ran::MayHaveRun))
+            Err(store_unavailable(&error).with_ran(ExecutionStatus::MayHaveRun))
         }
         Err(error) => Err(store_unavailable(&error)),
     }
--- a/crates/foxtailhold-entry/src/gateway/infer.rs
+++ b/crates/foxtailhold-entry/src/gateway/infer.rs
@@ -4,7 +4,7 @@
 use foxtailhold::quarantine::{Fingerprint, Standing};
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{Inference, InferenceAnswer, Whole};
 use foxtailhold_engine::{EngineAnswer, WholeAnswer};
 use foxtailhold_platform::Platform;
@@ -80,7 +80,7 @@
     let opened = dispatch::open(shared, &outgoing, None, &mut tries).await?;
     if let EngineAnswer::Whole(answer) = opened.answer {
         admitted.answered(&answer.body);
-        shared.timeline.note(Event::Answered {
+        shared.timeline.note(TimelineEvent::Answered {
             request: outgoing.id.clone(),
         });
         return Ok(InferenceAnswer::Whole(whole(answer)));
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -23,7 +23,7 @@
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::error_body;
 use foxtailhold_caller::gateway::{
     BatchObject, BatchRequest, Entries, EntriesQuery, EntryAddress, FileObject, Gateway, Inference,
@@ -81,7 +81,7 @@
     pub(crate) async fn admit(&self, context: &RequestContext, tokens: u64) -> Result<Admitted> {
         let shared = &self.0;
         let admitted = self.within_limits(&context.contract, tokens as f64).await?;
-        shared.timeline.note(Event::Accepted {
+        shared.timeline.note(TimelineEvent::Accepted {
             request: context.id.clone(),
             customer: context.contract.customer.clone(),
         });
@@ -259,7 +259,7 @@
             .refusals
             .get_or_create(&CodeLabel { code })
             .inc();
-        self.0.timeline.note(Event::Refused {
+        self.0.timeline.note(TimelineEvent::Refused {
             request: request.clone(),
             code: code.to_owned(),
         });
--- a/crates/foxtailhold-entry/src/gateway/once.rs
+++ b/crates/foxtailhold-entry/src/gateway/once.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use foxtailhold::idempotency::{ClaimRefusal, ClaimStep, Claimer, HeldClaim};
+use foxtailhold::idempotency::{ClaimAttempt, ClaimRefusal, ClaimStep, HeldClaim};
 use foxtailhold::ids::{RequestId, TargetName};
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{Inference, PlainCall, RequestContext, Whole};
 use foxtailhold_http::client::{Reuse, SendError};
 use foxtailhold_platform::Platform;
@@ -67,13 +67,14 @@
         Ok(answer) => answer,
         Err(error) => {
             log::error!("an attempt at a request that must not be repeated ended: {error}");
-            Err(Refusal::not_run(RefusalReason::AlreadyStarted).with_ran(Ran::MayHaveRun))
+            Err(Refusal::not_run(RefusalReason::AlreadyStarted)
+                .with_ran(ExecutionStatus::MayHaveRun))
         }
     }
 }
 
 async fn claim_and_send<P: Platform>(shared: Shared<P>, attempt: Attempt) -> Result<Whole> {
-    let claimer = Claimer::new(shared.unique(), attempt.digest.clone());
+    let claimer = ClaimAttempt::new(shared.unique(), attempt.digest.clone());
     match table::claim(&shared, &attempt.key, claimer).await {
         ClaimStep::Held(held) => send_held(&shared, attempt, held).await,
         ClaimStep::Answer(row, answer) => table::restore(&shared, &attempt.key, &row, answer).await,
@@ -90,7 +91,7 @@
 fn refusal(why: ClaimRefusal) -> Refusal {
     match why {
         ClaimRefusal::MayHaveRun => Refusal::not_run(RefusalReason::AlreadyStarted)
-            .with_ran(Ran::MayHaveRun)
+            .with_ran(ExecutionStatus::MayHaveRun)
             .retry_after_ms(ANSWER_RETRY_AFTER_MS),
         ClaimRefusal::OtherRequest => Refusal::not_run(RefusalReason::Conflict {
             detail: "the idempotency key was used with another request".into(),
@@ -112,8 +113,8 @@
             Ok(answer)
         }
         Err(refusal) => {
-            if refusal.ran == Ran::NotRun {
-                table::release_later(shared, attempt.key, held.not_sent());
+            if refusal.ran == ExecutionStatus::NotRun {
+                table::release_later(shared, attempt.key, held.into_release());
             }
             Err(refusal)
         }
@@ -143,7 +144,7 @@
             break;
         }
         let _in_flight = cell.send();
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: attempt.id.clone(),
             backend: cell.backend.id.clone(),
         });
@@ -151,7 +152,7 @@
         let failed = match call_fresh(shared, address, &call).await {
             Ok(answer) => {
                 cell.succeeded();
-                shared.timeline.note(Event::Answered {
+                shared.timeline.note(TimelineEvent::Answered {
                     request: attempt.id.clone(),
                 });
                 return Ok(Whole {
@@ -166,7 +167,7 @@
         tried.push(cell.backend.id.clone());
         last = backend_failed(target, &failed);
         if !failed.is_not_sent() {
-            return Err(Refusal::not_run(last).with_ran(Ran::MayHaveRun));
+            return Err(Refusal::not_run(last).with_ran(ExecutionStatus::MayHaveRun));
         }
     }
     Err(Refusal::not_run(last).retry_after_ms(BACKEND_RETRY_AFTER_MS))
--- a/crates/foxtailhold-entry/src/gateway/once/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/once/table.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use foxtailhold::idempotency::{
-    ClaimRow, ClaimStep, Claimer, Expected, Found, HeldClaim, Release, ReleaseStep, StoredAnswer,
-    StoredBody, Written,
+    ClaimAttempt, ClaimRelease, ClaimRow, ClaimStep, ExpectedVersion, FoundClaim, HeldClaim,
+    ReleaseStep, StoredAnswer, StoredBody, WriteOutcome,
 };
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold_caller::gateway::Whole;
 use foxtailhold_platform::{Expect, Operation, Platform, Row, Transacted};
 use http::{HeaderValue, StatusCode};
@@ -25,18 +25,18 @@
 
 static BACKGROUND_WRITES: Semaphore = Semaphore::const_new(MAX_BACKGROUND_WRITES);
 
-fn expect(expected: Expected) -> Expect {
+fn expect(expected: ExpectedVersion) -> Expect {
     match expected {
-        Expected::Absent => Expect::Absent,
-        Expected::Version(version) => Expect::Version(version),
+        ExpectedVersion::Absent => Expect::Absent,
+        ExpectedVersion::Version(version) => Expect::Version(version),
     }
 }
 
 /// Reads a row; one that cannot be read is reported as a store that gave no answer.
-fn found(row: &Row) -> Option<Found> {
+fn found(row: &Row) -> Option<FoundClaim> {
     let version = row.version;
     match row.read::<ClaimRow>() {
-        Ok(row) => Some(Found { version, row }),
+        Ok(row) => Some(FoundClaim { version, row }),
         Err(error) => {
             log::error!("a row of table {} cannot be read: {error}", tables::ONCE);
             None
@@ -48,39 +48,39 @@
 pub async fn write<P: Platform>(
     shared: &Shared<P>,
     key: &str,
-    expected: Expected,
+    expected: ExpectedVersion,
     row: &ClaimRow,
-) -> Written {
+) -> WriteOutcome {
     let put = Operation::put(tables::ONCE, key, expect(expected), row);
     match shared.platform.transact(&[put]).await {
-        Ok(Transacted::Committed) => Written::Committed,
-        Ok(Transacted::Conflict { current: None, .. }) => Written::Conflict(None),
+        Ok(Transacted::Committed) => WriteOutcome::Committed,
+        Ok(Transacted::Conflict { current: None, .. }) => WriteOutcome::Conflict(None),
         Ok(Transacted::Conflict {
             current: Some(current),
             ..
         }) => match found(&current) {
-            Some(found) => Written::Conflict(Some(found)),
-            None => Written::NoEffect,
+            Some(found) => WriteOutcome::Conflict(Some(found)),
+            None => WriteOutcome::NoEffect,
         },
         Err(error) => {
             log::warn!("a claim could not be written: {error}");
             if error.may_have_taken_effect() {
-                Written::Unknown
+                WriteOutcome::Unknown
             } else {
-                Written::NoEffect
+                WriteOutcome::NoEffect
             }
         }
     }
 }
 
 /// Writes the claim until it is decided.
-pub async fn claim<P: Platform>(shared: &Shared<P>, key: &str, claimer: Claimer) -> ClaimStep {
+pub async fn claim<P: Platform>(shared: &Shared<P>, key: &str, claimer: ClaimAttempt) -> ClaimStep {
     let mut claimer = claimer;
     loop {
         let expected = claimer.expected();
         let row = claimer.row(shared.clock.mono(), shared.clock.wall());
         let written = write(shared, key, expected, row).await;
-        claimer = match claimer.written(written) {
+        claimer = match claimer.handle_write(written) {
             ClaimStep::Write(next) => next,
             decided => return decided,
         };
@@ -92,7 +92,7 @@
 }
 
 /// Releases a claim in the background, also through a long outage of the store.
-pub fn release_later<P: Platform>(shared: &Shared<P>, key: String, release: Release) {
+pub fn release_later<P: Platform>(shared: &Shared<P>, key: String, release: ClaimRelease) {
     let Ok(permit) = BACKGROUND_WRITES.try_acquire() else {
         log::warn!("too many claims wait to be released; one is left");
         return;
@@ -117,7 +117,7 @@
 async fn release_step<P: Platform>(
     shared: &Shared<P>,
     key: &str,
-    release: &Release,
+    release: &ClaimRelease,
     step: &ReleaseStep,
 ) -> ReleaseStep {
     match step {
@@ -127,12 +127,12 @@
                 log::warn!("a claim could not be released in time and is left");
                 return ReleaseStep::Done;
             };
-            release.written(write(shared, key, *expected, &row).await)
+            release.handle_write(write(shared, key, *expected, &row).await)
         }
         ReleaseStep::Read => match shared.platform.get(tables::ONCE, key).await {
-            Ok(None) => release.found(None),
+            Ok(None) => release.handle_read(None),
             Ok(Some(row)) => match found(&row) {
-                Some(found) => release.found(Some(&found)),
+                Some(found) => release.handle_read(Some(&found)),
                 None => ReleaseStep::Done,
             },
             Err(_) => release.start(),
@@ -154,18 +154,18 @@
 struct Storing {
     key: String,
     row: ClaimRow,
-    expected: Expected,
+    expected: ExpectedVersion,
     large: Option<bytes::Bytes>,
 }
 
 impl Storing {
     /// One try. A large body goes first, so that a row never names an object that is not there.
-    async fn write<P: Platform>(&mut self, shared: &Shared<P>) -> Written {
+    async fn write<P: Platform>(&mut self, shared: &Shared<P>) -> WriteOutcome {
         if let Some(body) = &self.large {
             let name = tables::once_object(&self.key, &self.row.claim_id);
             if let Err(error) = shared.platform.put_object(&name, body.clone()).await {
                 log::warn!("the body of an answer could not be stored: {error}");
-                return Written::Unknown;
+                return WriteOutcome::Unknown;
             }
             self.large = None;
         }
@@ -205,8 +205,8 @@
     });
 }
 
-fn is_final(written: &Written) -> bool {
-    matches!(written, Written::Committed | Written::Conflict(_))
+fn is_final(written: &WriteOutcome) -> bool {
+    matches!(written, WriteOutcome::Committed | WriteOutcome::Conflict(_))
 }
 
 /// Gives a stored answer again.
@@ -240,5 +240,5 @@
 }
 
 fn ran(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason).with_ran(Ran::Ran)
+    Refusal::not_run(reason).with_ran(ExecutionStatus::Ran)
 }
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -1,11 +1,11 @@
 //! What operators see and change through this instance.
 
-use foxtailhold::batch::{JobRow, OpenRow, OwnerRow};
+use foxtailhold::batch::{JobRow, OpenJobRow, OwnerRow};
 use foxtailhold::contract_book::{Catchup, ContractEntry};
 use foxtailhold::contract_sync::Listing;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::orders::EngineSetup;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_operator::error::{OperatorError, Result};
 use foxtailhold_operator::gateway::{ContractUpdate, OperatorGateway};
 use foxtailhold_operator::view::OrderView;
@@ -128,7 +128,7 @@
             version: change.version,
             number: change.number,
         };
-        shared.timeline.note(Event::ContractAccepted {
+        shared.timeline.note(TimelineEvent::ContractAccepted {
             number: change.number,
         });
         spread(shared, &Catchup::Changes(vec![change])).await;
@@ -177,7 +177,7 @@
         let open = scan_all(&shared.platform, tables::JOB_OPEN, "").await;
         let mut views = Vec::new();
         for keyed in open.map_err(|error| unavailable(&error))? {
-            let Ok(open) = keyed.row.read::<OpenRow>() else {
+            let Ok(open) = keyed.row.read::<OpenJobRow>() else {
                 continue;
             };
             let view = job_view(shared, &keyed.key, &open.job).await;
--- a/crates/foxtailhold-entry/src/gateway/service_call.rs
+++ b/crates/foxtailhold-entry/src/gateway/service_call.rs
@@ -2,9 +2,9 @@
 
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::BackendId;
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{PlainCall, Whole};
 use foxtailhold_http::client::Reuse;
 use foxtailhold_platform::Platform;
@@ -43,7 +43,7 @@
 /// What is known after some tries.
 struct CallTries {
     tried: Vec<BackendId>,
-    ran: Ran,
+    ran: ExecutionStatus,
     last: RefusalReason,
 }
 
@@ -72,7 +72,7 @@
         return true;
     }
     let spent = tries.tried.len() >= MAX_TRIES;
-    if spent || (tries.ran == Ran::MayHaveRun && !method.is_idempotent()) {
+    if spent || (tries.ran == ExecutionStatus::MayHaveRun && !method.is_idempotent()) {
         return false;
     }
     if !shared.retries.retry(shared.clock.mono()) {
@@ -94,7 +94,7 @@
     };
     let mut tries = CallTries {
         tried: Vec::new(),
-        ran: Ran::NotRun,
+        ran: ExecutionStatus::NotRun,
         last: RefusalReason::NoBackend {
             target: service.clone(),
         },
@@ -111,7 +111,7 @@
             break;
         };
         let _in_flight = cell.send();
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: call.context.id.clone(),
             backend: cell.backend.id.clone(),
         });
@@ -132,7 +132,7 @@
         tries.tried.push(cell.backend.id.clone());
         tries.last = once::backend_failed(service, &error);
         if !error.is_not_sent() {
-            tries.ran = Ran::MayHaveRun;
+            tries.ran = ExecutionStatus::MayHaveRun;
         }
     }
     Err(tries.refusal())
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use foxtailhold::quarantine::TrialEnd;
-use foxtailhold::refusal::{Ran, Refusal, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, Result};
 use foxtailhold::stall;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::EventSource;
 use foxtailhold_engine::check::DONE_EVENT;
 use foxtailhold_engine::{EngineAnswer, EngineError, EngineStream, Resume, TokenEvent};
@@ -136,11 +136,11 @@
     }
 
     /// What is known of the request's effect.
-    fn ran(&self) -> Ran {
+    fn ran(&self) -> ExecutionStatus {
         if self.tokens > 0 {
-            return Ran::Ran;
+            return ExecutionStatus::Ran;
         }
-        Ran::MayHaveRun
+        ExecutionStatus::MayHaveRun
     }
 
     /// Silence after which the engine is given up on; before the first event not past the deadline.
@@ -188,7 +188,7 @@
         if let Some(leg) = self.leg.take() {
             leg.close();
         }
-        self.shared.timeline.note(Event::Answered {
+        self.shared.timeline.note(TimelineEvent::Answered {
             request: self.outgoing.id.clone(),
         });
         Some(Ok(raw))
--- a/crates/foxtailhold-entry/src/instance.rs
+++ b/crates/foxtailhold-entry/src/instance.rs
@@ -5,7 +5,7 @@
 
 use foxtailhold::contract_sync::Listing;
 use foxtailhold::membership::{Member, MemberState};
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::CallerHandler;
 use foxtailhold_http::server::{self, Server};
 use foxtailhold_operator::OperatorHandler;
@@ -116,7 +116,7 @@
             steward,
         };
         shared.set_actors(actors.clone());
-        shared.timeline.note(Event::Started);
+        shared.timeline.note(TimelineEvent::Started);
         let gateway = EntryGateway(shared.clone());
         let settings = &shared.settings;
         let peers = PeerServer::start(peer_listener, peer_address, EntryPeer(shared.clone()));
@@ -164,7 +164,7 @@
     pub async fn close(self) -> Result<()> {
         let shared = &self.shared;
         shared.stopping.store(true, Ordering::Relaxed);
-        shared.timeline.note(Event::Stopping);
+        shared.timeline.note(TimelineEvent::Stopping);
         let told = Some(Duration::from_millis(LEAVE_TOLD_MS));
         let left = self.actors.membership.call(MembershipMessage::Leave, told);
         if left.await.is_err() {
@@ -185,7 +185,7 @@
         tokio::time::sleep(Duration::from_millis(keep_ms)).await;
         let stop_wait_ms = shared.settings.stop_wait_ms;
         let finished = self.callers.close(stop_wait_ms).await;
-        shared.timeline.note(Event::Stopped);
+        shared.timeline.note(TimelineEvent::Stopped);
         let ended = Some(Duration::from_millis(LEASE_END_MS));
         if self.lease.call(LeaseMessage::End, ended).await.is_err() {
             log::warn!("the lease was not ended, it runs out");
--- a/crates/foxtailhold-entry/src/jobs/chunk.rs
+++ b/crates/foxtailhold-entry/src/jobs/chunk.rs
@@ -2,10 +2,10 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use foxtailhold::batch::chunk::{ChunkCommit, CommitStep};
+use foxtailhold::batch::chunk::{ChunkCommit, ChunkCommitResult};
 use foxtailhold::batch::claim::OwnedJob;
 use foxtailhold::batch::{BatchItem, ChunkRow};
-use foxtailhold::lease::Standing;
+use foxtailhold::lease::LeaseState;
 use foxtailhold::time::WallMs;
 use foxtailhold_platform::{Platform, PlatformError, Result};
 use futures_util::StreamExt;
@@ -33,7 +33,7 @@
     shared: &Shared<P>,
     owned: &OwnedJob,
     index: u32,
-    standing: watch::Receiver<Standing>,
+    lease_state: watch::Receiver<LeaseState>,
     drained: impl Fn() + Send + Sync,
 ) -> Option<ChunkRow> {
     let items = read_items(shared, owned, index).await;
@@ -55,7 +55,7 @@
             order,
             epoch: owned.epoch,
         };
-        runs.push(run_item(shared, run, standing.clone(), &started));
+        runs.push(run_item(shared, run, lease_state.clone(), &started));
     }
     let mut running = stream::iter(runs).buffered(items.len().max(1));
     let mut lines = Vec::new();
@@ -89,12 +89,12 @@
 }
 
 /// Makes the stored results the chunk's, sending until the fate is known.
-pub async fn commit<P: Platform>(shared: &Shared<P>, commit: &ChunkCommit) -> CommitStep {
+pub async fn commit<P: Platform>(shared: &Shared<P>, commit: &ChunkCommit) -> ChunkCommitResult {
     let mut pause = Backoff::default();
     loop {
         let outcome = store::send(&shared.platform, commit.transaction()).await;
-        let step = commit.on(outcome);
-        if step != CommitStep::Resend {
+        let step = commit.handle_outcome(outcome);
+        if step != ChunkCommitResult::Resend {
             return step;
         }
         pause.pause().await;
@@ -106,22 +106,22 @@
 async fn run_item<P: Platform>(
     shared: &Shared<P>,
     run: ItemRun<'_>,
-    mut standing: watch::Receiver<Standing>,
+    mut lease_state: watch::Receiver<LeaseState>,
     started: &(impl Fn() + Sync),
 ) -> Option<EndedItem> {
     let mut first = true;
     loop {
-        let seen = *standing
-            .wait_for(|seen| *seen != Standing::Lapsed)
+        let seen = *lease_state
+            .wait_for(|seen| *seen != LeaseState::Lapsed)
             .await
             .ok()?;
-        if seen == Standing::Lost {
+        if seen == LeaseState::Lost {
             return None;
         }
         let place = shared.batch_places.acquire().await.ok()?;
         if !run.is_owned(shared) {
             drop(place);
-            standing.changed().await.ok()?;
+            lease_state.changed().await.ok()?;
             continue;
         }
         if std::mem::take(&mut first) {
@@ -130,10 +130,10 @@
         tokio::select! {
             ended = policy::run(shared, &run) => {
                 shared.metrics.batch_items.inc();
-                shared.chunk_places.landing().items_ended(1);
+                shared.chunk_places.landing().record_finished_items(1);
                 return Some(ended);
             }
-            lapsed = standing.wait_for(|seen| *seen != Standing::Held) => {
+            lapsed = lease_state.wait_for(|seen| *seen != LeaseState::Held) => {
                 lapsed.ok()?;
             }
         }
--- a/crates/foxtailhold-entry/src/jobs/landing.rs
+++ b/crates/foxtailhold-entry/src/jobs/landing.rs
@@ -1,6 +1,6 @@
 //! Refuses a job at the door that cannot be finished by its deadline.
 
-use foxtailhold::batch::deadline_check::Verdict;
+use foxtailhold::batch::deadline_check::DeadlineCheck;
 use foxtailhold::ids::JobId;
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
 use foxtailhold::rendezvous;
@@ -13,9 +13,9 @@
 const JUDGE_TIMEOUT_MS: u64 = 500;
 
 /// Judges a job of `items` due within `window_ms`, by the work and the rate of this instance.
-pub fn judge_here<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> Verdict {
+pub fn judge_here<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> DeadlineCheck {
     let landing = shared.chunk_places.landing();
-    landing.judge(items, window_ms, shared.clock.wall())
+    landing.check(items, window_ms, shared.clock.wall())
 }
 
 /// Refuses a job that its home says cannot land. A home that does not answer is no reason to
@@ -26,14 +26,14 @@
     items: u64,
     window_ms: u64,
 ) -> Result<()> {
-    let Verdict::CannotLand {
+    let DeadlineCheck::Infeasible {
         needed_ms,
         retry_after_ms,
     } = judge(shared, job, items, window_ms).await
     else {
         return Ok(());
     };
-    let mut refusal = Refusal::not_run(RefusalReason::CannotLand {
+    let mut refusal = Refusal::not_run(RefusalReason::DeadlineInfeasible {
         needed_ms,
         window_ms,
     });
@@ -46,10 +46,10 @@
     job: &JobId,
     items: u64,
     window_ms: u64,
-) -> Verdict {
+) -> DeadlineCheck {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let home = rendezvous::home(ids, job.as_str().as_bytes());
+    let home = rendezvous::select(ids, job.as_str().as_bytes());
     let home = home.filter(|home| **home != shared.settings.instance);
     let Some(member) = home.and_then(|home| shared.member(home)) else {
         return judge_here(shared, items, window_ms);
@@ -58,6 +58,6 @@
     let address = member.peer_address;
     match shared.peers.ask(address, &request, JUDGE_TIMEOUT_MS).await {
         Ok(PeerAnswer::Landing(verdict)) => verdict,
-        _ => Verdict::Lands,
+        _ => DeadlineCheck::Feasible,
     }
 }
--- a/crates/foxtailhold-entry/src/jobs/ordinary.rs
+++ b/crates/foxtailhold-entry/src/jobs/ordinary.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxtailhold::batch::MAX_ITEM_TRIES;
+use foxtailhold::batch::MAX_ITEM_ATTEMPTS;
 use foxtailhold::refusal::{Refusal, RefusalReason};
 use foxtailhold_engine::EngineAnswer;
 use foxtailhold_platform::Platform;
@@ -55,7 +55,7 @@
                 }
                 Err(refusal) => {
                     failures += tries.tried.len() as u32;
-                    if failures >= MAX_ITEM_TRIES {
+                    if failures >= MAX_ITEM_ATTEMPTS {
                         return run.failed(&id, "backend_failed", refusal.to_string());
                     }
                 }
--- a/crates/foxtailhold-entry/src/jobs/owner.rs
+++ b/crates/foxtailhold-entry/src/jobs/owner.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use foxtailhold::batch::cancel::{Cancel, CancelPlan, Marked};
+use foxtailhold::batch::cancel::{CancelPlan, CancelTransaction, CancellingJob};
 use foxtailhold::batch::claim::{self, Claim, ClaimView, OwnedJob, WatchedLeases};
-use foxtailhold::batch::finish::{Finish, FinishStep};
+use foxtailhold::batch::finish::{FinishResult, FinishTransaction};
 use foxtailhold::batch::transaction::Versioned;
 use foxtailhold::batch::{ChunkRow, JobCounts, JobRow, OwnerRow};
 use foxtailhold::ids::{CustomerId, InstanceId, JobId};
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::{KeyedRow, Platform, Result, TableService};
 
@@ -100,7 +100,7 @@
     let owned = claim.close(&outcome);
     if owned.is_some() {
         let job = job.clone();
-        shared.timeline.note(Event::JobOwned { job, epoch });
+        shared.timeline.note(TimelineEvent::JobOwned { job, epoch });
     }
     Ok(owned)
 }
@@ -113,7 +113,7 @@
 
 /// Notes a job's end in the time line.
 pub fn note_ended<P: Platform>(shared: &Shared<P>, row: &JobRow) {
-    shared.timeline.note(Event::JobEnded {
+    shared.timeline.note(TimelineEvent::JobEnded {
         job: row.job.clone(),
         status: row.status.as_str().to_owned(),
     });
@@ -147,10 +147,10 @@
         };
         let owner: Option<Versioned<OwnerRow>> =
             store::read(shared, tables::OWNER, job.as_str()).await?;
-        let marked = match Cancel::plan(row, owner.as_ref()) {
+        let marked = match CancelTransaction::plan(row, owner.as_ref()) {
             CancelPlan::Final => return Ok(CancelEnd::Final),
-            CancelPlan::Marked(marked) => Some(marked),
-            CancelPlan::Mark(cancel) => {
+            CancelPlan::Cancelling(marked) => Some(marked),
+            CancelPlan::Begin(cancel) => {
                 let outcome = store::send(&shared.platform, cancel.transaction()).await;
                 cancel.close(&outcome)
             }
@@ -163,7 +163,7 @@
     Ok(CancelEnd::NotKnown)
 }
 
-async fn stop<P: Platform>(shared: &Shared<P>, marked: &Marked) -> Result<CancelEnd> {
+async fn stop<P: Platform>(shared: &Shared<P>, marked: &CancellingJob) -> Result<CancelEnd> {
     let job = &marked.job.row.job;
     if let Some(holder) = &marked.owner
         && !stop_at(shared, holder, job).await
@@ -171,18 +171,18 @@
         return Ok(CancelEnd::Marked);
     }
     let counts = counts(&shared.platform, job).await?;
-    let finish = Finish::cancelled(&marked.job, counts, shared.clock.wall());
+    let finish = FinishTransaction::cancelled(&marked.job, counts, shared.clock.wall());
     let mut pause = Backoff::default();
     for _ in 0..MAX_WRITE_TRIES {
         let outcome = store::send(&shared.platform, finish.transaction()).await;
-        match finish.on(outcome) {
-            FinishStep::Ended => {
+        match finish.handle_outcome(outcome) {
+            FinishResult::Ended => {
                 note_ended(shared, finish.ended());
                 return Ok(CancelEnd::Final);
             }
-            FinishStep::JobChanged(_) => return Ok(CancelEnd::Final),
-            FinishStep::OwnerChanged => return Ok(CancelEnd::Marked),
-            FinishStep::Resend => pause.pause().await,
+            FinishResult::JobChanged(_) => return Ok(CancelEnd::Final),
+            FinishResult::OwnerChanged => return Ok(CancelEnd::Marked),
+            FinishResult::Resend => pause.pause().await,
         }
     }
     Ok(CancelEnd::Marked)
--- a/crates/foxtailhold-entry/src/jobs/places.rs
+++ b/crates/foxtailhold-entry/src/jobs/places.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use foxtailhold::batch::chunk_slots::ChunkPlaces;
-use foxtailhold::batch::deadline_check::Landing;
+use foxtailhold::batch::chunk_slots::ChunkSlots;
+use foxtailhold::batch::deadline_check::DeadlineEstimator;
 use parking_lot::{Mutex, MutexGuard};
 
 /// Chunks of one instance started and not committed at most. With chunks of 200 items this bounds
@@ -13,14 +13,14 @@
 /// A handle of the places and of the work that waits for them.
 #[derive(Debug, Clone)]
 pub struct SharedPlaces {
-    places: Arc<Mutex<ChunkPlaces>>,
-    landing: Arc<Mutex<Landing>>,
+    places: Arc<Mutex<ChunkSlots>>,
+    landing: Arc<Mutex<DeadlineEstimator>>,
 }
 
 impl Default for SharedPlaces {
     fn default() -> Self {
         SharedPlaces {
-            places: Arc::new(Mutex::new(ChunkPlaces::new(CHUNK_PLACES))),
+            places: Arc::new(Mutex::new(ChunkSlots::new(CHUNK_PLACES))),
             landing: Arc::default(),
         }
     }
@@ -28,12 +28,12 @@
 
 impl SharedPlaces {
     /// The places, for one short step.
-    pub fn lock(&self) -> MutexGuard<'_, ChunkPlaces> {
+    pub fn lock(&self) -> MutexGuard<'_, ChunkSlots> {
         self.places.lock()
     }
 
     /// The work that waits, for one short step.
-    pub fn landing(&self) -> MutexGuard<'_, Landing> {
+    pub fn landing(&self) -> MutexGuard<'_, DeadlineEstimator> {
         self.landing.lock()
     }
 
@@ -49,6 +49,6 @@
 
 impl Drop for HeldPlace {
     fn drop(&mut self) {
-        self.0.lock().give_back();
+        self.0.lock().release();
     }
 }
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use foxtailhold::batch::ChunkRow;
-use foxtailhold::batch::chunk::{ChunkCommit, CommitStep};
+use foxtailhold::batch::chunk::{ChunkCommit, ChunkCommitResult};
 use foxtailhold::batch::claim::OwnedJob;
-use foxtailhold::batch::execution::{JobRun, RunEnd, RunStep};
-use foxtailhold::batch::finish::{Finish, FinishStep};
-use foxtailhold::lease::Standing;
-use foxtailhold::timeline::Event;
+use foxtailhold::batch::execution::{ExecutionEnd, ExecutionStep, JobExecution};
+use foxtailhold::batch::finish::{FinishResult, FinishTransaction};
+use foxtailhold::lease::LeaseState;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_platform::Platform;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunStop {
     /// By itself.
-    Ended(RunEnd),
+    Ended(ExecutionEnd),
     /// This instance was told to stop it.
     Stopped,
 }
@@ -40,9 +40,9 @@
     /// All items of an attempt ended and its results are stored.
     Stored(u32, ChunkRow),
     /// A commit's fate is known.
-    Committed(u32, ChunkRow, CommitStep),
+    Committed(u32, ChunkRow, ChunkCommitResult),
     /// The final write's fate is known.
-    Finished(FinishStep),
+    Finished(FinishResult),
 }
 
 /// An attempt at a chunk.
@@ -55,10 +55,10 @@
 
 struct Runner<P> {
     shared: Shared<P>,
-    run: JobRun,
+    run: JobExecution,
     attempts: HashMap<u32, Attempt>,
     final_write: Option<JoinHandle<()>>,
-    standing: watch::Sender<Standing>,
+    lease_state: watch::Sender<LeaseState>,
     sender: mpsc::UnboundedSender<Progress>,
     progress: mpsc::UnboundedReceiver<Progress>,
 }
@@ -76,10 +76,10 @@
     let (sender, progress) = mpsc::unbounded_channel();
     let mut runner = Runner {
         shared: shared.clone(),
-        run: JobRun::new(owned, &finished),
+        run: JobExecution::new(owned, &finished),
         attempts: HashMap::new(),
         final_write: None,
-        standing: watch::Sender::new(Standing::Lapsed),
+        lease_state: watch::Sender::new(LeaseState::Lapsed),
         sender,
         progress,
     };
@@ -106,7 +106,7 @@
 }
 
 impl<P: Platform> Runner<P> {
-    async fn drive(&mut self) -> RunEnd {
+    async fn drive(&mut self) -> ExecutionEnd {
         let mut tick = tokio::time::interval(Duration::from_millis(TICK_MS));
         loop {
             if let Some(end) = self.advance().await {
@@ -119,49 +119,49 @@
         }
     }
 
-    fn standing(&self) -> Standing {
+    fn lease_state(&self) -> LeaseState {
         let epoch = self.run.owned().epoch;
         let now = self.shared.clock.mono();
-        let standing = self.shared.lease.load().standing(epoch, now);
-        self.standing.send_if_modified(|published| {
-            let changed = *published != standing;
-            *published = standing;
+        let lease_state = self.shared.lease.load().lease_state(epoch, now);
+        self.lease_state.send_if_modified(|published| {
+            let changed = *published != lease_state;
+            *published = lease_state;
             changed
         });
-        standing
+        lease_state
     }
 
     /// Takes steps until there is nothing to do.
-    async fn advance(&mut self) -> Option<RunEnd> {
+    async fn advance(&mut self) -> Option<ExecutionEnd> {
         loop {
-            let standing = self.standing();
+            let lease_state = self.lease_state();
             let now = self.shared.clock.wall();
-            let place = self.take_place(standing);
-            match self.run.step(now, standing, place.is_some()) {
-                RunStep::Start(index) => self.start(index, place?),
-                RunStep::StopItems(indices) => self.stop_items(&indices).await,
-                RunStep::Finish(finish) => self.finish(*finish),
-                RunStep::Wait => return None,
-                RunStep::End(end) => return Some(end),
+            let place = self.take_place(lease_state);
+            match self.run.step(now, lease_state, place.is_some()) {
+                ExecutionStep::StartChunk(index) => self.start(index, place?),
+                ExecutionStep::StopChunks(indices) => self.stop_items(&indices).await,
+                ExecutionStep::Finish(finish) => self.finish(*finish),
+                ExecutionStep::Wait => return None,
+                ExecutionStep::End(end) => return Some(end),
             }
         }
     }
 
-    fn take_place(&self, standing: Standing) -> Option<HeldPlace> {
+    fn take_place(&self, lease_state: LeaseState) -> Option<HeldPlace> {
         let now = self.shared.clock.wall();
         let row = &self.run.owned().row;
-        let backlog = self.run.backlog(standing);
+        let backlog = self.run.backlog(lease_state);
         let mono = self.shared.clock.mono();
         let shared_places = &self.shared.chunk_places;
         shared_places.landing().update(&row.job, backlog, mono);
         let mut places = shared_places.lock();
-        if !self.run.wants_room(now, standing) {
-            places.withdraw(&row.job);
+        if !self.run.wants_chunk_slot(now, lease_state) {
+            places.cancel_wait(&row.job);
             return None;
         }
         let left = self.run.chunks_left();
         let slack_ms = places.slack_ms(row.deadline_wall_ms, left, now);
-        let taken = places.take(&row.job, slack_ms);
+        let taken = places.try_acquire(&row.job, slack_ms);
         drop(places);
         taken.then(|| shared_places.held())
     }
@@ -169,11 +169,11 @@
     fn start(&mut self, index: u32, place: HeldPlace) {
         let shared = self.shared.clone();
         let owned = self.run.owned().clone();
-        let standing = self.standing.subscribe();
+        let lease_state = self.lease_state.subscribe();
         let sender = self.sender.clone();
         let task = tokio::spawn(async move {
             let drained = || drop(sender.send(Progress::Drained(index)));
-            if let Some(row) = chunk::run(&shared, &owned, index, standing, drained).await {
+            if let Some(row) = chunk::run(&shared, &owned, index, lease_state, drained).await {
                 let _ = sender.send(Progress::Stored(index, row));
             }
         });
@@ -196,7 +196,7 @@
 
     fn on(&mut self, progress: Progress) {
         match progress {
-            Progress::Drained(index) => self.run.drained(index),
+            Progress::Drained(index) => self.run.all_items_started(index),
             Progress::Stored(index, row) => self.commit(index, row),
             Progress::Committed(index, row, step) => self.committed(index, &row, step),
             Progress::Finished(step) => self.run.finish_ended(step),
@@ -208,7 +208,7 @@
         let Some(attempt) = self.attempts.get_mut(&index) else {
             return;
         };
-        self.run.committing(index);
+        self.run.commit_started(index);
         let commit = ChunkCommit::new(self.run.owned(), index, row);
         let (shared, sender) = (self.shared.clone(), self.sender.clone());
         attempt.task = tokio::spawn(async move {
@@ -218,34 +218,37 @@
         });
     }
 
-    fn committed(&mut self, index: u32, row: &ChunkRow, step: CommitStep) {
+    fn committed(&mut self, index: u32, row: &ChunkRow, step: ChunkCommitResult) {
         let attempt = self.attempts.remove(&index);
-        if step == CommitStep::Committed {
+        if step == ChunkCommitResult::Committed {
             self.shared.metrics.batch_chunks.inc();
             let job = self.run.owned().row.job.clone();
             self.shared
                 .timeline
-                .note(Event::ChunkDone { job, chunk: index });
+                .note(TimelineEvent::ChunkDone { job, chunk: index });
             if let Some(attempt) = attempt {
                 let chunk_ms = attempt.started.elapsed().as_millis() as u64;
-                self.shared.chunk_places.lock().took(chunk_ms);
+                self.shared
+                    .chunk_places
+                    .lock()
+                    .record_chunk_duration(chunk_ms);
             }
         }
-        self.run.chunk_ended(index, row, step);
+        self.run.commit_ended(index, row, step);
     }
 
-    fn finish(&mut self, finish: Finish) {
+    fn finish(&mut self, finish: FinishTransaction) {
         let (shared, sender) = (self.shared.clone(), self.sender.clone());
         self.final_write = Some(tokio::spawn(async move {
             let mut pause = Backoff::default();
             loop {
                 let outcome = store::send(&shared.platform, finish.transaction()).await;
-                let step = finish.on(outcome);
-                if step == FinishStep::Resend {
+                let step = finish.handle_outcome(outcome);
+                if step == FinishResult::Resend {
                     pause.pause().await;
                     continue;
                 }
-                if step == FinishStep::Ended {
+                if step == FinishResult::Ended {
                     owner::note_ended(&shared, finish.ended());
                 }
                 let _ = sender.send(Progress::Finished(step));
@@ -256,9 +259,9 @@
 
     async fn close(mut self) {
         let job = &self.run.owned().row.job;
-        self.shared.chunk_places.lock().withdraw(job);
+        self.shared.chunk_places.lock().cancel_wait(job);
         let now = self.shared.clock.mono();
-        self.shared.chunk_places.landing().forget(job, now);
+        self.shared.chunk_places.landing().remove(job, now);
         for (_, attempt) in self.attempts.drain() {
             attempt.close().await;
         }
--- a/crates/foxtailhold-entry/src/jobs/steward_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_item.rs
@@ -4,13 +4,13 @@
 
 use std::time::Duration;
 
-use foxtailhold::batch::MAX_ITEM_TRIES;
+use foxtailhold::batch::MAX_ITEM_ATTEMPTS;
 use foxtailhold::ids::BackendId;
 use foxtailhold::quarantine::Standing;
 use foxtailhold::refusal::RefusalReason;
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::steward::desk::WaitingItem;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::{EngineError, Resume, WholeAnswer};
 use foxtailhold_platform::Platform;
 
@@ -185,7 +185,7 @@
         }
         let ended = self.run.answered(&self.outgoing.id, answer);
         if ended.is_some() {
-            self.shared.timeline.note(Event::Answered {
+            self.shared.timeline.note(TimelineEvent::Answered {
                 request: self.outgoing.id.clone(),
             });
             return ended;
@@ -221,7 +221,7 @@
     }
 
     fn given_up(&self, detail: &str) -> Option<EndedItem> {
-        if self.failures < MAX_ITEM_TRIES {
+        if self.failures < MAX_ITEM_ATTEMPTS {
             return None;
         }
         let id = &self.outgoing.id;
--- a/crates/foxtailhold-entry/src/jobs/steward_leg.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_leg.rs
@@ -5,7 +5,7 @@
 
 use foxtailhold::quarantine::TrialEnd;
 use foxtailhold::stall;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::{
     EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer,
 };
@@ -53,7 +53,7 @@
     ) -> foxtailhold_engine::Result<Self> {
         let batch = online::batch_flight(shared, &cell.backend.id);
         let in_flight = cell.send_known(Some(outgoing.fingerprint));
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: outgoing.id.clone(),
             backend: cell.backend.id.clone(),
         });
--- a/crates/foxtailhold-entry/src/jobs/store.rs
+++ b/crates/foxtailhold-entry/src/jobs/store.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use foxtailhold::batch::transaction::{
-    Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned,
+    Condition, ConflictingRow, RowChange, Transaction, TransactionOutcome, TransactionStep,
+    Versioned,
 };
 use foxtailhold::batch::{ChunkRow, JobRow};
 use foxtailhold_platform::{Expect, Operation, Platform, Result, Row, TableService, Transacted};
@@ -26,26 +27,26 @@
     }
 }
 
-fn operation(transaction: &Transaction, step: &Step) -> Operation {
+fn operation(transaction: &Transaction, step: &TransactionStep) -> Operation {
     let expect = expect(step.condition);
     let job = transaction.job.as_str();
     let job_key = tables::job_key(&transaction.customer, &transaction.job);
     match &step.change {
-        Change::CheckJob => Operation::check(tables::JOB, &job_key, expect),
-        Change::PutJob(row) => Operation::put(tables::JOB, &job_key, expect, row),
-        Change::PutOpen(row) => Operation::put(tables::JOB_OPEN, &job_key, expect, row),
-        Change::DeleteOpen => Operation::delete(tables::JOB_OPEN, &job_key, expect),
-        Change::CheckOwner => Operation::check(tables::OWNER, job, expect),
-        Change::PutOwner(row) => Operation::put(tables::OWNER, job, expect, row),
-        Change::DeleteOwner => Operation::delete(tables::OWNER, job, expect),
-        Change::PutChunk(index, row) => {
+        RowChange::CheckJob => Operation::check(tables::JOB, &job_key, expect),
+        RowChange::PutJob(row) => Operation::put(tables::JOB, &job_key, expect, row),
+        RowChange::PutOpen(row) => Operation::put(tables::JOB_OPEN, &job_key, expect, row),
+        RowChange::DeleteOpen => Operation::delete(tables::JOB_OPEN, &job_key, expect),
+        RowChange::CheckOwner => Operation::check(tables::OWNER, job, expect),
+        RowChange::PutOwner(row) => Operation::put(tables::OWNER, job, expect, row),
+        RowChange::DeleteOwner => Operation::delete(tables::OWNER, job, expect),
+        RowChange::PutChunk(index, row) => {
             let key = tables::chunk_key(&transaction.job, *index);
             Operation::put(tables::CHUNK, &key, expect, row)
         }
-        Change::PutSweep(row) => {
+        RowChange::PutSweep(row) => {
             Operation::put(tables::SWEEP, &tables::sweep_key(row), expect, row)
         }
-        Change::PutLease(instance, row) => {
+        RowChange::PutLease(instance, row) => {
             Operation::put(tables::LEASE, tables::lease_key(instance), expect, row)
         }
     }
@@ -59,38 +60,38 @@
     })
 }
 
-fn found(step: &Step, current: Option<&Row>) -> FoundRow {
+fn found(step: &TransactionStep, current: Option<&Row>) -> ConflictingRow {
     let Some(current) = current else {
-        return FoundRow::None;
+        return ConflictingRow::None;
     };
     let read = match &step.change {
-        Change::CheckJob | Change::PutJob(_) => {
-            versioned::<JobRow>(current).map(|row| FoundRow::Job(Box::new(row)))
+        RowChange::CheckJob | RowChange::PutJob(_) => {
+            versioned::<JobRow>(current).map(|row| ConflictingRow::Job(Box::new(row)))
         }
-        Change::PutChunk(..) => current.read::<ChunkRow>().ok().map(FoundRow::Chunk),
+        RowChange::PutChunk(..) => current.read::<ChunkRow>().ok().map(ConflictingRow::Chunk),
         _ => None,
     };
-    read.unwrap_or(FoundRow::Other)
+    read.unwrap_or(ConflictingRow::Other)
 }
 
 /// Sends a transaction once.
-pub async fn send<T: TableService>(table: &T, transaction: &Transaction) -> Outcome {
+pub async fn send<T: TableService>(table: &T, transaction: &Transaction) -> TransactionOutcome {
     let mut operations = Vec::with_capacity(transaction.steps.len());
     for step in &transaction.steps {
         operations.push(operation(transaction, step));
     }
     match table.transact(&operations).await {
-        Ok(Transacted::Committed) => Outcome::Committed,
-        Ok(Transacted::Conflict { operation, current }) => Outcome::Conflict {
+        Ok(Transacted::Committed) => TransactionOutcome::Committed,
+        Ok(Transacted::Conflict { operation, current }) => TransactionOutcome::Conflict {
             step: operation,
             found: found(&transaction.steps[operation], current.as_ref()),
         },
         Err(error) => {
             log::warn!("a write of job {} failed: {error}", transaction.job);
             if error.may_have_taken_effect() {
-                return Outcome::Unknown;
+                return TransactionOutcome::Unknown;
             }
-            Outcome::Unavailable
+            TransactionOutcome::Unavailable
         }
     }
 }
--- a/crates/foxtailhold-entry/src/retries.rs
+++ b/crates/foxtailhold-entry/src/retries.rs
@@ -17,11 +17,11 @@
 impl RetryGate {
     /// Notes a first try.
     pub fn first_try(&self) {
-        self.0.lock().first_try();
+        self.0.lock().record_first_attempt();
     }
 
     /// Takes one retry; `false` where none is left.
     pub fn retry(&self, now: MonoMs) -> bool {
-        self.0.lock().retry(now)
+        self.0.lock().try_retry(now)
     }
 }
--- a/crates/foxtailhold-entry/src/settings.rs
+++ b/crates/foxtailhold-entry/src/settings.rs
@@ -5,7 +5,7 @@
 use std::ops::RangeInclusive;
 
 use foxtailhold::ids::{AvailabilityZone, IdError, InstanceId};
-use foxtailhold::orders::CheckingEngines;
+use foxtailhold::orders::FencingEngines;
 use miette::Diagnostic;
 use thiserror::Error;
 
@@ -195,7 +195,7 @@
     /// Batch items in flight from this instance at most, under [`BatchPolicy::Ordinary`].
     pub batch_slots: u64,
     /// Engines that refuse orders with an old fencing number.
-    pub checking_engines: CheckingEngines,
+    pub checking_engines: FencingEngines,
     /// Age of an ended batch job at which its orphaned result objects are deleted.
     pub sweep_after_ms: u64,
     /// Added to the wall clock.
@@ -277,10 +277,10 @@
         }
     }
 
-    fn checking_engines(self) -> Result<CheckingEngines> {
+    fn checking_engines(self) -> Result<FencingEngines> {
         let option = self.option;
         let text = self.value.unwrap_or_else(|| "none".into());
-        CheckingEngines::try_from(text.as_str())
+        FencingEngines::try_from(text.as_str())
             .map_err(|source| SettingsError::BadId { option, source })
     }
 
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -218,7 +218,7 @@
     pub fn is_home(&self, key: &[u8]) -> bool {
         let members = self.live_members();
         let ids = members.iter().map(|member| &member.id);
-        rendezvous::home(ids, key) == Some(&self.settings.instance)
+        rendezvous::select(ids, key) == Some(&self.settings.instance)
     }
 
     /// A member by its identifier.
@@ -229,7 +229,7 @@
 
     /// Until when this instance may act on work owned under `epoch`; the present where it may not.
     pub fn acts_until(&self, epoch: u64) -> Instant {
-        let until = self.lease.load().acts_until(epoch);
+        let until = self.lease.load().valid_until(epoch);
         until.map_or_else(Instant::now, |until| self.clock.instant(until))
     }
 
--- a/crates/foxtailhold-entry/src/timeline.rs
+++ b/crates/foxtailhold-entry/src/timeline.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use foxtailhold::ids::InstanceId;
-use foxtailhold::timeline::{Event, HlcTime, HybridClock, TimelineEntry};
+use foxtailhold::timeline::{HlcTime, HybridClock, TimelineEntry, TimelineEvent};
 use foxtailhold_operator::view::TimelineView;
 use foxtailhold_peer::MessageClock;
 use parking_lot::Mutex;
@@ -73,7 +73,7 @@
     }
 
     /// Notes an event.
-    pub fn note(&self, event: Event) {
+    pub fn note(&self, event: TimelineEvent) {
         let mut ring = self.ring.lock();
         let entry = TimelineEntry {
             at: self.clock.tick(),
--- a/crates/foxtailhold-operator/tests/commands.rs
+++ b/crates/foxtailhold-operator/tests/commands.rs
@@ -6,7 +6,7 @@
 
 use common::{Served, TOKEN, document, serve};
 use foxtailhold::membership::MemberState;
-use foxtailhold::timeline::{Event, HlcTime, TimelineEntry};
+use foxtailhold::timeline::{HlcTime, TimelineEntry, TimelineEvent};
 use foxtailhold_operator::error::OperatorError;
 use foxtailhold_operator::view::InstanceView;
 use serde_json::Value;
@@ -126,7 +126,7 @@
     TimelineEntry {
         at: HlcTime { wall_ms, counter },
         instance: instance.try_into().unwrap(),
-        event: Event::Accepted {
+        event: TimelineEvent::Accepted {
             request: request.try_into().unwrap(),
             customer: "c".try_into().unwrap(),
         },
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use foxtailhold::batch::deadline_check::Verdict;
+use foxtailhold::batch::deadline_check::DeadlineCheck;
 use foxtailhold::contract_book::Catchup;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::leaving::LeavingMark;
@@ -104,5 +104,5 @@
     /// To [`PeerRequest::TrialAsked`].
     Trial(TrialAnswer),
     /// To [`PeerRequest::JobCanLand`].
-    Landing(Verdict),
+    Landing(DeadlineCheck),
 }
--- a/crates/foxtailhold-relay/src/fleet.rs
+++ b/crates/foxtailhold-relay/src/fleet.rs
@@ -22,7 +22,7 @@
 /// One start of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendServer {
-    /// Its identifier, another one for each start ([`BackendId::of_start`]).
+    /// Its identifier, another one for each start ([`BackendId::for_start`]).
     pub id: BackendId,
     /// Its identity, which it may keep when it starts again.
     pub identity: BackendId,
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxtailhold::attempt_counts::{NextRun, RunAccount};
+use foxtailhold::attempt_counts::{AttemptCounts, AttemptDecision};
 use foxtailhold::crashes::EARLY_EVENTS;
 use foxtailhold::ids::{BackendId, JobId};
 use foxtailhold::quarantine::Fingerprint;
@@ -73,7 +73,7 @@
     id: &'a JobId,
     item: &'a Item,
     partials: &'a Partials,
-    account: RunAccount,
+    account: AttemptCounts,
     /// Whether the beginning of the present run was persisted.
     is_begin_recorded: bool,
     /// Losses in a row without a new event.
@@ -97,7 +97,7 @@
             id,
             item,
             partials,
-            account: RunAccount::default(),
+            account: AttemptCounts::default(),
             is_begin_recorded: false,
             vain_losses: 0,
             avoid: Vec::new(),
@@ -132,10 +132,10 @@
                 continue;
             };
             no_route_since = None;
-            match self.account.next_run(route.attempts) {
-                NextRun::Allowed => {}
-                NextRun::GiveUp => return Some(self.result(ItemState::GivenUp)),
-                NextRun::Rest => {
+            match self.account.next_attempt(route.attempts) {
+                AttemptDecision::Allowed => {}
+                AttemptDecision::GiveUp => return Some(self.result(ItemState::GivenUp)),
+                AttemptDecision::Backoff => {
                     self.rest_until_given_up(job).await;
                     continue;
                 }
@@ -147,7 +147,7 @@
             let run = self.run_once(route, job, &target, &headers).await;
             if self.events() > events {
                 self.vain_losses = 0;
-                self.account.note_events();
+                self.account.record_events();
             }
             match run {
                 Run::Complete => return Some(self.result(ItemState::Done)),
@@ -165,7 +165,7 @@
                     self.pause_after_loss(miss).await;
                 }
                 Run::Failed => {
-                    self.account.note_failed();
+                    self.account.record_failure();
                     self.write_account(self.account).await;
                     tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
                 }
@@ -174,18 +174,18 @@
     }
 
     /// What is known of the runs at owners before.
-    fn account_of(&self, job: &Job) -> RunAccount {
+    fn account_of(&self, job: &Job) -> AttemptCounts {
         let written = self.partials.account(&self.item.id);
-        let mut account = written.unwrap_or(RunAccount::unwritten(job.lost_owners));
+        let mut account = written.unwrap_or(AttemptCounts::without_record(job.lost_owners));
         if self.events() > 0 {
-            account.note_events();
+            account.record_events();
         }
         account
     }
 
     /// Persists an account. Where the store is away the item goes on all the same: an owner that is
     /// lost meanwhile costs a run more at most.
-    async fn write_account(&self, account: RunAccount) {
+    async fn write_account(&self, account: AttemptCounts) {
         let writing = self
             .jobs
             .store
@@ -205,7 +205,7 @@
             .saturating_sub(self.jobs.relay.clock.wall().0);
         log::info!(
             job = self.id.as_str(), item = self.item.id.as_str(),
-            open = self.account.open, rest_ms = left_ms; "an item rests"
+            open = self.account.pending, rest_ms = left_ms; "an item rests"
         );
         while self.is_wanted() && self.jobs.relay.clock.wall().0 < job.give_up_unix_ms {
             tokio::time::sleep(Duration::from_millis(REST_LOOK_MS)).await;
@@ -330,7 +330,7 @@
         let query = PlaceQuery {
             pool: &service,
             urgency: Urgency::Batch,
-            slack_ms: left_ms.saturating_sub(self.jobs.pace().left_ms(self.events())),
+            slack_ms: left_ms.saturating_sub(self.jobs.pace().remaining_ms(self.events())),
             avoid: &self.avoid,
             until: Instant::now() + Duration::from_millis(PLACE_WAIT_MS),
         };
@@ -345,9 +345,11 @@
                 return Run::Unfinished;
             }
         };
-        self.is_begin_recorded = self.events() == 0 && self.account.records_begin(job.lost_owners);
+        self.is_begin_recorded =
+            self.events() == 0 && self.account.must_record_start(job.lost_owners);
         if self.is_begin_recorded {
-            self.write_account(self.account.begun()).await;
+            self.write_account(self.account.with_pending_attempt())
+                .await;
         }
         if !self.is_wanted() {
             return Run::Unfinished;
@@ -360,14 +362,16 @@
             .metrics
             .run_ended(&backend.id, RunEnd::from(&run), begun);
         let took_ms = begun.elapsed().as_millis() as u64;
-        self.jobs.pace().ran(self.events() - events, took_ms);
+        self.jobs
+            .pace()
+            .record_attempt(self.events() - events, took_ms);
         if matches!(run, Run::Unfinished) && self.events() - events < EARLY_EVENTS {
             relay.note_silent_run(self.fingerprint(job), &backend);
         }
         let outcome = match &run {
             Run::Complete => {
                 relay.note_run(|| self.fingerprint(job));
-                self.jobs.pace().finished(self.events());
+                self.jobs.pace().record_finished(self.events());
                 Outcome::Done { held_ms: took_ms }
             }
             Run::Lost(miss) => {
@@ -431,7 +435,7 @@
                 log::info!(
                     job = self.id.as_str(), item = self.item.id.as_str(),
                     backend = backend.id.as_str(), status = status.as_u16(),
-                    failures = self.account.failed, open = self.account.open; "item failed"
+                    failures = self.account.failed, open = self.account.pending; "item failed"
                 );
                 if exchange::read_whole(response, in_use, until).await.is_err() {
                     log::debug!("the answer to a failed item broke off");
@@ -473,7 +477,7 @@
                     events += 1;
                     if events == 1 && self.is_begin_recorded {
                         let mut account = self.account;
-                        account.note_events();
+                        account.record_events();
                         self.write_account(account).await;
                     }
                     if events == EARLY_EVENTS {
--- a/crates/foxtailhold-relay/src/jobs/mod.rs
+++ b/crates/foxtailhold-relay/src/jobs/mod.rs
@@ -28,7 +28,7 @@
 use std::sync::Arc;
 
 use foxtailhold::ids::{InstanceId, JobId};
-use foxtailhold::item_duration::ItemPace;
+use foxtailhold::item_duration::ItemDurationEstimate;
 use foxtailhold_platform::{ObjectStore, PlatformError, RowStore};
 use parking_lot::{Mutex, MutexGuard};
 use serde::{Deserialize, Serialize};
@@ -134,12 +134,12 @@
     /// Backend servers, places and peers.
     pub relay: Arc<Relay<D>>,
     /// How long items run.
-    pub pace: Mutex<ItemPace>,
+    pub pace: Mutex<ItemDurationEstimate>,
 }
 
 impl<S: RowStore + ObjectStore, D> Jobs<S, D> {
     /// How long items run.
-    pub fn pace(&self) -> MutexGuard<'_, ItemPace> {
+    pub fn pace(&self) -> MutexGuard<'_, ItemDurationEstimate> {
         self.pace.lock()
     }
 
--- a/crates/foxtailhold-relay/src/jobs/owner.rs
+++ b/crates/foxtailhold-relay/src/jobs/owner.rs
@@ -106,7 +106,7 @@
         return false;
     }
     let heirs = members.not_down(now, down_ms);
-    let heir = rendezvous::home(&heirs, id.as_str().as_bytes());
+    let heir = rendezvous::select(&heirs, id.as_str().as_bytes());
     heir.is_none_or(|heir| heir == jobs.me())
 }
 
@@ -188,5 +188,5 @@
     let live = members.live(now);
     let others = live.iter().map(|member| &member.instance);
     let others = others.filter(|instance| *instance != jobs.me());
-    rendezvous::home(others, id.as_str().as_bytes()).cloned()
+    rendezvous::select(others, id.as_str().as_bytes()).cloned()
 }
--- a/crates/foxtailhold-relay/src/jobs/partial.rs
+++ b/crates/foxtailhold-relay/src/jobs/partial.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use foxtailhold::attempt_counts::RunAccount;
+use foxtailhold::attempt_counts::AttemptCounts;
 use foxtailhold::ids::JobId;
 use foxtailhold_platform::VersionedRow;
 use parking_lot::Mutex;
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Partials {
     items: Arc<Mutex<HashMap<String, Given>>>,
-    accounts: Arc<Mutex<HashMap<String, RunAccount>>>,
+    accounts: Arc<Mutex<HashMap<String, AttemptCounts>>>,
 }
 
 impl Partials {
@@ -95,7 +95,7 @@
     }
 
     /// The account that an owner before has written down.
-    pub fn account(&self, item: &str) -> Option<RunAccount> {
+    pub fn account(&self, item: &str) -> Option<AttemptCounts> {
         self.accounts.lock().get(item).copied()
     }
 
--- a/crates/foxtailhold-relay/src/jobs/store.rs
+++ b/crates/foxtailhold-relay/src/jobs/store.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use foxtailhold::attempt_counts::RunAccount;
+use foxtailhold::attempt_counts::AttemptCounts;
 use foxtailhold::ids::JobId;
 use foxtailhold_peer::codec;
 use foxtailhold_platform::{Changes, Committed, ObjectStore, RowKey, RowStore, VersionedRow};
@@ -218,7 +218,12 @@
     }
 
     /// Writes the account of an item's runs beside its pieces.
-    pub async fn write_account(&self, id: &JobId, item: &str, account: &RunAccount) -> Result<()> {
+    pub async fn write_account(
+        &self,
+        id: &JobId,
+        item: &str,
+        account: &AttemptCounts,
+    ) -> Result<()> {
         let key = format!("{id}/{item}/{ACCOUNT_KEY}");
         let changes = Changes {
             puts: vec![(RowKey::new(PIECES_TABLE, &key), json(id, account)?)],
--- a/crates/foxtailhold-relay/src/jobs/sweep.rs
+++ b/crates/foxtailhold-relay/src/jobs/sweep.rs
@@ -48,7 +48,7 @@
     sweepers: &[InstanceId],
     id: &JobId,
 ) -> bool {
-    let home = rendezvous::home(sweepers, id.as_str().as_bytes());
+    let home = rendezvous::select(sweepers, id.as_str().as_bytes());
     home.is_none_or(|home| home == jobs.me())
 }
 
--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -128,7 +128,7 @@
     pub fn is_home(&self, key: &[u8]) -> bool {
         let members = self.members();
         let live = members.live(self.now());
-        let home = rendezvous::home(live.iter().map(|member| &member.instance), key);
+        let home = rendezvous::select(live.iter().map(|member| &member.instance), key);
         home.is_none_or(|home| home == self.me())
     }
 
--- a/crates/foxtailhold-relay/tests/fleet.rs
+++ b/crates/foxtailhold-relay/tests/fleet.rs
@@ -15,7 +15,7 @@
 
 fn start(name: &str, started_unix_ms: u64) -> BackendServer {
     BackendServer {
-        id: BackendId::of_start(&identity(name), started_unix_ms).unwrap(),
+        id: BackendId::for_start(&identity(name), started_unix_ms).unwrap(),
         identity: identity(name),
         service: service(),
         address: "10.0.0.1:80".parse().unwrap(),
--- a/crates/foxtailhold-relay/tests/pieces.rs
+++ b/crates/foxtailhold-relay/tests/pieces.rs
@@ -1,6 +1,6 @@
 //! What items have given so far: kept in pieces, joined again without a gap or a repeat.
 
-use foxtailhold::attempt_counts::RunAccount;
+use foxtailhold::attempt_counts::AttemptCounts;
 use foxtailhold::ids::JobId;
 use foxtailhold_platform::{RowKey, VersionedRow};
 use foxtailhold_relay::jobs::{Given, PIECES_TABLE, Partials, Piece};
@@ -103,7 +103,10 @@
 
 #[test]
 fn another_owner_knows_how_often_an_item_has_failed() {
-    let account = RunAccount { failed: 2, open: 1 };
+    let account = AttemptCounts {
+        failed: 2,
+        pending: 1,
+    };
     let written = VersionedRow {
         key: RowKey::new(PIECES_TABLE, "job/a/account"),
         value: Some(serde_json::to_vec(&account).unwrap().into()),
--- a/crates/foxtailhold-relay/tests/unsettled_runs.rs
+++ b/crates/foxtailhold-relay/tests/unsettled_runs.rs
@@ -14,7 +14,7 @@
 fn backend() -> BackendServer {
     let identity = BackendId::try_from("engine-1").unwrap();
     BackendServer {
-        id: BackendId::of_start(&identity, START).unwrap(),
+        id: BackendId::for_start(&identity, START).unwrap(),
         identity,
         service: "writers".try_into().unwrap(),
         address: "127.0.0.1:9".parse().unwrap(),
--- a/crates/foxtailhold-standin/src/cluster.rs
+++ b/crates/foxtailhold-standin/src/cluster.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use foxtailhold::orders::CheckingEngines;
+use foxtailhold::orders::FencingEngines;
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold_entry::settings::BatchPolicy;
 use foxtailhold_entry::{Instance, Settings};
@@ -87,7 +87,7 @@
         keep_for_ms,
         stop_wait_ms: 30_000,
         batch_slots: 24,
-        checking_engines: CheckingEngines::All,
+        checking_engines: FencingEngines::All,
         sweep_after_ms: 900_000,
         batch_policy: BatchPolicy::Steward,
         batch_share_percent: 100,
--- a/crates/foxtailhold-standin/src/command.rs
+++ b/crates/foxtailhold-standin/src/command.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use foxtailhold::orders::Fencing;
+use foxtailhold::orders::FencingCheck;
 use foxtailhold::replicas::BackendKind;
 use foxtailhold_http::server::Server;
 use tokio::signal::unix::{SignalKind, signal};
@@ -67,8 +67,8 @@
         ..EngineShape::default()
     };
     let fencing = match command.ignores_fencing {
-        true => Fencing::Ignored,
-        false => Fencing::Checked,
+        true => FencingCheck::Ignored,
+        false => FencingCheck::Enforced,
     };
     let weights = address(&command.platform_address)?;
     let orders = EngineOrders::new(fencing, Some(weights));
--- a/crates/foxtailhold-standin/src/engine/handler.rs
+++ b/crates/foxtailhold-standin/src/engine/handler.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::orders::Fencing;
+use foxtailhold::orders::FencingCheck;
 use foxtailhold_http::body::{self, AnswerSender};
 use foxtailhold_http::server::{Handler, Server};
 use http::{HeaderValue, Method, Request, Response, StatusCode, header};
@@ -85,7 +85,7 @@
             scheduler: Arc::new(Mutex::new(Scheduler::new(shape))),
             arrived: Arc::default(),
             crashed: CancellationToken::new(),
-            orders: EngineOrders::new(Fencing::Checked, None),
+            orders: EngineOrders::new(FencingCheck::Enforced, None),
         };
         tokio::spawn(step_loop(
             Arc::downgrade(&engine.scheduler),
--- a/crates/foxtailhold-standin/src/engine/orders.rs
+++ b/crates/foxtailhold-standin/src/engine/orders.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::orders::{EngineSetup, EngineState, Fencing, Order};
+use foxtailhold::orders::{EngineSetup, EngineState, FencingCheck, Order};
 use foxtailhold_http::client::{HttpClient, Reuse, uri};
 use foxtailhold_platform::http::escape;
 use http::{Request, Response, StatusCode, header};
@@ -54,14 +54,14 @@
 #[derive(Debug, Clone)]
 pub struct EngineOrders {
     state: Arc<Mutex<State>>,
-    fencing: Fencing,
+    fencing: FencingCheck,
     weights: Option<SocketAddr>,
 }
 
 impl EngineOrders {
     /// Orders of an engine that loads from the weight store at `weights`, or at once where that is
     /// not given.
-    pub fn new(fencing: Fencing, weights: Option<SocketAddr>) -> Self {
+    pub fn new(fencing: FencingCheck, weights: Option<SocketAddr>) -> Self {
         EngineOrders {
             state: Arc::default(),
             fencing,
@@ -121,10 +121,10 @@
 
     fn decide(&self, order: Order) -> bool {
         let mut state = self.state.lock();
-        let taken = self.fencing == Fencing::Ignored || !order.is_old(&state.engine);
+        let taken = self.fencing == FencingCheck::Ignored || !order.is_stale(&state.engine);
         let setup = order.setup.clone();
         if taken {
-            if self.fencing == Fencing::Checked {
+            if self.fencing == FencingCheck::Enforced {
                 state.engine.fencing = order.fencing;
             }
             state.load += 1;
--- a/crates/foxtailhold-standin/tests/batch_beside_online.rs
+++ b/crates/foxtailhold-standin/tests/batch_beside_online.rs
@@ -239,7 +239,7 @@
     let ids: Vec<InstanceId> = (0..3)
         .map(|index| format!("entry-{index}").as_str().try_into().unwrap())
         .collect();
-    let steward = rendezvous::home(&ids, b"steward/engine-0").unwrap();
+    let steward = rendezvous::select(&ids, b"steward/engine-0").unwrap();
     ids.iter().position(|id| id == steward).unwrap()
 }
 
--- a/crates/foxtailhold-standin/tests/limits_and_overload.rs
+++ b/crates/foxtailhold-standin/tests/limits_and_overload.rs
@@ -182,7 +182,7 @@
     let ids: Vec<InstanceId> = (0..3)
         .map(|index| format!("entry-{index}").as_str().try_into().unwrap())
         .collect();
-    let home = rendezvous::home(&ids, customer.as_bytes()).unwrap();
+    let home = rendezvous::select(&ids, customer.as_bytes()).unwrap();
     let home = ids.iter().position(|id| id == home).unwrap();
     let others: Vec<SocketAddr> = (0..3).filter(|i| *i != home).map(|i| all[i]).collect();
     deployment.entries[home].signal(Signal::SIGKILL);
--- a/crates/foxtailhold-standin/tests/orders.rs
+++ b/crates/foxtailhold-standin/tests/orders.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use common::{Deployment, TOKEN, program, until};
 use foxtailhold::ids::BackendId;
-use foxtailhold::orders::{EngineSetup, EngineState, Fencing, Role};
+use foxtailhold::orders::{EngineSetup, EngineState, FencingCheck, Role};
 use foxtailhold_standin::engine::orders::{OrderFaults, SeenOrder};
 use foxtailhold_standin::platform::PlatformFaults;
 use http::Method;
@@ -33,11 +33,11 @@
     }
 }
 
-async fn start(fencing: Fencing) -> Deployment {
+async fn start(fencing: FencingCheck) -> Deployment {
     let mut deployment = Deployment::start(0, 0).await;
     let (flags, checking): (&[&str], _) = match fencing {
-        Fencing::Checked => (&[], "all"),
-        Fencing::Ignored => (&["--ignores-fencing"], "none"),
+        FencingCheck::Enforced => (&[], "all"),
+        FencingCheck::Ignored => (&["--ignores-fencing"], "none"),
     };
     deployment.add_engine(ENGINE, "concord-hall", flags);
     for index in 0..3 {
@@ -113,7 +113,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_of_foxtail_is_loaded_at_the_rate_of_the_weight_store() {
-    let deployment = start(Fencing::Checked).await;
+    let deployment = start(FencingCheck::Enforced).await;
     let instance = deployment.entries[1].address("operator_address");
     let foxtail = |arguments: &[&str]| {
         let mut command = Command::new(program("foxtail"));
@@ -174,10 +174,13 @@
     "/standin/transactions"
 }
 
-#[test_case(Fencing::Checked, 16_000; "checking engine")]
-#[test_case(Fencing::Ignored, 3_000; "ignoring engine, within the longest flight")]
+#[test_case(FencingCheck::Enforced, 16_000; "checking engine")]
+#[test_case(FencingCheck::Ignored, 3_000; "ignoring engine, within the longest flight")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_giver_is_replaced_and_its_order_does_not_win(fencing: Fencing, delay_ms: u64) {
+async fn a_paused_giver_is_replaced_and_its_order_does_not_win(
+    fencing: FencingCheck,
+    delay_ms: u64,
+) {
     let deployment = start(fencing).await;
     let late = OrderFaults {
         late_orders: 1,
@@ -210,8 +213,8 @@
     tokio::time::sleep(Duration::from_millis(delay_ms + 500).saturating_sub(sent.elapsed())).await;
     let order = |version: &str, taken| (version.to_owned(), taken);
     let expected = match fencing {
-        Fencing::Checked => [order("v2", true), order("v1", false)],
-        Fencing::Ignored => [order("v1", true), order("v2", true)],
+        FencingCheck::Enforced => [order("v2", true), order("v1", false)],
+        FencingCheck::Ignored => [order("v1", true), order("v2", true)],
     };
     assert_eq!(record(&deployment).await, expected);
     deployment.entries[holder].signal(Signal::SIGCONT);
@@ -223,10 +226,10 @@
     assert!(last < newer, "{record:?}");
 }
 
-#[test_case(Fencing::Checked; "checking engine")]
-#[test_case(Fencing::Ignored; "ignoring engine")]
+#[test_case(FencingCheck::Enforced; "checking engine")]
+#[test_case(FencingCheck::Ignored; "ignoring engine")]
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_table_and_engine_end_in_the_last_wanted_state(fencing: Fencing) {
+async fn lost_answers_of_table_and_engine_end_in_the_last_wanted_state(fencing: FencingCheck) {
     let deployment = start(fencing).await;
     let late = OrderFaults {
         late_orders: 1,
--- a/crates/foxtailhold-standin/tests/retries.rs
+++ b/crates/foxtailhold-standin/tests/retries.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use common::Deployment;
 use common::answers::{CHAT, set_faults};
-use foxtailhold::retry::{FLOOR_PER_S, MOST, SHARE};
+use foxtailhold::retry::{MAX_SAVED_RETRIES, MIN_RETRIES_PER_S, RETRIES_PER_FIRST_ATTEMPT};
 use foxtailhold_standin::demo::chat;
 use foxtailhold_standin::engine::EngineFaults;
 use futures_util::future::join_all;
@@ -47,7 +47,9 @@
         let record = caller.json(address, Method::GET, path, &Value::Null).await;
         sends += record.unwrap().as_array().unwrap().len();
     }
-    let retries = f64::from(requests) * SHARE + MOST + took * FLOOR_PER_S;
+    let retries = f64::from(requests) * RETRIES_PER_FIRST_ATTEMPT
+        + MAX_SAVED_RETRIES
+        + took * MIN_RETRIES_PER_S;
     println!("{requests} requests, {sends} sends, {took:.1} s");
     assert!(
         sends as f64 <= f64::from(requests) + retries + 1.0,
--- a/crates/foxtailhold/src/attempt_counts.rs
+++ b/crates/foxtailhold/src/attempt_counts.rs
@@ -11,65 +11,66 @@
 
 /// The account of one item.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunAccount {
+pub struct AttemptCounts {
     /// Answers that count as failed.
     pub failed: u32,
     /// Runs that began and whose outcome nobody has written down.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub pending: u32,
 }
 
 /// Whether an item may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NextRun {
+pub enum AttemptDecision {
     /// It may.
     Allowed,
     /// It has failed too often.
     GiveUp,
     /// It rests until it may be given up: too many runs have no known outcome.
-    Rest,
+    Backoff,
 }
 
-impl RunAccount {
+impl AttemptCounts {
     /// The account of an item of which nothing is written down: its first owner writes nothing before
     /// the first run, and may be lost in it.
-    pub fn unwritten(lost_owners: u32) -> Self {
-        RunAccount {
+    pub fn without_record(lost_owners: u32) -> Self {
+        AttemptCounts {
             failed: 0,
-            open: lost_owners.min(1),
+            pending: lost_owners.min(1),
         }
     }
 
     /// Whether the beginning of the next run is written down first.
-    pub fn records_begin(&self, lost_owners: u32) -> bool {
-        lost_owners > 0 || *self != RunAccount::default()
+    pub fn must_record_start(&self, lost_owners: u32) -> bool {
+        lost_owners > 0 || *self != AttemptCounts::default()
     }
 
     /// Whether the item may run, on a route that allows so many failed answers.
-    pub fn next_run(&self, most_failed: u32) -> NextRun {
+    pub fn next_attempt(&self, most_failed: u32) -> AttemptDecision {
         if self.failed >= most_failed.max(1) {
-            return NextRun::GiveUp;
+            return AttemptDecision::GiveUp;
         }
-        if self.open >= MOST_OPEN_RUNS {
-            return NextRun::Rest;
+        if self.pending >= MOST_OPEN_RUNS {
+            return AttemptDecision::Backoff;
         }
-        NextRun::Allowed
+        AttemptDecision::Allowed
     }
 
     /// The account while one more run is under way.
-    pub fn begun(self) -> Self {
-        RunAccount {
-            open: self.open + 1,
+    pub fn with_pending_attempt(self) -> Self {
+        AttemptCounts {
+            pending: self.pending + 1,
             ..self
         }
     }
 
     /// Notes a failed answer.
-    pub fn note_failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failed += 1;
     }
 
     /// Notes that the item gave events: no run of it was the answer that it can never be done.
-    pub fn note_events(&mut self) {
-        self.open = 0;
+    pub fn record_events(&mut self) {
+        self.pending = 0;
     }
 }
--- a/crates/foxtailhold/src/batch/cancel.rs
+++ b/crates/foxtailhold/src/batch/cancel.rs
@@ -5,13 +5,15 @@
 //! may be running items is the owner found. Once that one says it has stopped, or its lease has
 //! run out, the status becomes `cancelled`; only then is the cancel acknowledged as such.
 
-use crate::batch::rows::{JobRow, JobStatus, OpenRow, OwnerRow};
-use crate::batch::transaction::{Change, Condition, Outcome, Step, Transaction, Versioned};
+use crate::batch::rows::{JobRow, JobStatus, OpenJobRow, OwnerRow};
+use crate::batch::transaction::{
+    Condition, RowChange, Transaction, TransactionOutcome, TransactionStep, Versioned,
+};
 use crate::ids::InstanceId;
 
 /// Marks a job as being cancelled.
 #[derive(Debug, Clone)]
-pub struct Cancel {
+pub struct CancelTransaction {
     marked: Versioned<JobRow>,
     owner: Option<InstanceId>,
     transaction: Transaction,
@@ -23,14 +25,14 @@
     /// The status is final: nothing to do.
     Final,
     /// The mark is there: stop the owner, then finish.
-    Marked(Marked),
+    Cancelling(CancellingJob),
     /// Send the mark.
-    Mark(Cancel),
+    Begin(CancelTransaction),
 }
 
 /// A job whose cancel is committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Marked {
+pub struct CancellingJob {
     /// The job's row, `cancelling`.
     pub job: Versioned<JobRow>,
     /// The instance that may still run items of it.
@@ -42,7 +44,7 @@
     (!owner.released).then(|| owner.holder.clone())
 }
 
-impl Cancel {
+impl CancelTransaction {
     /// Plans from a look at the job. The owner's row must have been read after or together with
     /// the job's row where that says `cancelling`.
     pub fn plan(job: Versioned<JobRow>, owner: Option<&Versioned<OwnerRow>>) -> CancelPlan {
@@ -50,7 +52,7 @@
         match job.row.status {
             JobStatus::InProgress => {}
             JobStatus::Cancelling => {
-                return CancelPlan::Marked(Marked {
+                return CancelPlan::Cancelling(CancellingJob {
                     job,
                     owner: running,
                 });
@@ -61,11 +63,14 @@
             status: JobStatus::Cancelling,
             ..job.row
         };
-        let open = OpenRow::cancelling(&row);
+        let open = OpenJobRow::cancelling(&row);
         let steps = vec![
-            Step::new(Condition::Version(job.version), Change::PutJob(row.clone())),
-            Step::new(Condition::unchanged(owner), Change::CheckOwner),
-            Step::new(Condition::Any, Change::PutOpen(open)),
+            TransactionStep::new(
+                Condition::Version(job.version),
+                RowChange::PutJob(row.clone()),
+            ),
+            TransactionStep::new(Condition::unchanged(owner), RowChange::CheckOwner),
+            TransactionStep::new(Condition::Any, RowChange::PutOpen(open)),
         ];
         let transaction = Transaction {
             customer: row.customer.clone(),
@@ -76,7 +81,7 @@
             version: job.version + 1,
             row,
         };
-        CancelPlan::Mark(Cancel {
+        CancelPlan::Begin(CancelTransaction {
             marked,
             owner: running,
             transaction,
@@ -90,8 +95,8 @@
 
     /// The marked job, or `None` where the job has to be looked at again: it changed meanwhile, or
     /// the answer was lost.
-    pub fn close(self, outcome: &Outcome) -> Option<Marked> {
-        (*outcome == Outcome::Committed).then_some(Marked {
+    pub fn close(self, outcome: &TransactionOutcome) -> Option<CancellingJob> {
+        (*outcome == TransactionOutcome::Committed).then_some(CancellingJob {
             job: self.marked,
             owner: self.owner,
         })
--- a/crates/foxtailhold/src/batch/chunk.rs
+++ b/crates/foxtailhold/src/batch/chunk.rs
@@ -3,7 +3,8 @@
 use crate::batch::claim::OwnedJob;
 use crate::batch::rows::{ChunkRow, JobRow};
 use crate::batch::transaction::{
-    Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned,
+    Condition, ConflictingRow, RowChange, Transaction, TransactionOutcome, TransactionStep,
+    Versioned,
 };
 
 /// Makes one result object the chunk's result, once.
@@ -16,11 +17,11 @@
 
 /// What an outcome means.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CommitStep {
+pub enum ChunkCommitResult {
     /// The chunk has this attempt's result.
     Committed,
     /// The chunk has another attempt's result.
-    DoneBefore(ChunkRow),
+    AlreadyCommitted(ChunkRow),
     /// The job's row has changed: cancelled or ended. Absent where the row is gone.
     JobChanged(Option<Box<Versioned<JobRow>>>),
     /// The job was taken over.
@@ -36,9 +37,12 @@
     /// A commit by the owner, on the version of the job's row that it last saw.
     pub fn new(owned: &OwnedJob, index: u32, chunk: ChunkRow) -> Self {
         let steps = vec![
-            Step::new(Condition::Absent, Change::PutChunk(index, chunk.clone())),
-            Step::new(Condition::Version(owned.job_version), Change::CheckJob),
-            Step::new(Condition::Version(owned.owner_version), Change::CheckOwner),
+            TransactionStep::new(Condition::Absent, RowChange::PutChunk(index, chunk.clone())),
+            TransactionStep::new(Condition::Version(owned.job_version), RowChange::CheckJob),
+            TransactionStep::new(
+                Condition::Version(owned.owner_version),
+                RowChange::CheckOwner,
+            ),
         ];
         let transaction = Transaction {
             customer: owned.row.customer.clone(),
@@ -69,27 +73,29 @@
 
     /// Takes what became of the transaction. The chunk's row is checked first, so that a resend
     /// after a lost answer finds its own result whatever else has changed since.
-    pub fn on(&self, outcome: Outcome) -> CommitStep {
+    pub fn handle_outcome(&self, outcome: TransactionOutcome) -> ChunkCommitResult {
         match outcome {
-            Outcome::Committed => CommitStep::Committed,
-            Outcome::Unavailable | Outcome::Unknown => CommitStep::Resend,
-            Outcome::Conflict {
+            TransactionOutcome::Committed => ChunkCommitResult::Committed,
+            TransactionOutcome::Unavailable | TransactionOutcome::Unknown => {
+                ChunkCommitResult::Resend
+            }
+            TransactionOutcome::Conflict {
                 step: CHUNK_STEP,
-                found: FoundRow::Chunk(found),
+                found: ConflictingRow::Chunk(found),
             } => {
                 if found.object == self.chunk.object {
-                    return CommitStep::Committed;
+                    return ChunkCommitResult::Committed;
                 }
-                CommitStep::DoneBefore(found)
+                ChunkCommitResult::AlreadyCommitted(found)
             }
-            Outcome::Conflict {
+            TransactionOutcome::Conflict {
                 step: JOB_STEP,
                 found,
             } => match found {
-                FoundRow::Job(row) => CommitStep::JobChanged(Some(row)),
-                _ => CommitStep::JobChanged(None),
+                ConflictingRow::Job(row) => ChunkCommitResult::JobChanged(Some(row)),
+                _ => ChunkCommitResult::JobChanged(None),
             },
-            Outcome::Conflict { .. } => CommitStep::OwnerChanged,
+            TransactionOutcome::Conflict { .. } => ChunkCommitResult::OwnerChanged,
         }
     }
 }
--- a/crates/foxtailhold/src/batch/chunk_slots.rs
+++ b/crates/foxtailhold/src/batch/chunk_slots.rs
@@ -14,16 +14,16 @@
 
 /// The chunk places of one instance.
 #[derive(Debug, Clone)]
-pub struct ChunkPlaces {
+pub struct ChunkSlots {
     free: usize,
     wanted: HashMap<JobId, i64>,
     chunk_ms: Option<u64>,
 }
 
-impl ChunkPlaces {
+impl ChunkSlots {
     /// So many places.
     pub fn new(places: usize) -> Self {
-        ChunkPlaces {
+        ChunkSlots {
             free: places,
             wanted: HashMap::new(),
             chunk_ms: None,
@@ -32,7 +32,7 @@
 
     /// Takes a place for `job` if one is free and no other waiting job has less slack; otherwise
     /// the job waits.
-    pub fn take(&mut self, job: &JobId, slack_ms: i64) -> bool {
+    pub fn try_acquire(&mut self, job: &JobId, slack_ms: i64) -> bool {
         let least = self.wanted.iter().filter(|(other, _)| *other != job);
         let least = least.map(|(_, slack_ms)| *slack_ms).min();
         if self.free == 0 || least.is_some_and(|least| least < slack_ms) {
@@ -45,12 +45,12 @@
     }
 
     /// Notes that a job waits for no place.
-    pub fn withdraw(&mut self, job: &JobId) {
+    pub fn cancel_wait(&mut self, job: &JobId) {
         self.wanted.remove(job);
     }
 
     /// Gives a place back.
-    pub fn give_back(&mut self) {
+    pub fn release(&mut self) {
         self.free += 1;
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Notes how long a committed chunk took.
-    pub fn took(&mut self, chunk_ms: u64) {
+    pub fn record_chunk_duration(&mut self, chunk_ms: u64) {
         let mean_ms = self.chunk_ms.unwrap_or(chunk_ms);
         let sum_ms = mean_ms * (100 - NEWEST_PERCENT) + chunk_ms * NEWEST_PERCENT;
         self.chunk_ms = Some(sum_ms / 100);
--- a/crates/foxtailhold/src/batch/claim.rs
+++ b/crates/foxtailhold/src/batch/claim.rs
@@ -7,7 +7,9 @@
 use std::collections::HashMap;
 
 use crate::batch::rows::{JobRow, OwnerRow};
-use crate::batch::transaction::{Change, Condition, Outcome, Step, Transaction, Versioned};
+use crate::batch::transaction::{
+    Condition, RowChange, Transaction, TransactionOutcome, TransactionStep, Versioned,
+};
 use crate::ids::InstanceId;
 use crate::lease::WatchedLease;
 use crate::lease_row::LeaseRow;
@@ -77,7 +79,7 @@
     let seen = watched
         .entry(owner.holder.clone())
         .or_insert_with(|| WatchedLease::new(found.version, view.answered_at));
-    seen.seen(found.version, view.answered_at);
+    seen.observe(found.version, view.answered_at);
     let Some(version) = seen.expired_version(view.asked_at) else {
         return OwnerLease::Held;
     };
@@ -108,8 +110,8 @@
         };
         let owner_condition = Condition::unchanged(view.owner.as_ref());
         let mut steps = vec![
-            Step::new(Condition::Version(job.version), Change::CheckJob),
-            Step::new(owner_condition, Change::PutOwner(next)),
+            TransactionStep::new(Condition::Version(job.version), RowChange::CheckJob),
+            TransactionStep::new(owner_condition, RowChange::PutOwner(next)),
         ];
         if other_owner(me, view.owner.as_ref()).is_some() {
             let owner = &view.owner.as_ref()?.row;
@@ -117,8 +119,8 @@
                 OwnerLease::Held => return None,
                 OwnerLease::Ended => {}
                 OwnerLease::Lapsed { version, ended } => {
-                    let change = Change::PutLease(owner.holder.clone(), ended);
-                    steps.push(Step::new(Condition::Version(version), change));
+                    let change = RowChange::PutLease(owner.holder.clone(), ended);
+                    steps.push(TransactionStep::new(Condition::Version(version), change));
                 }
             }
         }
@@ -143,8 +145,8 @@
 
     /// The job, if it is owned now. After a lost answer it is not treated as owned: the next look
     /// finds the own row and claims it again, which fences whatever the lost claim may still do.
-    pub fn close(self, outcome: &Outcome) -> Option<OwnedJob> {
-        (*outcome == Outcome::Committed).then_some(self.owned)
+    pub fn close(self, outcome: &TransactionOutcome) -> Option<OwnedJob> {
+        (*outcome == TransactionOutcome::Committed).then_some(self.owned)
     }
 }
 
@@ -159,6 +161,6 @@
     Transaction {
         customer: owned.row.customer.clone(),
         job: owned.row.job.clone(),
-        steps: vec![Step::new(condition, Change::PutOwner(row))],
+        steps: vec![TransactionStep::new(condition, RowChange::PutOwner(row))],
     }
 }
--- a/crates/foxtailhold/src/batch/deadline_check.rs
+++ b/crates/foxtailhold/src/batch/deadline_check.rs
@@ -35,7 +35,7 @@
 
 /// The work of one instance and the rate at which it is done.
 #[derive(Debug, Clone, Default)]
-pub struct Landing {
+pub struct DeadlineEstimator {
     jobs: HashMap<JobId, Backlog>,
     sample: Option<Sample>,
     items_per_s: Option<f64>,
@@ -43,11 +43,13 @@
 
 /// Whether a job can be finished by its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum DeadlineCheck {
     /// It can, as far as is known.
-    Lands,
+    #[serde(rename = "Lands")]
+    Feasible,
     /// It cannot.
-    CannotLand {
+    #[serde(rename = "CannotLand")]
+    Infeasible {
         /// Estimated time to finish.
         needed_ms: u64,
         /// When it could be taken; absent where it would be late even alone.
@@ -55,7 +57,7 @@
     },
 }
 
-impl Landing {
+impl DeadlineEstimator {
     /// Notes what a job that runs here still needs.
     pub fn update(&mut self, job: &JobId, backlog: Backlog, now: MonoMs) {
         self.jobs.insert(job.clone(), backlog);
@@ -63,13 +65,13 @@
     }
 
     /// Notes that a job runs here no more.
-    pub fn forget(&mut self, job: &JobId, now: MonoMs) {
+    pub fn remove(&mut self, job: &JobId, now: MonoMs) {
         self.jobs.remove(job);
         self.roll(now);
     }
 
     /// Notes items that ended.
-    pub fn items_ended(&mut self, items: u64) {
+    pub fn record_finished_items(&mut self, items: u64) {
         if let Some(sample) = &mut self.sample {
             sample.items += items;
         }
@@ -113,7 +115,7 @@
 
     /// Judges a job of `items` that must be finished within `window_ms` from `now`. Jobs due before
     /// it go first; of those not yet here, nothing is known.
-    pub fn judge(&self, items: u64, window_ms: u64, now: WallMs) -> Verdict {
+    pub fn check(&self, items: u64, window_ms: u64, now: WallMs) -> DeadlineCheck {
         let deadline_wall_ms = now.0.saturating_add(window_ms);
         let earlier = self.jobs.values();
         let earlier = earlier.filter(|backlog| backlog.deadline_wall_ms <= deadline_wall_ms);
@@ -121,12 +123,12 @@
         let (Some(needed_ms), Some(alone_ms)) =
             (self.needed_ms(ahead + items), self.needed_ms(items))
         else {
-            return Verdict::Lands;
+            return DeadlineCheck::Feasible;
         };
         if needed_ms <= window_ms {
-            return Verdict::Lands;
+            return DeadlineCheck::Feasible;
         }
-        Verdict::CannotLand {
+        DeadlineCheck::Infeasible {
             needed_ms,
             retry_after_ms: (alone_ms <= window_ms).then_some(needed_ms - window_ms),
         }
--- a/crates/foxtailhold/src/batch/execution.rs
+++ b/crates/foxtailhold/src/batch/execution.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::batch::chunk::CommitStep;
+use crate::batch::chunk::ChunkCommitResult;
 use crate::batch::claim::OwnedJob;
 use crate::batch::deadline_check::Backlog;
-use crate::batch::finish::{Finish, FinishStep};
+use crate::batch::finish::{FinishResult, FinishTransaction};
 use crate::batch::rows::{ChunkRow, JobCounts, JobRow, JobStatus};
 use crate::batch::transaction::Versioned;
-use crate::lease::Standing;
+use crate::lease::LeaseState;
 use crate::time::WallMs;
 
 /// How far a started chunk has come.
@@ -24,7 +24,7 @@
 
 /// Why a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum ExecutionEnd {
     /// The job has its final status.
     Finished,
     /// Another instance owns it, or the row is gone.
@@ -33,31 +33,31 @@
 
 /// What to do next.
 #[derive(Debug, Clone)]
-pub enum RunStep {
+pub enum ExecutionStep {
     /// Start the chunk with this index.
-    Start(u32),
+    StartChunk(u32),
     /// Drop every attempt whose items still run; no item of it may start.
-    StopItems(Vec<u32>),
+    StopChunks(Vec<u32>),
     /// Write the final status.
-    Finish(Box<Finish>),
+    Finish(Box<FinishTransaction>),
     /// Wait for a chunk to end, for the lease, or for the deadline.
     Wait,
     /// Drop everything: the run is over.
-    End(RunEnd),
+    End(ExecutionEnd),
 }
 
 /// One owned job in its run.
 #[derive(Debug, Clone)]
-pub struct JobRun {
+pub struct JobExecution {
     owned: OwnedJob,
     counts: JobCounts,
     todo: BTreeSet<u32>,
     started: BTreeMap<u32, Stage>,
     finishing: bool,
-    end: Option<RunEnd>,
+    end: Option<ExecutionEnd>,
 }
 
-impl JobRun {
+impl JobExecution {
     /// A run of a job just claimed, from the chunk rows read after the claim.
     pub fn new(owned: OwnedJob, finished: &[(u32, ChunkRow)]) -> Self {
         let mut todo: BTreeSet<u32> = (0..owned.row.chunks).collect();
@@ -67,7 +67,7 @@
                 counts.add(chunk);
             }
         }
-        JobRun {
+        JobExecution {
             owned,
             counts,
             todo,
@@ -83,14 +83,14 @@
     }
 
     /// What the job still needs, for the judgement of jobs offered.
-    pub fn backlog(&self, standing: Standing) -> Backlog {
+    pub fn backlog(&self, lease_state: LeaseState) -> Backlog {
         let done = self.counts.completed + self.counts.failed;
         let unstarted = self.started.values().any(|stage| *stage == Stage::Items);
         let waiting = unstarted || !self.todo.is_empty();
         Backlog {
             deadline_wall_ms: self.owned.row.deadline_wall_ms,
             items_left: self.owned.row.items.saturating_sub(done),
-            waiting: waiting && standing == Standing::Held,
+            waiting: waiting && lease_state == LeaseState::Held,
         }
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// Whether an item of the job may start.
-    pub fn may_start_items(&self, now: WallMs, standing: Standing) -> bool {
-        self.end.is_none() && standing == Standing::Held && self.status_due(now).is_none()
+    pub fn may_start_items(&self, now: WallMs, lease_state: LeaseState) -> bool {
+        self.end.is_none() && lease_state == LeaseState::Held && self.status_due(now).is_none()
     }
 
     /// The final status that the job has to be given now.
@@ -117,13 +117,13 @@
 
     /// Whether a chunk should be started now: one is left, and every item of the started ones has
     /// been started. So chunks end one after the other, and an owner that dies loses few of them.
-    pub fn wants_room(&self, now: WallMs, standing: Standing) -> bool {
+    pub fn wants_chunk_slot(&self, now: WallMs, lease_state: LeaseState) -> bool {
         let waiting = self.started.values().any(|stage| *stage == Stage::Items);
-        !waiting && !self.todo.is_empty() && self.may_start_items(now, standing)
+        !waiting && !self.todo.is_empty() && self.may_start_items(now, lease_state)
     }
 
     /// Notes that all items of a chunk were started.
-    pub fn drained(&mut self, index: u32) {
+    pub fn all_items_started(&mut self, index: u32) {
         if let Some(stage) = self.started.get_mut(&index)
             && *stage == Stage::Items
         {
@@ -135,42 +135,42 @@
     ///
     /// While the lease has lapsed nothing is started and nothing dropped: results of items that
     /// ended are kept for when it comes back.
-    pub fn step(&mut self, now: WallMs, standing: Standing, room: bool) -> RunStep {
+    pub fn step(&mut self, now: WallMs, lease_state: LeaseState, room: bool) -> ExecutionStep {
         if let Some(end) = self.end {
-            return RunStep::End(end);
+            return ExecutionStep::End(end);
         }
-        if standing == Standing::Lost {
-            self.end = Some(RunEnd::Lost);
-            return RunStep::End(RunEnd::Lost);
+        if lease_state == LeaseState::Lost {
+            self.end = Some(ExecutionEnd::Lost);
+            return ExecutionStep::End(ExecutionEnd::Lost);
         }
         if let Some(status) = self.status_due(now) {
             return self.step_towards(status, now);
         }
-        if !room || !self.wants_room(now, standing) {
-            return RunStep::Wait;
+        if !room || !self.wants_chunk_slot(now, lease_state) {
+            return ExecutionStep::Wait;
         }
         let Some(index) = self.todo.pop_first() else {
-            return RunStep::Wait;
+            return ExecutionStep::Wait;
         };
         self.started.insert(index, Stage::Items);
-        RunStep::Start(index)
+        ExecutionStep::StartChunk(index)
     }
 
     /// A commit on its way may still take effect until its fate is known, unless a cancel fences
     /// it, and the counts of the final row must not miss it.
-    fn step_towards(&mut self, status: JobStatus, now: WallMs) -> RunStep {
+    fn step_towards(&mut self, status: JobStatus, now: WallMs) -> ExecutionStep {
         if self.started.values().any(|stage| *stage != Stage::Commit) {
             return self.stop_items();
         }
         if self.finishing || !self.started.is_empty() {
-            return RunStep::Wait;
+            return ExecutionStep::Wait;
         }
         self.finishing = true;
-        let finish = Finish::by_owner(&self.owned, status, self.counts, now);
-        RunStep::Finish(Box::new(finish))
+        let finish = FinishTransaction::by_owner(&self.owned, status, self.counts, now);
+        ExecutionStep::Finish(Box::new(finish))
     }
 
-    fn stop_items(&mut self) -> RunStep {
+    fn stop_items(&mut self) -> ExecutionStep {
         let mut stopped = Vec::new();
         for (index, stage) in &self.started {
             if *stage != Stage::Commit {
@@ -178,55 +178,55 @@
             }
         }
         if stopped.is_empty() {
-            return RunStep::Wait;
+            return ExecutionStep::Wait;
         }
         for index in &stopped {
             self.started.remove(index);
             self.todo.insert(*index);
         }
-        RunStep::StopItems(stopped)
+        ExecutionStep::StopChunks(stopped)
     }
 
     /// Notes that all items of a chunk ended and its commit is about to be sent.
-    pub fn committing(&mut self, index: u32) {
+    pub fn commit_started(&mut self, index: u32) {
         if let Some(stage) = self.started.get_mut(&index) {
             *stage = Stage::Commit;
         }
     }
 
-    /// Takes the end of a chunk's commit; [`CommitStep::Resend`] changes nothing.
-    pub fn chunk_ended(&mut self, index: u32, chunk: &ChunkRow, step: CommitStep) {
+    /// Takes the end of a chunk's commit; [`ChunkCommitResult::Resend`] changes nothing.
+    pub fn commit_ended(&mut self, index: u32, chunk: &ChunkRow, step: ChunkCommitResult) {
         match step {
-            CommitStep::Resend => return,
-            CommitStep::Committed => self.counts.add(chunk),
-            CommitStep::DoneBefore(found) => self.counts.add(&found),
-            CommitStep::JobChanged(found) => {
+            ChunkCommitResult::Resend => return,
+            ChunkCommitResult::Committed => self.counts.add(chunk),
+            ChunkCommitResult::AlreadyCommitted(found) => self.counts.add(&found),
+            ChunkCommitResult::JobChanged(found) => {
                 self.todo.insert(index);
                 self.job_changed(found);
             }
-            CommitStep::OwnerChanged => self.end = Some(RunEnd::Lost),
+            ChunkCommitResult::OwnerChanged => self.end = Some(ExecutionEnd::Lost),
         }
         self.started.remove(&index);
     }
 
-    /// Takes the end of the final write; [`FinishStep::Resend`] changes nothing.
-    pub fn finish_ended(&mut self, step: FinishStep) {
+    /// Takes the end of the final write; [`FinishResult::Resend`] changes nothing.
+    pub fn finish_ended(&mut self, step: FinishResult) {
         match step {
-            FinishStep::Resend => return,
-            FinishStep::Ended => self.end = Some(RunEnd::Finished),
-            FinishStep::JobChanged(found) => self.job_changed(found),
-            FinishStep::OwnerChanged => self.end = Some(RunEnd::Lost),
+            FinishResult::Resend => return,
+            FinishResult::Ended => self.end = Some(ExecutionEnd::Finished),
+            FinishResult::JobChanged(found) => self.job_changed(found),
+            FinishResult::OwnerChanged => self.end = Some(ExecutionEnd::Lost),
         }
         self.finishing = false;
     }
 
     fn job_changed(&mut self, found: Option<Box<Versioned<JobRow>>>) {
         let Some(found) = found else {
-            self.end = Some(RunEnd::Lost);
+            self.end = Some(ExecutionEnd::Lost);
             return;
         };
         if found.row.status.is_final() {
-            self.end = Some(RunEnd::Finished);
+            self.end = Some(ExecutionEnd::Finished);
             return;
         }
         if found.version > self.owned.job_version {
--- a/crates/foxtailhold/src/batch/finish.rs
+++ b/crates/foxtailhold/src/batch/finish.rs
@@ -4,20 +4,21 @@
 use crate::batch::rows::{JobCounts, JobRow, JobStatus};
 use crate::batch::sweep::SweepRow;
 use crate::batch::transaction::{
-    Change, Condition, FoundRow, Outcome, Step, Transaction, Versioned,
+    Condition, ConflictingRow, RowChange, Transaction, TransactionOutcome, TransactionStep,
+    Versioned,
 };
 use crate::time::WallMs;
 
 /// Writes the final status with the counts of all chunks, once.
 #[derive(Debug, Clone)]
-pub struct Finish {
+pub struct FinishTransaction {
     ended: JobRow,
     transaction: Transaction,
 }
 
 /// What an outcome means.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FinishStep {
+pub enum FinishResult {
     /// The job has this final status, by this transaction or one with the same content.
     Ended,
     /// The job's row has changed; absent where it is gone.
@@ -30,7 +31,7 @@
 
 const JOB_STEP: usize = 0;
 
-impl Finish {
+impl FinishTransaction {
     fn new(
         job: &Versioned<JobRow>,
         owner: Condition,
@@ -49,20 +50,20 @@
             ended_wall_ms: now.0,
         };
         let steps = vec![
-            Step::new(
+            TransactionStep::new(
                 Condition::Version(job.version),
-                Change::PutJob(ended.clone()),
+                RowChange::PutJob(ended.clone()),
             ),
-            Step::new(owner, Change::DeleteOwner),
-            Step::new(Condition::Any, Change::DeleteOpen),
-            Step::new(Condition::Any, Change::PutSweep(sweep)),
+            TransactionStep::new(owner, RowChange::DeleteOwner),
+            TransactionStep::new(Condition::Any, RowChange::DeleteOpen),
+            TransactionStep::new(Condition::Any, RowChange::PutSweep(sweep)),
         ];
         let transaction = Transaction {
             customer: ended.customer.clone(),
             job: ended.job.clone(),
             steps,
         };
-        Finish { ended, transaction }
+        FinishTransaction { ended, transaction }
     }
 
     /// By the owner of the job.
@@ -72,13 +73,13 @@
             row: owned.row.clone(),
         };
         let owner = Condition::Version(owned.owner_version);
-        Finish::new(&job, owner, status, counts, now)
+        FinishTransaction::new(&job, owner, status, counts, now)
     }
 
     /// Of a job whose cancel is committed and whose owner, if any, has stopped it. From the cancel
     /// on no chunk can be committed, so `counts` may be read at any time after it.
     pub fn cancelled(job: &Versioned<JobRow>, counts: JobCounts, now: WallMs) -> Self {
-        Finish::new(job, Condition::Any, JobStatus::Cancelled, counts, now)
+        FinishTransaction::new(job, Condition::Any, JobStatus::Cancelled, counts, now)
     }
 
     /// The job's row as it will be.
@@ -92,21 +93,21 @@
     }
 
     /// Takes what became of the transaction.
-    pub fn on(&self, outcome: Outcome) -> FinishStep {
+    pub fn handle_outcome(&self, outcome: TransactionOutcome) -> FinishResult {
         match outcome {
-            Outcome::Committed => FinishStep::Ended,
-            Outcome::Unavailable | Outcome::Unknown => FinishStep::Resend,
-            Outcome::Conflict {
+            TransactionOutcome::Committed => FinishResult::Ended,
+            TransactionOutcome::Unavailable | TransactionOutcome::Unknown => FinishResult::Resend,
+            TransactionOutcome::Conflict {
                 step: JOB_STEP,
-                found: FoundRow::Job(found),
+                found: ConflictingRow::Job(found),
             } => {
                 if found.row == self.ended {
-                    return FinishStep::Ended;
+                    return FinishResult::Ended;
                 }
-                FinishStep::JobChanged(Some(found))
+                FinishResult::JobChanged(Some(found))
             }
-            Outcome::Conflict { step: JOB_STEP, .. } => FinishStep::JobChanged(None),
-            Outcome::Conflict { .. } => FinishStep::OwnerChanged,
+            TransactionOutcome::Conflict { step: JOB_STEP, .. } => FinishResult::JobChanged(None),
+            TransactionOutcome::Conflict { .. } => FinishResult::OwnerChanged,
         }
     }
 }
--- a/crates/foxtailhold/src/batch/mod.rs
+++ b/crates/foxtailhold/src/batch/mod.rs
@@ -23,7 +23,7 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-pub use rows::{ChunkRow, JobCounts, JobRow, JobStatus, OpenRow, OwnerRow};
+pub use rows::{ChunkRow, JobCounts, JobRow, JobStatus, OpenJobRow, OwnerRow};
 
 /// Most items in one chunk.
 pub const MAX_CHUNK_ITEMS: usize = 200;
@@ -32,7 +32,7 @@
 /// Most items in one job.
 pub const MAX_JOB_ITEMS: u64 = 200_000;
 /// Tries of one item on different backend servers before it ends as failed.
-pub const MAX_ITEM_TRIES: u32 = 4;
+pub const MAX_ITEM_ATTEMPTS: u32 = 4;
 
 /// Result of checking batch input.
 pub type Result<T> = std::result::Result<T, BatchError>;
@@ -154,23 +154,23 @@
 
 /// Cuts a file into parts at line ends.
 #[derive(Debug, Default)]
-pub struct PartCutter {
+pub struct PartSplitter {
     pending: Vec<u8>,
     lines: usize,
 }
 
 /// One part of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct FilePart {
     /// Whole lines.
     pub bytes: Vec<u8>,
     /// How many lines that are not blank.
     pub lines: usize,
 }
 
-impl PartCutter {
+impl PartSplitter {
     /// Takes the next bytes and returns the parts that became full.
-    pub fn push(&mut self, bytes: &[u8]) -> Vec<Part> {
+    pub fn push(&mut self, bytes: &[u8]) -> Vec<FilePart> {
         let mut full = Vec::new();
         for line in bytes.split_inclusive(|byte| *byte == b'\n') {
             self.pending.extend_from_slice(line);
@@ -186,11 +186,11 @@
     }
 
     /// The last part, if anything is left.
-    pub fn finish(mut self) -> Option<Part> {
+    pub fn finish(mut self) -> Option<FilePart> {
         self.take()
     }
 
-    fn take(&mut self) -> Option<Part> {
+    fn take(&mut self) -> Option<FilePart> {
         let bytes = std::mem::take(&mut self.pending);
         self.lines = 0;
         if bytes.is_empty() {
@@ -200,6 +200,6 @@
             .split(|byte| *byte == b'\n')
             .filter(|line| !line.trim_ascii().is_empty())
             .count();
-        Some(Part { bytes, lines })
+        Some(FilePart { bytes, lines })
     }
 }
--- a/crates/foxtailhold/src/batch/registry.rs
+++ b/crates/foxtailhold/src/batch/registry.rs
@@ -12,7 +12,7 @@
 
 /// The jobs of one instance.
 #[derive(Debug, Clone, Default)]
-pub struct Registry {
+pub struct JobRegistry {
     /// Jobs that run, with the status under which they were claimed.
     running: HashMap<JobId, JobStatus>,
     looking: bool,
@@ -22,19 +22,19 @@
 
 /// What a stop has to wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StopStep {
+pub enum StopAction {
     /// Nothing: no item runs or will run.
     Stopped,
     /// The run has to be stopped; its end settles the stop.
-    StopRun,
+    StopExecution,
     /// The look in flight; its end settles the stop.
-    AwaitLook,
+    AwaitScan,
 }
 
-impl Registry {
+impl JobRegistry {
     /// Begins a look at open jobs, unless one is in flight or jobs are no longer taken. Gives the
     /// jobs to leave out because they run.
-    pub fn begin_look(&mut self) -> Option<Vec<JobId>> {
+    pub fn begin_scan(&mut self) -> Option<Vec<JobId>> {
         if self.looking || self.closed {
             return None;
         }
@@ -44,7 +44,7 @@
 
     /// Ends a look that claimed `claimed`. Gives the jobs to start; the others were stopped while
     /// the look was in flight, and are to be given up.
-    pub fn end_look(&mut self, claimed: &[OwnedJob]) -> HashSet<JobId> {
+    pub fn end_scan(&mut self, claimed: &[OwnedJob]) -> HashSet<JobId> {
         self.looking = false;
         let kept_out = std::mem::take(&mut self.kept_out);
         let mut started = HashSet::new();
@@ -72,15 +72,15 @@
     }
 
     /// Stops a job.
-    pub fn stop(&mut self, job: &JobId) -> StopStep {
+    pub fn stop(&mut self, job: &JobId) -> StopAction {
         if self.running.contains_key(job) {
-            return StopStep::StopRun;
+            return StopAction::StopExecution;
         }
         if self.looking {
             self.kept_out.insert(job.clone());
-            return StopStep::AwaitLook;
+            return StopAction::AwaitScan;
         }
-        StopStep::Stopped
+        StopAction::Stopped
     }
 
     /// Notes the end of a run.
--- a/crates/foxtailhold/src/batch/rows.rs
+++ b/crates/foxtailhold/src/batch/rows.rs
@@ -86,7 +86,7 @@
 
 /// A job that is not finished, as the periodic scan reads it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenRow {
+pub struct OpenJobRow {
     /// The job.
     pub job: JobId,
     /// Items in all chunks.
@@ -130,10 +130,10 @@
     pub bytes: u64,
 }
 
-impl OpenRow {
+impl OpenJobRow {
     /// The row of a job that was just accepted.
     pub fn accepted(row: &JobRow) -> Self {
-        OpenRow {
+        OpenJobRow {
             job: row.job.clone(),
             items: row.items,
             deadline_wall_ms: row.deadline_wall_ms,
@@ -143,9 +143,9 @@
 
     /// The row of a job whose cancel is committed.
     pub fn cancelling(row: &JobRow) -> Self {
-        OpenRow {
+        OpenJobRow {
             cancelling: true,
-            ..OpenRow::accepted(row)
+            ..OpenJobRow::accepted(row)
         }
     }
 }
--- a/crates/foxtailhold/src/batch/transaction.rs
+++ b/crates/foxtailhold/src/batch/transaction.rs
@@ -1,9 +1,9 @@
 //! Typed transactions on the rows of one batch job, and what becomes of them.
 //!
 //! The machines of this folder yield a [`Transaction`]; the caller sends it to the table service
-//! and feeds the [`Outcome`] back. Nothing here knows names of tables or keys.
+//! and feeds the [`TransactionOutcome`] back. Nothing here knows names of tables or keys.
 
-use crate::batch::rows::{ChunkRow, JobRow, OpenRow, OwnerRow};
+use crate::batch::rows::{ChunkRow, JobRow, OpenJobRow, OwnerRow};
 use crate::batch::sweep::SweepRow;
 use crate::ids::{CustomerId, InstanceId, JobId};
 use crate::lease_row::LeaseRow;
@@ -37,13 +37,13 @@
 
 /// What a step does to its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum RowChange {
     /// Only checks the job's row.
     CheckJob,
     /// Writes the job's row.
     PutJob(JobRow),
     /// Writes the row in the list of open jobs.
-    PutOpen(OpenRow),
+    PutOpen(OpenJobRow),
     /// Takes the job off the list of open jobs.
     DeleteOpen,
     /// Only checks the owner's row.
@@ -62,17 +62,17 @@
 
 /// One step of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Step {
+pub struct TransactionStep {
     /// What must hold.
     pub condition: Condition,
     /// What is done.
-    pub change: Change,
+    pub change: RowChange,
 }
 
-impl Step {
+impl TransactionStep {
     /// A step.
-    pub fn new(condition: Condition, change: Change) -> Self {
-        Step { condition, change }
+    pub fn new(condition: Condition, change: RowChange) -> Self {
+        TransactionStep { condition, change }
     }
 }
 
@@ -84,12 +84,12 @@
     /// The job.
     pub job: JobId,
     /// The steps.
-    pub steps: Vec<Step>,
+    pub steps: Vec<TransactionStep>,
 }
 
 /// A row found where a condition failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FoundRow {
+pub enum ConflictingRow {
     /// No row.
     None,
     /// The job's row.
@@ -102,7 +102,7 @@
 
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     /// All steps took effect.
     Committed,
     /// None took effect.
@@ -110,7 +110,7 @@
         /// The first step whose condition failed.
         step: usize,
         /// The row it found.
-        found: FoundRow,
+        found: ConflictingRow,
     },
     /// It had no effect and will have none.
     Unavailable,
--- a/crates/foxtailhold/src/idempotency.rs
+++ b/crates/foxtailhold/src/idempotency.rs
@@ -1,6 +1,6 @@
 //! Requests that must not be repeated: claimed in the table service before the first byte is sent.
 //!
-//! One attempt is one [`Claimer`]. It writes its claim under (customer, idempotency key), and only
+//! One attempt is one [`ClaimAttempt`]. It writes its claim under (customer, idempotency key), and only
 //! the attempt that holds the claim may send the request, once. A claim is never deleted by its
 //! attempt but overwritten as released: the row's version goes on rising, so that a write that the
 //! store applies late finds another version and does nothing.
@@ -11,7 +11,7 @@
 
 pub mod release;
 
-pub use release::{Release, ReleaseStep};
+pub use release::{ClaimRelease, ReleaseStep};
 
 /// Tries to write a claim while answers are lost.
 pub const MAX_CLAIM_TRIES: u32 = 3;
@@ -85,7 +85,7 @@
 
 /// What a write expects of the row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expected {
+pub enum ExpectedVersion {
     /// No row.
     Absent,
     /// Exactly this version.
@@ -94,7 +94,7 @@
 
 /// A row as it was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Found {
+pub struct FoundClaim {
     /// Its version.
     pub version: u64,
     /// Its value.
@@ -103,11 +103,11 @@
 
 /// What became of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect.
     Committed,
     /// The row was not as expected.
-    Conflict(Option<Found>),
+    Conflict(Option<FoundClaim>),
     /// It had no effect and will have none.
     NoEffect,
     /// The answer was lost: it may have taken effect, or may still.
@@ -128,14 +128,14 @@
 /// What an attempt does next.
 #[derive(Debug)]
 pub enum ClaimStep {
-    /// Write [`Claimer::row`], expecting [`Claimer::expected`].
-    Write(Claimer),
+    /// Write [`ClaimAttempt::row`], expecting [`ClaimAttempt::expected`].
+    Write(ClaimAttempt),
     /// The claim is held: send once.
     Held(HeldClaim),
     /// Give the stored answer.
     Answer(ClaimRow, StoredAnswer),
     /// Refuse; where a release is given, the claim may still appear and is released later.
-    Refuse(ClaimRefusal, Option<Release>),
+    Refuse(ClaimRefusal, Option<ClaimRelease>),
 }
 
 /// Both clocks before the first write of a claim. The wall clock is asked too, because the
@@ -155,9 +155,9 @@
 
 /// One attempt before it holds the claim.
 #[derive(Debug)]
-pub struct Claimer {
+pub struct ClaimAttempt {
     row: ClaimRow,
-    expected: Expected,
+    expected: ExpectedVersion,
     /// Both clocks before the first write was sent.
     first_write: Option<ClaimedAt>,
     tries: u32,
@@ -165,17 +165,17 @@
     uncertain: bool,
 }
 
-impl Claimer {
+impl ClaimAttempt {
     /// An attempt with a `claim_id` of its own.
     pub fn new(claim_id: String, digest: String) -> Self {
-        Claimer {
+        ClaimAttempt {
             row: ClaimRow {
                 claim_id,
                 digest,
                 written_at: WallMs::default(),
                 state: ClaimState::Claimed,
             },
-            expected: Expected::Absent,
+            expected: ExpectedVersion::Absent,
             first_write: None,
             tries: 0,
             uncertain: false,
@@ -190,28 +190,28 @@
     }
 
     /// What the write expects.
-    pub fn expected(&self) -> Expected {
+    pub fn expected(&self) -> ExpectedVersion {
         self.expected
     }
 
     /// Takes the result of the write.
-    pub fn written(mut self, written: Written) -> ClaimStep {
+    pub fn handle_write(mut self, written: WriteOutcome) -> ClaimStep {
         self.tries += 1;
         match written {
-            Written::Committed => {
+            WriteOutcome::Committed => {
                 let version = match self.expected {
-                    Expected::Absent => 1,
-                    Expected::Version(version) => version + 1,
+                    ExpectedVersion::Absent => 1,
+                    ExpectedVersion::Version(version) => version + 1,
                 };
                 self.held(version)
             }
-            Written::Conflict(Some(found)) => self.found(found),
-            Written::Conflict(None) => {
-                self.expected = Expected::Absent;
+            WriteOutcome::Conflict(Some(found)) => self.found(found),
+            WriteOutcome::Conflict(None) => {
+                self.expected = ExpectedVersion::Absent;
                 self.again()
             }
-            Written::NoEffect => self.refuse(),
-            Written::Unknown => {
+            WriteOutcome::NoEffect => self.refuse(),
+            WriteOutcome::Unknown => {
                 self.uncertain = true;
                 self.again()
             }
@@ -234,8 +234,8 @@
         ClaimStep::Write(self)
     }
 
-    fn found(mut self, found: Found) -> ClaimStep {
-        let Found { version, row } = found;
+    fn found(mut self, found: FoundClaim) -> ClaimStep {
+        let FoundClaim { version, row } = found;
         if row.claim_id == self.row.claim_id {
             return match row.state {
                 ClaimState::Claimed => self.held(version),
@@ -245,7 +245,7 @@
         if row.state == ClaimState::Released {
             // An earlier write of this attempt expected a version that is gone.
             self.uncertain = false;
-            self.expected = Expected::Version(version);
+            self.expected = ExpectedVersion::Version(version);
             return self.again();
         }
         if row.digest != self.row.digest {
@@ -261,7 +261,7 @@
         let claimed_at = self.first_write.unwrap_or_default();
         let release = self
             .uncertain
-            .then(|| Release::uncertain(self.row, claimed_at, self.expected));
+            .then(|| ClaimRelease::uncertain(self.row, claimed_at, self.expected));
         ClaimStep::Refuse(ClaimRefusal::StoreUnavailable, release)
     }
 }
@@ -287,18 +287,18 @@
     }
 
     /// Ends the attempt: no byte was sent, and none will be.
-    pub fn not_sent(self) -> Release {
-        Release::held(self.row, self.claimed_at, self.version)
+    pub fn into_release(self) -> ClaimRelease {
+        ClaimRelease::held(self.row, self.claimed_at, self.version)
     }
 
     /// Ends the attempt with the whole answer: the row to write and the version it replaces.
-    pub fn answered(self, answer: StoredAnswer, wall: WallMs) -> (ClaimRow, Expected) {
+    pub fn answered(self, answer: StoredAnswer, wall: WallMs) -> (ClaimRow, ExpectedVersion) {
         let row = ClaimRow {
             written_at: wall,
             state: ClaimState::Answered(answer),
             ..self.row
         };
-        (row, Expected::Version(self.version))
+        (row, ExpectedVersion::Version(self.version))
     }
 }
 
--- a/crates/foxtailhold/src/idempotency/release.rs
+++ b/crates/foxtailhold/src/idempotency/release.rs
@@ -1,17 +1,17 @@
 //! Releasing a claim whose request was not sent, so that a resend can run.
 
 use crate::idempotency::{
-    ClaimRow, ClaimState, ClaimedAt, Expected, Found, RELEASE_WITHIN_MS, Written,
+    ClaimRow, ClaimState, ClaimedAt, ExpectedVersion, FoundClaim, RELEASE_WITHIN_MS, WriteOutcome,
 };
 use crate::time::{MonoMs, WallMs};
 
 /// What a release does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReleaseStep {
-    /// Read the row, then [`Release::found`].
+    /// Read the row, then [`ClaimRelease::handle_read`].
     Read,
-    /// Write [`Release::row`], expecting this, then [`Release::written`].
-    Write(Expected),
+    /// Write [`ClaimRelease::row`], expecting this, then [`ClaimRelease::handle_write`].
+    Write(ExpectedVersion),
     /// Nothing is left to do.
     Done,
 }
@@ -19,29 +19,33 @@
 /// The release of one attempt's claim. It only ever replaces that claim, or the place where it
 /// could still appear.
 #[derive(Debug, Clone)]
-pub struct Release {
+pub struct ClaimRelease {
     row: ClaimRow,
     claimed_at: ClaimedAt,
     /// The claim's version, where it is known to be in the table.
     version: Option<u64>,
     /// What the write of the claim expected.
-    expected: Expected,
+    expected: ExpectedVersion,
 }
 
-impl Release {
+impl ClaimRelease {
     /// Of a claim known to be in the table with `version`.
     pub(super) fn held(row: ClaimRow, claimed_at: ClaimedAt, version: u64) -> Self {
-        Release {
+        ClaimRelease {
             row,
             claimed_at,
             version: Some(version),
-            expected: Expected::Version(version),
+            expected: ExpectedVersion::Version(version),
         }
     }
 
     /// Of a claim that may appear later, by a write that expected `expected`.
-    pub(super) fn uncertain(row: ClaimRow, claimed_at: ClaimedAt, expected: Expected) -> Self {
-        Release {
+    pub(super) fn uncertain(
+        row: ClaimRow,
+        claimed_at: ClaimedAt,
+        expected: ExpectedVersion,
+    ) -> Self {
+        ClaimRelease {
             row,
             claimed_at,
             version: None,
@@ -64,20 +68,20 @@
     /// The first step, and the next one after a failed read.
     pub fn start(&self) -> ReleaseStep {
         match self.version {
-            Some(version) => ReleaseStep::Write(Expected::Version(version)),
+            Some(version) => ReleaseStep::Write(ExpectedVersion::Version(version)),
             None => ReleaseStep::Read,
         }
     }
 
     /// Takes the row as it was found.
-    pub fn found(&self, found: Option<&Found>) -> ReleaseStep {
+    pub fn handle_read(&self, found: Option<&FoundClaim>) -> ReleaseStep {
         let Some(found) = found else {
             return match self.expected {
-                Expected::Absent => ReleaseStep::Write(Expected::Absent),
-                Expected::Version(_) => ReleaseStep::Done,
+                ExpectedVersion::Absent => ReleaseStep::Write(ExpectedVersion::Absent),
+                ExpectedVersion::Version(_) => ReleaseStep::Done,
             };
         };
-        let here = Expected::Version(found.version);
+        let here = ExpectedVersion::Version(found.version);
         let own = found.row.claim_id == self.row.claim_id;
         if own && found.row.state == ClaimState::Claimed {
             return ReleaseStep::Write(here);
@@ -90,11 +94,13 @@
     }
 
     /// Takes the result of the write.
-    pub fn written(&self, written: Written) -> ReleaseStep {
+    pub fn handle_write(&self, written: WriteOutcome) -> ReleaseStep {
         match (written, self.version) {
-            (Written::Committed, _) | (Written::Conflict(_), Some(_)) => ReleaseStep::Done,
-            (Written::Conflict(found), None) => self.found(found.as_ref()),
-            (Written::NoEffect | Written::Unknown, _) => self.start(),
+            (WriteOutcome::Committed, _) | (WriteOutcome::Conflict(_), Some(_)) => {
+                ReleaseStep::Done
+            }
+            (WriteOutcome::Conflict(found), None) => self.handle_read(found.as_ref()),
+            (WriteOutcome::NoEffect | WriteOutcome::Unknown, _) => self.start(),
         }
     }
 }
--- a/crates/foxtailhold/src/ids.rs
+++ b/crates/foxtailhold/src/ids.rs
@@ -121,7 +121,7 @@
     /// The identifier of one start of a backend server that keeps its identity when it starts again.
     /// Whatever is known of one start, by this identifier, says nothing of another. Where the start is
     /// not known (0) the identity stands for it.
-    pub fn of_start(identity: &BackendId, started_unix_ms: u64) -> Result<Self> {
+    pub fn for_start(identity: &BackendId, started_unix_ms: u64) -> Result<Self> {
         if started_unix_ms == 0 {
             return Ok(identity.clone());
         }
--- a/crates/foxtailhold/src/item_duration.rs
+++ b/crates/foxtailhold/src/item_duration.rs
@@ -13,28 +13,28 @@
 
 /// Running means over batch items.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ItemPace {
+pub struct ItemDurationEstimate {
     events: f64,
     event_ms: f64,
 }
 
-impl Default for ItemPace {
+impl Default for ItemDurationEstimate {
     fn default() -> Self {
-        ItemPace {
+        ItemDurationEstimate {
             events: FIRST_GUESS_EVENTS,
             event_ms: FIRST_GUESS_EVENT_MS,
         }
     }
 }
 
-impl ItemPace {
+impl ItemDurationEstimate {
     /// Notes that an item finished with so many events.
-    pub fn finished(&mut self, events: u64) {
+    pub fn record_finished(&mut self, events: u64) {
         self.events += WEIGHT * (events as f64 - self.events);
     }
 
     /// Notes a run of so many events.
-    pub fn ran(&mut self, events: u64, took_ms: u64) {
+    pub fn record_attempt(&mut self, events: u64, took_ms: u64) {
         if events == 0 {
             return;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Time that an item with so many events still needs.
-    pub fn left_ms(&self, events: u64) -> u64 {
+    pub fn remaining_ms(&self, events: u64) -> u64 {
         let left = (self.events - events as f64).max(self.events * LEAST_LEFT_SHARE);
         (START_MS + left * self.event_ms) as u64
     }
--- a/crates/foxtailhold/src/lease.rs
+++ b/crates/foxtailhold/src/lease.rs
@@ -4,7 +4,7 @@
 //! (Gray and Cheriton, "Leases", 1989), and stops acting a margin before the end. Another instance
 //! may take over only after it has seen the row unchanged for the whole term on its own clock.
 
-use crate::batch::transaction::{Condition, Outcome, Versioned};
+use crate::batch::transaction::{Condition, TransactionOutcome, Versioned};
 use crate::ids::InstanceId;
 use crate::lease_row::LeaseRow;
 use crate::time::MonoMs;
@@ -36,12 +36,12 @@
     /// The fencing number, while the holder may act at `now`.
     pub fn epoch_at(&self, now: MonoMs) -> Option<u64> {
         let (epoch, _) = self.held?;
-        (now < self.acts_until(epoch)?).then_some(epoch)
+        (now < self.valid_until(epoch)?).then_some(epoch)
     }
 
     /// Until when the holder may act on work owned under `epoch`; `None` where it holds nothing, or
     /// another epoch.
-    pub fn acts_until(&self, epoch: u64) -> Option<MonoMs> {
+    pub fn valid_until(&self, epoch: u64) -> Option<MonoMs> {
         let (held, sent_at) = self.held?;
         (held == epoch).then_some(sent_at + (LEASE_TERM_MS - LEASE_MARGIN_MS))
     }
@@ -49,7 +49,7 @@
 
 /// How an owner stands towards work owned under an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     /// It may act.
     Held,
     /// It may not act now; the lease may come back under the same epoch.
@@ -60,11 +60,11 @@
 
 impl HeldLease {
     /// How the holder stands towards work owned under `epoch`.
-    pub fn standing(&self, epoch: u64, now: MonoMs) -> Standing {
+    pub fn lease_state(&self, epoch: u64, now: MonoMs) -> LeaseState {
         match self.held {
-            Some((held, _)) if held != epoch => Standing::Lost,
-            _ if self.epoch_at(now).is_some() => Standing::Held,
-            _ => Standing::Lapsed,
+            Some((held, _)) if held != epoch => LeaseState::Lost,
+            _ if self.epoch_at(now).is_some() => LeaseState::Held,
+            _ => LeaseState::Lapsed,
         }
     }
 }
@@ -75,7 +75,7 @@
 /// marked as ended, also after a gap longer than the term: a take-over would have marked the row,
 /// and the renewal is conditional on the row's version.
 #[derive(Debug, Clone)]
-pub struct LeaseKeeper {
+pub struct LeaseRenewer {
     me: InstanceId,
     held: HeldLease,
     epoch: Option<u64>,
@@ -93,10 +93,10 @@
     version: u64,
 }
 
-impl LeaseKeeper {
+impl LeaseRenewer {
     /// The keeper of an instance that has just started.
     pub fn new(me: InstanceId) -> Self {
-        LeaseKeeper {
+        LeaseRenewer {
             me,
             held: HeldLease::default(),
             epoch: None,
@@ -167,9 +167,9 @@
 
     /// Takes what became of a renewal. After a lost answer or a conflict the row is read anew;
     /// until then the holder acts on what it was granted before.
-    pub fn on(&mut self, renewal: Renewal, outcome: &Outcome) {
+    pub fn handle_outcome(&mut self, renewal: Renewal, outcome: &TransactionOutcome) {
         match outcome {
-            Outcome::Committed => {
+            TransactionOutcome::Committed => {
                 self.epoch = Some(renewal.row.epoch);
                 self.held.renewed(renewal.row.epoch, renewal.sent_at);
                 self.known = Some(Versioned {
@@ -177,7 +177,9 @@
                     row: renewal.row,
                 });
             }
-            Outcome::Conflict { .. } | Outcome::Unavailable | Outcome::Unknown => {}
+            TransactionOutcome::Conflict { .. }
+            | TransactionOutcome::Unavailable
+            | TransactionOutcome::Unknown => {}
         }
     }
 }
@@ -200,7 +202,7 @@
 
     /// Notes a later reading, answered at `answered_at`. The time before the read was sent would
     /// be too early: the holder may have sent its renewal after that.
-    pub fn seen(&mut self, version: u64, answered_at: MonoMs) {
+    pub fn observe(&mut self, version: u64, answered_at: MonoMs) {
         if version == self.version {
             return;
         }
--- a/crates/foxtailhold/src/limits/views.rs
+++ b/crates/foxtailhold/src/limits/views.rs
@@ -59,7 +59,7 @@
 
     /// The home of a customer's limits.
     pub fn home(&self, customer: &CustomerId) -> Option<&InstanceId> {
-        rendezvous::home(&self.members, customer.as_str().as_bytes())
+        rendezvous::select(&self.members, customer.as_str().as_bytes())
     }
 
     /// Whether it is this instance.
@@ -77,7 +77,7 @@
         let mut until = self.started_at + LEASE_MS;
         let key = customer.as_str().as_bytes();
         for view in &self.past {
-            if rendezvous::home(&view.members, key) != Some(&self.me) {
+            if rendezvous::select(&view.members, key) != Some(&self.me) {
                 until = until.max(view.ended_at + LEASE_MS);
             }
         }
--- a/crates/foxtailhold/src/orders.rs
+++ b/crates/foxtailhold/src/orders.rs
@@ -15,7 +15,7 @@
 
 use crate::ids::{BackendId, IdError, TargetName};
 
-pub use issuer::{Action, Giver, LeaseWrite};
+pub use issuer::{IssuerAction, LeaseWrite, OrderIssuer};
 
 /// Assumed of the deployment: an order has reached the engine or is lost this long after its giver
 /// last checked its lease. It only matters for engines that ignore fencing numbers.
@@ -78,16 +78,16 @@
 
 /// Whether an engine refuses an order with an old fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Fencing {
+pub enum FencingCheck {
     /// It refuses.
-    Checked,
+    Enforced,
     /// It ignores the number.
     Ignored,
 }
 
 /// The wanted state's row at some version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredSetup {
     /// Version of the row; it rises with each change.
     pub version: u64,
     /// The wanted state.
@@ -96,7 +96,7 @@
 
 impl Order {
     /// Whether an engine that took `taken` before has to refuse this.
-    pub fn is_old(&self, taken: &EngineState) -> bool {
+    pub fn is_stale(&self, taken: &EngineState) -> bool {
         self.fencing < taken.fencing
     }
 }
@@ -104,7 +104,7 @@
 /// What became of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// The engine took it.
     Taken,
     /// The engine refused its fencing number.
@@ -117,7 +117,7 @@
 
 /// What became of a write of the lease's row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseWritten {
+pub enum LeaseWriteOutcome {
     /// It took effect.
     Committed,
     /// It had no effect: a row was not as expected, or the store refused.
@@ -128,38 +128,38 @@
 
 /// Which engines refuse an order with an old fencing number.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CheckingEngines {
+pub enum FencingEngines {
     /// All of them.
     All,
     /// Only these; none where the list is empty.
     Listed(BTreeSet<BackendId>),
 }
 
-impl CheckingEngines {
+impl FencingEngines {
     /// Whether `backend` checks.
-    pub fn of(&self, backend: &BackendId) -> Fencing {
+    pub fn fencing_check(&self, backend: &BackendId) -> FencingCheck {
         match self {
-            CheckingEngines::All => Fencing::Checked,
-            CheckingEngines::Listed(listed) if listed.contains(backend) => Fencing::Checked,
-            CheckingEngines::Listed(_) => Fencing::Ignored,
+            FencingEngines::All => FencingCheck::Enforced,
+            FencingEngines::Listed(listed) if listed.contains(backend) => FencingCheck::Enforced,
+            FencingEngines::Listed(_) => FencingCheck::Ignored,
         }
     }
 }
 
-impl TryFrom<&str> for CheckingEngines {
+impl TryFrom<&str> for FencingEngines {
     type Error = IdError;
 
     /// Reads `all`, `none` or identifiers with commas between them.
     fn try_from(text: &str) -> Result<Self, IdError> {
         match text {
-            "all" => return Ok(CheckingEngines::All),
-            "none" => return Ok(CheckingEngines::Listed(BTreeSet::new())),
+            "all" => return Ok(FencingEngines::All),
+            "none" => return Ok(FencingEngines::Listed(BTreeSet::new())),
             _ => {}
         }
         let mut listed = BTreeSet::new();
         for id in text.split(',') {
             listed.insert(BackendId::try_from(id.trim())?);
         }
-        Ok(CheckingEngines::Listed(listed))
+        Ok(FencingEngines::Listed(listed))
     }
 }
--- a/crates/foxtailhold/src/orders/issuer.rs
+++ b/crates/foxtailhold/src/orders/issuer.rs
@@ -1,28 +1,28 @@
 //! The giver's side of the orders to one engine. One action is outstanding at a time.
 
-use crate::idempotency::Expected;
+use crate::idempotency::ExpectedVersion;
 use crate::ids::InstanceId;
 use crate::lease::{HeldLease, LEASE_MARGIN_MS, LEASE_RENEW_MS, WatchedLease};
 use crate::lease_row::LeaseRow;
 use crate::orders::{
-    EngineState, Fencing, LONGEST_FLIGHT_MS, LOOK_PERIOD_MS, LeaseWritten, Order, Ordered,
-    RETRY_MS, SETTLED_PERIOD_MS, Wanted,
+    DesiredSetup, EngineState, FencingCheck, LONGEST_FLIGHT_MS, LOOK_PERIOD_MS, LeaseWriteOutcome,
+    Order, OrderOutcome, RETRY_MS, SETTLED_PERIOD_MS,
 };
 use crate::time::MonoMs;
 
 /// What a giver does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Action {
+pub enum IssuerAction {
     /// Nothing now.
     Wait,
-    /// Read the lease's row, then [`Giver::lease_read`].
+    /// Read the lease's row, then [`OrderIssuer::lease_read`].
     ReadLease,
-    /// Write the lease's row, then [`Giver::lease_written`].
+    /// Write the lease's row, then [`OrderIssuer::lease_written`].
     WriteLease(LeaseWrite),
-    /// Read the engine's state, then [`Giver::looked`].
-    Look,
-    /// Send an order at once, then [`Giver::ordered`].
-    Order(Order),
+    /// Read the engine's state, then [`OrderIssuer::engine_read`].
+    ReadEngine,
+    /// Send an order at once, then [`OrderIssuer::order_sent`].
+    SendOrder(Order),
 }
 
 /// A write of the lease's row.
@@ -31,9 +31,9 @@
     /// The row.
     pub row: LeaseRow,
     /// What is expected of it.
-    pub expected: Expected,
+    pub expected: ExpectedVersion,
     /// The version that the wanted state's row must have, for a new fencing number.
-    pub wanted_version: Option<u64>,
+    pub desired_version: Option<u64>,
 }
 
 /// What is known of the lease's row.
@@ -55,9 +55,9 @@
 
 /// Steers one engine towards its wanted state.
 #[derive(Debug, Clone)]
-pub struct Giver {
+pub struct OrderIssuer {
     me: InstanceId,
-    fencing: Fencing,
+    fencing: FencingCheck,
     lease: Lease,
     held: HeldLease,
     renewed_at: MonoMs,
@@ -79,10 +79,10 @@
     retry_at: MonoMs,
 }
 
-impl Giver {
+impl OrderIssuer {
     /// A giver that knows nothing yet.
-    pub fn new(me: InstanceId, fencing: Fencing) -> Self {
-        Giver {
+    pub fn new(me: InstanceId, fencing: FencingCheck) -> Self {
+        OrderIssuer {
             me,
             fencing,
             lease: Lease::Unknown,
@@ -107,26 +107,26 @@
     }
 
     /// What to do at `now`. `wanted` is `None` where this instance is not to give orders.
-    pub fn next(&mut self, now: MonoMs, wanted: Option<&Wanted>) -> Action {
+    pub fn next(&mut self, now: MonoMs, wanted: Option<&DesiredSetup>) -> IssuerAction {
         let Some(wanted) = wanted else {
             return self.finish(now);
         };
         if now < self.retry_at {
-            return Action::Wait;
+            return IssuerAction::Wait;
         }
         let Some((looked_at, state)) = &self.looked else {
-            return Action::Look;
+            return IssuerAction::ReadEngine;
         };
         let looked_ago_ms = now.since_ms(*looked_at);
         if self.is_settled(wanted, state) {
             self.settled = Some(wanted.version);
             if looked_ago_ms > SETTLED_PERIOD_MS {
-                return Action::Look;
+                return IssuerAction::ReadEngine;
             }
             return self.finish(now);
         }
         if looked_ago_ms > LOOK_PERIOD_MS {
-            return Action::Look;
+            return IssuerAction::ReadEngine;
         }
         let Some(epoch) = self.held.epoch_at(now) else {
             return self.take(now, wanted);
@@ -142,48 +142,48 @@
 
     /// A checking engine has the wanted state only once an order for this version was taken: that
     /// order also keeps out what earlier givers still have on the way.
-    fn is_settled(&self, wanted: &Wanted, state: &EngineState) -> bool {
+    fn is_settled(&self, wanted: &DesiredSetup, state: &EngineState) -> bool {
         if state.in_effect.as_ref() != Some(&wanted.setup) || state.loading.is_some() {
             return false;
         }
-        self.fencing == Fencing::Ignored || self.settled == Some(wanted.version)
+        self.fencing == FencingCheck::Ignored || self.settled == Some(wanted.version)
     }
 
-    fn order(&mut self, now: MonoMs, epoch: u64, wanted: &Wanted) -> Action {
+    fn order(&mut self, now: MonoMs, epoch: u64, wanted: &DesiredSetup) -> IssuerAction {
         if now < self.quiet_until {
-            return Action::Wait;
+            return IssuerAction::Wait;
         }
         let Some((looked_at, state)) = &self.looked else {
-            return Action::Look;
+            return IssuerAction::ReadEngine;
         };
         if *looked_at < self.quiet_until {
-            return Action::Look;
+            return IssuerAction::ReadEngine;
         }
         let loading = state.loading.as_ref() == Some(&wanted.setup);
-        if loading && (self.fencing == Fencing::Ignored || state.fencing >= epoch) {
-            return Action::Wait;
+        if loading && (self.fencing == FencingCheck::Ignored || state.fencing >= epoch) {
+            return IssuerAction::Wait;
         }
-        Action::Order(Order {
+        IssuerAction::SendOrder(Order {
             fencing: epoch,
             setup: wanted.setup.clone(),
         })
     }
 
-    /// Takes the result of an order that [`Giver::next`] gave at `sent_at`.
-    pub fn ordered(&mut self, sent_at: MonoMs, now: MonoMs, wanted: u64, ordered: Ordered) {
+    /// Takes the result of an order that [`OrderIssuer::next`] gave at `sent_at`.
+    pub fn order_sent(&mut self, sent_at: MonoMs, now: MonoMs, wanted: u64, ordered: OrderOutcome) {
         self.looked = None;
         match ordered {
-            Ordered::Taken => {
-                if self.fencing == Fencing::Checked {
+            OrderOutcome::Taken => {
+                if self.fencing == FencingCheck::Enforced {
                     self.settled = Some(wanted);
                 }
             }
-            Ordered::NotSent => self.retry_at = now + RETRY_MS,
-            Ordered::Unknown => {
+            OrderOutcome::NotSent => self.retry_at = now + RETRY_MS,
+            OrderOutcome::Unknown => {
                 self.uncertain_at = Some(sent_at);
                 self.retry_at = now + RETRY_MS;
             }
-            Ordered::Refused => {
+            OrderOutcome::Refused => {
                 self.lose();
                 self.retry_at = now + RETRY_MS;
             }
@@ -191,7 +191,7 @@
     }
 
     /// Takes the engine's state, asked for at `asked_at`.
-    pub fn looked(&mut self, asked_at: MonoMs, now: MonoMs, state: Option<EngineState>) {
+    pub fn engine_read(&mut self, asked_at: MonoMs, now: MonoMs, state: Option<EngineState>) {
         match state {
             Some(state) => self.looked = Some((asked_at, state)),
             None => self.retry_at = now + RETRY_MS,
@@ -202,45 +202,45 @@
         let Some(at) = self.uncertain_at else {
             return true;
         };
-        self.fencing == Fencing::Checked || now >= at + LONGEST_FLIGHT_MS
+        self.fencing == FencingCheck::Enforced || now >= at + LONGEST_FLIGHT_MS
     }
 
     /// Ends a held lease, so that the next giver need not wait, once no order is on its way.
-    fn finish(&mut self, now: MonoMs) -> Action {
+    fn finish(&mut self, now: MonoMs) -> IssuerAction {
         if self.held.epoch_at(now).is_none() {
-            return Action::Wait;
+            return IssuerAction::Wait;
         }
         if now < self.quiet_until || !self.flights_over(now) {
             if now.since_ms(self.renewed_at) >= LEASE_RENEW_MS {
                 return self.renew(now);
             }
-            return Action::Wait;
+            return IssuerAction::Wait;
         }
         let Lease::Own(row, version) = self.lease.clone() else {
-            return Action::Wait;
+            return IssuerAction::Wait;
         };
         let row = LeaseRow {
             renewal: row.renewal + 1,
             ended: true,
             ..row
         };
-        self.write(now, row, Expected::Version(version), None)
+        self.write(now, row, ExpectedVersion::Version(version), None)
     }
 
-    fn renew(&mut self, now: MonoMs) -> Action {
+    fn renew(&mut self, now: MonoMs) -> IssuerAction {
         let Lease::Own(row, version) = self.lease.clone() else {
             self.lose();
-            return Action::ReadLease;
+            return IssuerAction::ReadLease;
         };
         let row = LeaseRow {
             renewal: row.renewal + 1,
             ..row
         };
-        self.write(now, row, Expected::Version(version), None)
+        self.write(now, row, ExpectedVersion::Version(version), None)
     }
 
     /// Takes the lease, or a new fencing number for another wanted version.
-    fn take(&mut self, now: MonoMs, wanted: &Wanted) -> Action {
+    fn take(&mut self, now: MonoMs, wanted: &DesiredSetup) -> IssuerAction {
         if !self.flights_over(now) {
             let at = self.uncertain_at.unwrap_or_default();
             self.quiet_until = self.quiet_until.max(at + LONGEST_FLIGHT_MS);
@@ -252,7 +252,7 @@
             ended: false,
         };
         let (row, expected) = match &self.lease {
-            Lease::Unknown => return Action::ReadLease,
+            Lease::Unknown => return IssuerAction::ReadLease,
             Lease::Absent => {
                 let first = LeaseRow {
                     holder: self.me.clone(),
@@ -260,24 +260,24 @@
                     renewal: 1,
                     ended: false,
                 };
-                (first, Expected::Absent)
+                (first, ExpectedVersion::Absent)
             }
-            Lease::Own(row, version) => (over(row), Expected::Version(*version)),
+            Lease::Own(row, version) => (over(row), ExpectedVersion::Version(*version)),
             Lease::Foreign(row, version, _) if row.ended => {
-                (over(row), Expected::Version(*version))
+                (over(row), ExpectedVersion::Version(*version))
             }
             Lease::Foreign(row, _, watched) => {
                 let Some(version) = watched.expired_version(now) else {
                     let read_at = self.read_at.unwrap_or_default();
                     return if now.since_ms(read_at) > LOOK_PERIOD_MS {
-                        Action::ReadLease
+                        IssuerAction::ReadLease
                     } else {
-                        Action::Wait
+                        IssuerAction::Wait
                     };
                 };
                 let row = over(row);
                 self.quiet_due = true;
-                (row, Expected::Version(version))
+                (row, ExpectedVersion::Version(version))
             }
         };
         self.write(now, row, expected, Some(wanted.version))
@@ -287,19 +287,19 @@
         &mut self,
         now: MonoMs,
         row: LeaseRow,
-        expected: Expected,
-        wanted_version: Option<u64>,
-    ) -> Action {
+        expected: ExpectedVersion,
+        desired_version: Option<u64>,
+    ) -> IssuerAction {
         let write = LeaseWrite {
             row,
             expected,
-            wanted_version,
+            desired_version,
         };
         self.pending = Some(Pending {
             write: write.clone(),
             sent_at: now,
         });
-        Action::WriteLease(write)
+        IssuerAction::WriteLease(write)
     }
 
     /// Takes the lease's row, received at `now`.
@@ -319,7 +319,7 @@
         let watched = match &self.lease {
             Lease::Foreign(_, _, watched) => {
                 let mut watched = watched.clone();
-                watched.seen(version, now);
+                watched.observe(version, now);
                 watched
             }
             _ => WatchedLease::new(version, now),
@@ -333,7 +333,7 @@
     }
 
     fn start_quiet(&mut self, now: MonoMs) {
-        if !std::mem::take(&mut self.quiet_due) || self.fencing == Fencing::Checked {
+        if !std::mem::take(&mut self.quiet_due) || self.fencing == FencingCheck::Enforced {
             return;
         }
         let until = now + LEASE_MARGIN_MS + LONGEST_FLIGHT_MS;
@@ -341,17 +341,17 @@
     }
 
     /// Takes the result of a write of the lease's row, at `now`.
-    pub fn lease_written(&mut self, now: MonoMs, written: LeaseWritten) {
+    pub fn lease_written(&mut self, now: MonoMs, written: LeaseWriteOutcome) {
         let Some(Pending { write, sent_at }) = self.pending.take() else {
             return;
         };
         match written {
-            LeaseWritten::Committed => self.committed(now, sent_at, write),
-            LeaseWritten::Failed => {
+            LeaseWriteOutcome::Committed => self.committed(now, sent_at, write),
+            LeaseWriteOutcome::Failed => {
                 self.lose();
                 self.retry_at = now + RETRY_MS;
             }
-            LeaseWritten::Unknown => {
+            LeaseWriteOutcome::Unknown => {
                 self.note_written(write.row);
                 self.lose();
                 self.retry_at = now + RETRY_MS;
@@ -361,8 +361,8 @@
 
     fn committed(&mut self, now: MonoMs, sent_at: MonoMs, write: LeaseWrite) {
         let version = match write.expected {
-            Expected::Absent => 1,
-            Expected::Version(version) => version + 1,
+            ExpectedVersion::Absent => 1,
+            ExpectedVersion::Version(version) => version + 1,
         };
         self.note_written(write.row.clone());
         if write.row.ended {
@@ -371,8 +371,8 @@
         }
         self.held.renewed(write.row.epoch, sent_at);
         self.renewed_at = sent_at;
-        if write.wanted_version.is_some() {
-            self.bound_to = write.wanted_version;
+        if write.desired_version.is_some() {
+            self.bound_to = write.desired_version;
         }
         self.adopt(now, write.row, version);
     }
--- a/crates/foxtailhold/src/refusal.rs
+++ b/crates/foxtailhold/src/refusal.rs
@@ -11,7 +11,7 @@
 /// What is known of a request's effect when it is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// No backend server was sent a byte of it, and none will be.
     NotRun,
     /// A backend server may have run it, wholly or in part.
@@ -20,13 +20,13 @@
     Ran,
 }
 
-impl Ran {
+impl ExecutionStatus {
     /// The text in the error object's `ran` field.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ran::NotRun => "not_run",
-            Ran::MayHaveRun => "may_have_run",
-            Ran::Ran => "ran",
+            ExecutionStatus::NotRun => "not_run",
+            ExecutionStatus::MayHaveRun => "may_have_run",
+            ExecutionStatus::Ran => "ran",
         }
     }
 }
@@ -128,7 +128,8 @@
     AlreadyStarted,
     /// The batch job cannot be finished by its deadline.
     #[error("the job needs about {needed_ms} ms and its window is {window_ms} ms")]
-    CannotLand {
+    #[serde(rename = "CannotLand")]
+    DeadlineInfeasible {
         /// Estimated time to finish.
         needed_ms: u64,
         /// The job's window.
@@ -146,7 +147,7 @@
     /// Why.
     pub reason: RefusalReason,
     /// What is known of the effect.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// When trying again makes sense; `None` where it never does.
     pub retry_after_ms: Option<u64>,
 }
@@ -156,7 +157,7 @@
     pub fn not_run(reason: RefusalReason) -> Self {
         Refusal {
             reason,
-            ran: Ran::NotRun,
+            ran: ExecutionStatus::NotRun,
             retry_after_ms: None,
         }
     }
@@ -174,7 +175,7 @@
     }
 
     /// The same refusal with another statement on the effect.
-    pub fn with_ran(mut self, ran: Ran) -> Self {
+    pub fn with_ran(mut self, ran: ExecutionStatus) -> Self {
         self.ran = ran;
         self
     }
--- a/crates/foxtailhold/src/rendezvous.rs
+++ b/crates/foxtailhold/src/rendezvous.rs
@@ -11,7 +11,7 @@
 }
 
 /// The member with the highest weight for `key`, `None` without members.
-pub fn home<'a>(
+pub fn select<'a>(
     members: impl IntoIterator<Item = &'a InstanceId>,
     key: &[u8],
 ) -> Option<&'a InstanceId> {
--- a/crates/foxtailhold/src/retry.rs
+++ b/crates/foxtailhold/src/retry.rs
@@ -4,11 +4,11 @@
 use crate::time::MonoMs;
 
 /// Retries for each first try.
-pub const SHARE: f64 = 0.1;
+pub const RETRIES_PER_FIRST_ATTEMPT: f64 = 0.1;
 /// Retries a second that are there without any traffic.
-pub const FLOOR_PER_S: f64 = 5.0;
+pub const MIN_RETRIES_PER_S: f64 = 5.0;
 /// Retries saved up at most: enough for the streams of a lost engine.
-pub const MOST: f64 = 256.0;
+pub const MAX_SAVED_RETRIES: f64 = 256.0;
 
 /// The budget.
 #[derive(Debug, Clone)]
@@ -21,20 +21,20 @@
     /// A full budget.
     pub fn new(now: MonoMs) -> Self {
         RetryBudget {
-            level: MOST,
+            level: MAX_SAVED_RETRIES,
             filled_at: now,
         }
     }
 
     /// Notes a first try.
-    pub fn first_try(&mut self) {
-        self.level = (self.level + SHARE).min(MOST);
+    pub fn record_first_attempt(&mut self) {
+        self.level = (self.level + RETRIES_PER_FIRST_ATTEMPT).min(MAX_SAVED_RETRIES);
     }
 
     /// Takes one retry; `false` where none is left.
-    pub fn retry(&mut self, now: MonoMs) -> bool {
+    pub fn try_retry(&mut self, now: MonoMs) -> bool {
         let elapsed_ms = now.since_ms(self.filled_at) as f64;
-        self.level = (self.level + elapsed_ms * FLOOR_PER_S / 1_000.0).min(MOST);
+        self.level = (self.level + elapsed_ms * MIN_RETRIES_PER_S / 1_000.0).min(MAX_SAVED_RETRIES);
         self.filled_at = self.filled_at.max(now);
         if self.level < 1.0 {
             return false;
--- a/crates/foxtailhold/src/timeline.rs
+++ b/crates/foxtailhold/src/timeline.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use crate::ids::{BackendId, CustomerId, InstanceId, JobId, RequestId};
-use crate::orders::Ordered;
+use crate::orders::OrderOutcome;
 use crate::time::WallMs;
 
 /// A reading of a hybrid logical clock.
@@ -83,7 +83,7 @@
 /// What happened.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Event {
+pub enum TimelineEvent {
     /// The process started.
     Started,
     /// A planned stop began.
@@ -159,7 +159,7 @@
         /// Fencing number of the order.
         fencing: u64,
         /// What became of it.
-        outcome: Ordered,
+        outcome: OrderOutcome,
     },
     /// A member's state changed in this instance's view.
     MemberChanged {
@@ -170,7 +170,8 @@
         state: String,
     },
     /// Streams of batch items were cancelled here to make room at a backend server.
-    BatchYielded {
+    #[serde(rename = "batch_yielded")]
+    BatchPreempted {
         /// Where.
         backend: BackendId,
         /// How many.
@@ -192,7 +193,7 @@
     pub instance: InstanceId,
     /// What.
     #[serde(flatten)]
-    pub event: Event,
+    pub event: TimelineEvent,
 }
 
 impl TimelineEntry {
--- a/crates/foxtailhold/tests/attempt_counts.rs
+++ b/crates/foxtailhold/tests/attempt_counts.rs
@@ -1,25 +1,36 @@
 //! How often a batch item may run, over the loss of its owners.
 
-use foxtailhold::attempt_counts::{MOST_OPEN_RUNS, NextRun, RunAccount};
+use foxtailhold::attempt_counts::{AttemptCounts, AttemptDecision, MOST_OPEN_RUNS};
 use proptest::prelude::*;
 use test_case::test_case;
 
-#[test_case(0, 0, 3, NextRun::Allowed; "the first run")]
-#[test_case(2, 0, 3, NextRun::Allowed; "failed twice")]
-#[test_case(3, 0, 3, NextRun::GiveUp; "failed as often as the route allows")]
-#[test_case(1, 0, 0, NextRun::GiveUp; "a route without a bound allows one")]
-#[test_case(0, 2, 3, NextRun::Allowed; "two outcomes not known")]
-#[test_case(0, 3, 3, NextRun::Rest; "three outcomes not known")]
-#[test_case(3, 3, 3, NextRun::GiveUp; "failed and not known")]
-fn the_next_run_follows_from_the_account(failed: u32, open: u32, most: u32, expected: NextRun) {
-    assert_eq!(RunAccount { failed, open }.next_run(most), expected);
+#[test_case(0, 0, 3, AttemptDecision::Allowed; "the first run")]
+#[test_case(2, 0, 3, AttemptDecision::Allowed; "failed twice")]
+#[test_case(3, 0, 3, AttemptDecision::GiveUp; "failed as often as the route allows")]
+#[test_case(1, 0, 0, AttemptDecision::GiveUp; "a route without a bound allows one")]
+#[test_case(0, 2, 3, AttemptDecision::Allowed; "two outcomes not known")]
+#[test_case(0, 3, 3, AttemptDecision::Backoff; "three outcomes not known")]
+#[test_case(3, 3, 3, AttemptDecision::GiveUp; "failed and not known")]
+fn the_next_run_follows_from_the_account(
+    failed: u32,
+    pending: u32,
+    most: u32,
+    expected: AttemptDecision,
+) {
+    assert_eq!(
+        AttemptCounts { failed, pending }.next_attempt(most),
+        expected
+    );
 }
 
 #[test]
 fn an_item_that_gave_events_may_run_whoever_was_lost() {
-    let mut account = RunAccount { failed: 1, open: 3 };
-    account.note_events();
-    assert_eq!(account.next_run(3), NextRun::Allowed);
+    let mut account = AttemptCounts {
+        failed: 1,
+        pending: 3,
+    };
+    account.record_events();
+    assert_eq!(account.next_attempt(3), AttemptDecision::Allowed);
 }
 
 /// What an owner lives to do with an item that always fails.
@@ -41,26 +52,26 @@
 /// Runs an item that always fails through owners; returns how often it ran.
 fn runs(lives: &[Life], most_failed: u32, gives_up_at_once: bool) -> u32 {
     let mut runs = 0;
-    let mut written: Option<RunAccount> = None;
+    let mut written: Option<AttemptCounts> = None;
     for (lost_owners, life) in lives.iter().enumerate() {
         let lost_owners = lost_owners as u32;
-        let mut account = written.unwrap_or(RunAccount::unwritten(lost_owners));
+        let mut account = written.unwrap_or(AttemptCounts::without_record(lost_owners));
         let written_here = match life {
             Life::LostAtOnce => 0,
             Life::LostLater(count) => *count,
         };
         for answer in 0..=written_here {
-            if account.next_run(most_failed) != NextRun::Allowed {
+            if account.next_attempt(most_failed) != AttemptDecision::Allowed {
                 return runs;
             }
-            if account.records_begin(lost_owners) {
-                written = Some(account.begun());
+            if account.must_record_start(lost_owners) {
+                written = Some(account.with_pending_attempt());
             }
             runs += 1;
             if answer == written_here || gives_up_at_once {
                 break;
             }
-            account.note_failed();
+            account.record_failure();
             written = Some(account);
         }
     }
--- a/crates/foxtailhold/tests/batch_deadline_check.rs
+++ b/crates/foxtailhold/tests/batch_deadline_check.rs
@@ -1,6 +1,6 @@
 //! Jobs that cannot be finished by their deadline, by the measured rate.
 
-use foxtailhold::batch::deadline_check::{Backlog, Landing, Verdict};
+use foxtailhold::batch::deadline_check::{Backlog, DeadlineCheck, DeadlineEstimator};
 use foxtailhold::ids::JobId;
 use foxtailhold::time::{MonoMs, WallMs};
 use test_case::test_case;
@@ -18,8 +18,8 @@
 }
 
 /// 100 items a second for ten seconds, then 1,000 items left that are due at 50,000 ms.
-fn landing(waiting: bool) -> Landing {
-    let mut landing = Landing::default();
+fn landing(waiting: bool) -> DeadlineEstimator {
+    let mut landing = DeadlineEstimator::default();
     for tick in 0..100_u64 {
         let left = 2_000 - tick * 10;
         landing.update(
@@ -27,7 +27,7 @@
             backlog(50_000, left, waiting),
             MonoMs(tick * 100),
         );
-        landing.items_ended(10);
+        landing.record_finished_items(10);
     }
     landing.update(
         &job("running"),
@@ -46,9 +46,9 @@
     window_ms: u64,
     refused: Option<(u64, Option<u64>)>,
 ) {
-    let verdict = landing(true).judge(items, window_ms, WallMs(0));
-    let expected = refused.map_or(Verdict::Lands, |(needed_ms, retry_after_ms)| {
-        Verdict::CannotLand {
+    let verdict = landing(true).check(items, window_ms, WallMs(0));
+    let expected = refused.map_or(DeadlineCheck::Feasible, |(needed_ms, retry_after_ms)| {
+        DeadlineCheck::Infeasible {
             needed_ms,
             retry_after_ms,
         }
@@ -60,6 +60,6 @@
 fn rate_is_measured_only_while_items_wait_for_a_place() {
     assert_eq!(landing(true).items_per_s(), Some(100.0));
     assert_eq!(landing(false).items_per_s(), None);
-    let verdict = landing(false).judge(1_000_000, 1_000, WallMs(0));
-    assert_eq!(verdict, Verdict::Lands);
+    let verdict = landing(false).check(1_000_000, 1_000, WallMs(0));
+    assert_eq!(verdict, DeadlineCheck::Feasible);
 }
--- a/crates/foxtailhold/tests/batch_races.rs
+++ b/crates/foxtailhold/tests/batch_races.rs
@@ -4,10 +4,10 @@
 
 use batch_sim::store::{Store, Token};
 use batch_sim::world::job;
-use foxtailhold::batch::chunk::{ChunkCommit, CommitStep};
-use foxtailhold::batch::chunk_slots::ChunkPlaces;
+use foxtailhold::batch::chunk::{ChunkCommit, ChunkCommitResult};
+use foxtailhold::batch::chunk_slots::ChunkSlots;
 use foxtailhold::batch::claim::{Claim, ClaimView, OwnedJob, WatchedLeases, release};
-use foxtailhold::batch::transaction::{Outcome, Versioned};
+use foxtailhold::batch::transaction::{TransactionOutcome, Versioned};
 use foxtailhold::batch::{ChunkRow, JobRow, JobStatus, OwnerRow};
 use foxtailhold::ids::InstanceId;
 use foxtailhold::lease::LEASE_TERM_MS;
@@ -67,10 +67,13 @@
     store.transact(&first, &release(&owned, &first.0));
     let owned = claim(&mut store, &second);
     let outcome = store.transact(&first, delayed.transaction());
-    assert_eq!(delayed.on(outcome), CommitStep::OwnerChanged);
+    assert_eq!(
+        delayed.handle_outcome(outcome),
+        ChunkCommitResult::OwnerChanged
+    );
     let commit = ChunkCommit::new(&owned, 0, chunk_row("second"));
     let outcome = store.transact(&second, commit.transaction());
-    assert_eq!(commit.on(outcome), CommitStep::Committed);
+    assert_eq!(commit.handle_outcome(outcome), ChunkCommitResult::Committed);
 }
 
 #[test]
@@ -80,15 +83,18 @@
     let token = (instance("first"), 1);
     let owned = claim(&mut store, &token);
     let commit = ChunkCommit::new(&owned, 0, chunk_row("first"));
-    assert_eq!(commit.on(Outcome::Unknown), CommitStep::Resend);
+    assert_eq!(
+        commit.handle_outcome(TransactionOutcome::Unknown),
+        ChunkCommitResult::Resend
+    );
     store.transact(&token, commit.transaction());
     let outcome = store.transact(&token, commit.transaction());
-    assert_eq!(commit.on(outcome), CommitStep::Committed);
+    assert_eq!(commit.handle_outcome(outcome), ChunkCommitResult::Committed);
     let other = ChunkCommit::new(&owned, 0, chunk_row("other"));
     let outcome = store.transact(&token, other.transaction());
     assert_eq!(
-        other.on(outcome),
-        CommitStep::DoneBefore(chunk_row("first"))
+        other.handle_outcome(outcome),
+        ChunkCommitResult::AlreadyCommitted(chunk_row("first"))
     );
 }
 
@@ -133,15 +139,15 @@
 
 #[test]
 fn chunk_place_goes_to_the_job_with_the_least_slack() {
-    let mut places = ChunkPlaces::new(1);
-    assert!(places.take(&job(0), 50));
-    assert!(!places.take(&job(0), 50));
-    assert!(!places.take(&job(1), 10));
-    places.give_back();
-    assert!(!places.take(&job(0), 50));
-    assert!(places.take(&job(1), 10));
-    places.give_back();
-    assert!(places.take(&job(0), 50));
-    places.took(1_000);
+    let mut places = ChunkSlots::new(1);
+    assert!(places.try_acquire(&job(0), 50));
+    assert!(!places.try_acquire(&job(0), 50));
+    assert!(!places.try_acquire(&job(1), 10));
+    places.release();
+    assert!(!places.try_acquire(&job(0), 50));
+    assert!(places.try_acquire(&job(1), 10));
+    places.release();
+    assert!(places.try_acquire(&job(0), 50));
+    places.record_chunk_duration(1_000);
     assert_eq!(places.slack_ms(10_000, 4, WallMs(1_000)), 5_000);
 }
