--- a/crates/foxtailhold/tests/batch_sim/drive.rs
+++ b/crates/foxtailhold/tests/batch_sim/drive.rs
@@ -1,13 +1,13 @@
 //! What instances do by themselves: renewals, looks, runs; and the steps of cancels.
 
-use foxtailhold::batch::cancel::{Cancel, CancelPlan, Marked};
-use foxtailhold::batch::chunk::{ChunkCommit, CommitStep};
-use foxtailhold::batch::execution::RunStep;
-use foxtailhold::batch::finish::{Finish, FinishStep};
-use foxtailhold::batch::registry::StopStep;
+use foxtailhold::batch::cancel::{CancelPlan, CancelTransaction, CancellingJob};
+use foxtailhold::batch::chunk::{ChunkCommit, ChunkCommitResult};
+use foxtailhold::batch::execution::ExecutionStep;
+use foxtailhold::batch::finish::{FinishResult, FinishTransaction};
+use foxtailhold::batch::registry::StopAction;
 use foxtailhold::batch::{ChunkRow, JobCounts, JobStatus};
 use foxtailhold::ids::JobId;
-use foxtailhold::lease::{LEASE_RENEW_MS, Standing};
+use foxtailhold::lease::{LEASE_RENEW_MS, LeaseState};
 use foxtailhold::time::{MonoMs, WallMs};
 
 use super::count;
@@ -41,7 +41,7 @@
         }
         let node = &mut self.nodes[index];
         let held = node.keeper.held().epoch_at(now).is_some();
-        if held && let Some(running) = node.registry.begin_look() {
+        if held && let Some(running) = node.registry.begin_scan() {
             let look = Look {
                 running,
                 ..Look::default()
@@ -55,35 +55,35 @@
         }
     }
 
-    fn standing(&self, index: usize, job: &JobId) -> Standing {
+    fn lease_state(&self, index: usize, job: &JobId) -> LeaseState {
         let node = &self.nodes[index];
         let epoch = node.runs[job].machine.owned().epoch;
-        node.keeper.held().standing(epoch, MonoMs(self.now_ms))
+        node.keeper.held().lease_state(epoch, MonoMs(self.now_ms))
     }
 
     fn advance_run(&mut self, index: usize, job: &JobId) {
         let run = self.nodes[index].runs.get_mut(job).unwrap();
         for chunk in run.items.keys() {
-            run.machine.drained(*chunk);
+            run.machine.all_items_started(*chunk);
         }
         loop {
-            let standing = self.standing(index, job);
+            let lease_state = self.lease_state(index, job);
             let now = WallMs(self.now_ms);
             let run = self.nodes[index].runs.get_mut(job).unwrap();
             let room = run.items.len() < ROOM;
-            match run.machine.step(now, standing, room) {
-                RunStep::Start(chunk) => {
+            match run.machine.step(now, lease_state, room) {
+                ExecutionStep::StartChunk(chunk) => {
                     run.items.insert(chunk, false);
                     self.item_started(index, job);
                 }
-                RunStep::StopItems(stopped) => run.items.retain(|c, _| !stopped.contains(c)),
-                RunStep::Finish(finish) => {
+                ExecutionStep::StopChunks(stopped) => run.items.retain(|c, _| !stopped.contains(c)),
+                ExecutionStep::Finish(finish) => {
                     let number = run.number;
                     let ask = Ask::Transact(finish.transaction().clone());
                     self.ask(index, Waiter::Finish(job.clone(), number, *finish), ask);
                 }
-                RunStep::Wait => return,
-                RunStep::End(_) => return self.end_run(index, job),
+                ExecutionStep::Wait => return,
+                ExecutionStep::End(_) => return self.end_run(index, job),
             }
         }
     }
@@ -111,10 +111,12 @@
         }
         let jobs: Vec<JobId> = self.nodes[index].runs.keys().cloned().collect();
         for job in jobs {
-            let standing = self.standing(index, &job);
+            let lease_state = self.lease_state(index, &job);
             let run = &self.nodes[index].runs[&job];
             let first = run.items.iter().find(|(_, storing)| !**storing);
-            let may_start = run.machine.may_start_items(WallMs(self.now_ms), standing);
+            let may_start = run
+                .machine
+                .may_start_items(WallMs(self.now_ms), lease_state);
             let Some((&chunk, _)) = first.filter(|_| may_start) else {
                 continue;
             };
@@ -161,7 +163,7 @@
         if run.items.remove(&chunk).is_none() {
             return;
         }
-        run.machine.committing(chunk);
+        run.machine.commit_started(chunk);
         let commit = ChunkCommit::new(run.machine.owned(), chunk, row);
         let ask = Ask::Transact(commit.transaction().clone());
         self.ask(index, Waiter::Commit(job.clone(), number, commit), ask);
@@ -181,25 +183,32 @@
         if !self.is_current(index, job, number) {
             return;
         }
-        let step = commit.on(outcome);
-        if step == CommitStep::Resend {
+        let step = commit.handle_outcome(outcome);
+        if step == ChunkCommitResult::Resend {
             let ask = Ask::Transact(commit.transaction().clone());
             return self.ask(index, Waiter::Commit(job.clone(), number, commit), ask);
         }
         let run = self.nodes[index].runs.get_mut(job).unwrap();
         run.machine
-            .chunk_ended(commit.index(), commit.chunk(), step);
+            .commit_ended(commit.index(), commit.chunk(), step);
     }
 
-    pub fn finish(&mut self, index: usize, job: &JobId, number: u64, finish: Finish, reply: Reply) {
+    pub fn finish(
+        &mut self,
+        index: usize,
+        job: &JobId,
+        number: u64,
+        finish: FinishTransaction,
+        reply: Reply,
+    ) {
         let Reply::Outcome(outcome) = reply else {
             return;
         };
         if !self.is_current(index, job, number) {
             return;
         }
-        let step = finish.on(outcome);
-        if step == FinishStep::Resend {
+        let step = finish.handle_outcome(outcome);
+        if step == FinishResult::Resend {
             let ask = Ask::Transact(finish.transaction().clone());
             return self.ask(index, Waiter::Finish(job.clone(), number, finish), ask);
         }
@@ -223,10 +232,10 @@
                 self.cancel_asks(id, CancelState::ReadOwner(row), Ask::ReadOwner(job));
             }
             (CancelState::ReadOwner(row), Reply::Owner(owner)) => {
-                match Cancel::plan(row, owner.as_ref()) {
+                match CancelTransaction::plan(row, owner.as_ref()) {
                     CancelPlan::Final => {}
-                    CancelPlan::Marked(marked) => self.marked(id, marked),
-                    CancelPlan::Mark(cancel) => {
+                    CancelPlan::Cancelling(marked) => self.marked(id, marked),
+                    CancelPlan::Begin(cancel) => {
                         let ask = Ask::Transact(cancel.transaction().clone());
                         self.cancel_asks(id, CancelState::Mark(cancel), ask);
                     }
@@ -241,12 +250,12 @@
                 for (_, chunk) in &chunks {
                     counts.add(chunk);
                 }
-                let finish = Finish::cancelled(&marked.job, counts, WallMs(self.now_ms));
+                let finish = FinishTransaction::cancelled(&marked.job, counts, WallMs(self.now_ms));
                 let ask = Ask::Transact(finish.transaction().clone());
                 self.cancel_asks(id, CancelState::Finish(finish), ask);
             }
             (CancelState::Finish(finish), Reply::Outcome(outcome)) => {
-                if finish.on(outcome) != FinishStep::Resend {
+                if finish.handle_outcome(outcome) != FinishResult::Resend {
                     return;
                 }
                 let ask = Ask::Transact(finish.transaction().clone());
@@ -256,7 +265,7 @@
         }
     }
 
-    fn marked(&mut self, id: usize, marked: Marked) {
+    fn marked(&mut self, id: usize, marked: CancellingJob) {
         let Some(owner) = marked.owner.clone() else {
             let ask = Ask::ScanChunks(marked.job.row.job.clone());
             return self.cancel_asks(id, CancelState::Count(marked), ask);
@@ -287,9 +296,9 @@
             return;
         }
         match self.nodes[to].registry.stop(&job) {
-            StopStep::Stopped => {}
-            StopStep::StopRun => self.end_run(to, &job),
-            StopStep::AwaitLook => {
+            StopAction::Stopped => {}
+            StopAction::StopExecution => self.end_run(to, &job),
+            StopAction::AwaitScan => {
                 self.cancels[id].held = true;
                 return self.nodes[to].stops.push(id);
             }
--- a/crates/foxtailhold/tests/batch_sim/node.rs
+++ b/crates/foxtailhold/tests/batch_sim/node.rs
@@ -4,13 +4,13 @@
 
 use foxtailhold::batch::chunk::ChunkCommit;
 use foxtailhold::batch::claim::{Claim, ClaimView, OwnedJob, WatchedLeases};
-use foxtailhold::batch::execution::JobRun;
-use foxtailhold::batch::finish::Finish;
-use foxtailhold::batch::registry::Registry;
-use foxtailhold::batch::transaction::{Outcome, Transaction, Versioned};
-use foxtailhold::batch::{ChunkRow, JobRow, OpenRow, OwnerRow};
+use foxtailhold::batch::execution::JobExecution;
+use foxtailhold::batch::finish::FinishTransaction;
+use foxtailhold::batch::registry::JobRegistry;
+use foxtailhold::batch::transaction::{Transaction, TransactionOutcome, Versioned};
+use foxtailhold::batch::{ChunkRow, JobRow, OpenJobRow, OwnerRow};
 use foxtailhold::ids::{InstanceId, JobId};
-use foxtailhold::lease::{LeaseKeeper, Renewal};
+use foxtailhold::lease::{LeaseRenewer, Renewal};
 use foxtailhold::lease_row::LeaseRow;
 
 use super::store::Token;
@@ -32,12 +32,12 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     Lease(Option<Versioned<LeaseRow>>),
-    Open(Vec<OpenRow>),
+    Open(Vec<OpenJobRow>),
     Job(Option<Versioned<JobRow>>),
     Owner(Option<Versioned<OwnerRow>>),
     Chunks(Vec<(u32, ChunkRow)>),
     Stored,
-    Outcome(Outcome),
+    Outcome(TransactionOutcome),
     /// A read or an object write without an answer, or refused.
     Failed,
 }
@@ -52,7 +52,7 @@
     Begin(OwnedJob),
     Stored(JobId, u64, u32, ChunkRow),
     Commit(JobId, u64, ChunkCommit),
-    Finish(JobId, u64, Finish),
+    Finish(JobId, u64, FinishTransaction),
     Cancel(usize),
     /// Nobody: a release.
     None,
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 pub struct Run {
     pub number: u64,
-    pub machine: JobRun,
+    pub machine: JobExecution,
     /// Chunks whose items run, and whether their results are on the way to the store.
     pub items: BTreeMap<u32, bool>,
 }
@@ -97,11 +97,11 @@
     pub paused: bool,
     /// Whether its calls do not reach the store.
     pub cut: bool,
-    pub keeper: LeaseKeeper,
+    pub keeper: LeaseRenewer,
     pub renewing: bool,
     pub renewed_at_ms: u64,
     pub watched: WatchedLeases,
-    pub registry: Registry,
+    pub registry: JobRegistry,
     pub look: Option<Look>,
     pub runs: BTreeMap<JobId, Run>,
     /// Cancels that wait for the look to end.
@@ -111,7 +111,7 @@
 impl Node {
     pub fn new(id: InstanceId, incarnation: u64) -> Self {
         Node {
-            keeper: LeaseKeeper::new(id.clone()),
+            keeper: LeaseRenewer::new(id.clone()),
             id,
             incarnation,
             paused: false,
@@ -119,7 +119,7 @@
             renewing: false,
             renewed_at_ms: 0,
             watched: WatchedLeases::new(),
-            registry: Registry::default(),
+            registry: JobRegistry::default(),
             look: None,
             runs: BTreeMap::new(),
             stops: Vec::new(),
--- a/crates/foxtailhold/tests/batch_sim/store.rs
+++ b/crates/foxtailhold/tests/batch_sim/store.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use foxtailhold::batch::transaction::{
-    Change, Condition, FoundRow, Outcome, Transaction, Versioned,
+    Condition, ConflictingRow, RowChange, Transaction, TransactionOutcome, Versioned,
 };
-use foxtailhold::batch::{ChunkRow, JobCounts, JobRow, JobStatus, OpenRow, OwnerRow};
+use foxtailhold::batch::{ChunkRow, JobCounts, JobRow, JobStatus, OpenJobRow, OwnerRow};
 use foxtailhold::ids::{InstanceId, JobId};
 use foxtailhold::lease_row::LeaseRow;
 
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct Store {
     pub job: BTreeMap<JobId, Versioned<JobRow>>,
-    pub open: BTreeMap<JobId, Versioned<OpenRow>>,
+    pub open: BTreeMap<JobId, Versioned<OpenJobRow>>,
     pub owner: BTreeMap<JobId, Versioned<OwnerRow>>,
     pub chunk: BTreeMap<(JobId, u32), ChunkRow>,
     pub lease: BTreeMap<InstanceId, Versioned<LeaseRow>>,
@@ -39,61 +39,71 @@
 
 impl Store {
     /// A transaction sent by `token`.
-    pub fn transact(&mut self, token: &Token, transaction: &Transaction) -> Outcome {
+    pub fn transact(&mut self, token: &Token, transaction: &Transaction) -> TransactionOutcome {
         for (index, step) in transaction.steps.iter().enumerate() {
             let (holds, found) = self.check(&transaction.job, step.condition, &step.change);
             if !holds {
-                return Outcome::Conflict { step: index, found };
+                return TransactionOutcome::Conflict { step: index, found };
             }
         }
         for step in &transaction.steps {
             self.change(token, &transaction.job, &step.change);
         }
-        Outcome::Committed
+        TransactionOutcome::Committed
     }
 
-    fn check(&self, job: &JobId, condition: Condition, change: &Change) -> (bool, FoundRow) {
+    fn check(
+        &self,
+        job: &JobId,
+        condition: Condition,
+        change: &RowChange,
+    ) -> (bool, ConflictingRow) {
         match change {
-            Change::CheckJob | Change::PutJob(_) => {
+            RowChange::CheckJob | RowChange::PutJob(_) => {
                 let found = self.job.get(job);
-                let row = found.map_or(FoundRow::None, |row| FoundRow::Job(Box::new(row.clone())));
+                let row = found.map_or(ConflictingRow::None, |row| {
+                    ConflictingRow::Job(Box::new(row.clone()))
+                });
                 (holds(condition, found), row)
             }
-            Change::PutOpen(_) | Change::DeleteOpen => {
-                (holds(condition, self.open.get(job)), FoundRow::Other)
+            RowChange::PutOpen(_) | RowChange::DeleteOpen => {
+                (holds(condition, self.open.get(job)), ConflictingRow::Other)
             }
-            Change::CheckOwner | Change::PutOwner(_) | Change::DeleteOwner => {
-                (holds(condition, self.owner.get(job)), FoundRow::Other)
+            RowChange::CheckOwner | RowChange::PutOwner(_) | RowChange::DeleteOwner => {
+                (holds(condition, self.owner.get(job)), ConflictingRow::Other)
             }
-            Change::PutChunk(index, _) => {
+            RowChange::PutChunk(index, _) => {
                 let found = self.chunk.get(&(job.clone(), *index));
-                let row = found.map_or(FoundRow::None, |row| FoundRow::Chunk(row.clone()));
+                let row = found.map_or(ConflictingRow::None, |row| {
+                    ConflictingRow::Chunk(row.clone())
+                });
                 (condition == Condition::Any || found.is_none(), row)
             }
-            Change::PutSweep(_) => (true, FoundRow::Other),
-            Change::PutLease(instance, _) => {
-                (holds(condition, self.lease.get(instance)), FoundRow::Other)
-            }
+            RowChange::PutSweep(_) => (true, ConflictingRow::Other),
+            RowChange::PutLease(instance, _) => (
+                holds(condition, self.lease.get(instance)),
+                ConflictingRow::Other,
+            ),
         }
     }
 
-    fn change(&mut self, token: &Token, job: &JobId, change: &Change) {
+    fn change(&mut self, token: &Token, job: &JobId, change: &RowChange) {
         match change {
-            Change::CheckJob | Change::CheckOwner | Change::PutSweep(_) => {}
-            Change::PutJob(row) => {
+            RowChange::CheckJob | RowChange::CheckOwner | RowChange::PutSweep(_) => {}
+            RowChange::PutJob(row) => {
                 self.judge_job(job, row);
                 put(&mut self.job, job.clone(), row.clone());
             }
-            Change::PutOpen(row) => put(&mut self.open, job.clone(), row.clone()),
-            Change::DeleteOpen => drop(self.open.remove(job)),
-            Change::PutOwner(row) => {
+            RowChange::PutOpen(row) => put(&mut self.open, job.clone(), row.clone()),
+            RowChange::DeleteOpen => drop(self.open.remove(job)),
+            RowChange::PutOwner(row) => {
                 if !row.released {
                     self.claimed.insert(job.clone(), token.clone());
                 }
                 put(&mut self.owner, job.clone(), row.clone());
             }
-            Change::DeleteOwner => drop(self.owner.remove(job)),
-            Change::PutChunk(index, row) => {
+            RowChange::DeleteOwner => drop(self.owner.remove(job)),
+            RowChange::PutChunk(index, row) => {
                 count("chunk committed");
                 assert_eq!(self.claimed.get(job), Some(token), "an old owner committed");
                 let status = self.job[job].row.status;
@@ -101,7 +111,7 @@
                 let before = self.chunk.insert((job.clone(), *index), row.clone());
                 assert_eq!(before, None, "a chunk's result was replaced");
             }
-            Change::PutLease(instance, row) => self.put_lease(instance, row),
+            RowChange::PutLease(instance, row) => self.put_lease(instance, row),
         }
     }
 
@@ -151,6 +161,6 @@
             return;
         }
         put(&mut self.job, row.job.clone(), row.clone());
-        put(&mut self.open, row.job.clone(), OpenRow::accepted(row));
+        put(&mut self.open, row.job.clone(), OpenJobRow::accepted(row));
     }
 }
--- a/crates/foxtailhold/tests/batch_sim/world.rs
+++ b/crates/foxtailhold/tests/batch_sim/world.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use foxtailhold::batch::cancel::{Cancel, Marked};
+use foxtailhold::batch::cancel::{CancelTransaction, CancellingJob};
 use foxtailhold::batch::claim::{Claim, ClaimView, OwnedJob, other_owner, release};
-use foxtailhold::batch::execution::JobRun;
-use foxtailhold::batch::finish::Finish;
-use foxtailhold::batch::transaction::{Condition, FoundRow, Outcome, Versioned};
+use foxtailhold::batch::execution::JobExecution;
+use foxtailhold::batch::finish::FinishTransaction;
+use foxtailhold::batch::transaction::{Condition, ConflictingRow, TransactionOutcome, Versioned};
 use foxtailhold::batch::{JobRow, JobStatus};
 use foxtailhold::ids::JobId;
 use foxtailhold::lease::Renewal;
@@ -27,12 +27,12 @@
 pub enum CancelState {
     ReadJob,
     ReadOwner(Versioned<JobRow>),
-    Mark(Cancel),
+    Mark(CancelTransaction),
     /// A message to the owner is on its way, to the node with this index.
-    Stop(Marked, usize),
+    Stop(CancellingJob, usize),
     /// The owner said it stopped.
-    Count(Marked),
-    Finish(Finish),
+    Count(CancellingJob),
+    Finish(FinishTransaction),
     Ended,
 }
 
@@ -142,10 +142,10 @@
                 let found = store.lease.get(&token.0);
                 if Condition::unchanged(found) == renewal.condition {
                     store.put_lease(&token.0, &renewal.row);
-                    Reply::Outcome(Outcome::Committed)
+                    Reply::Outcome(TransactionOutcome::Committed)
                 } else {
-                    let found = FoundRow::Other;
-                    Reply::Outcome(Outcome::Conflict { step: 0, found })
+                    let found = ConflictingRow::Other;
+                    Reply::Outcome(TransactionOutcome::Conflict { step: 0, found })
                 }
             }
         };
@@ -176,7 +176,7 @@
         }
         count("call refused");
         let call = self.calls.remove(index);
-        let reply = failure(&call.ask, Outcome::Unavailable);
+        let reply = failure(&call.ask, TransactionOutcome::Unavailable);
         self.deliver(call, reply);
     }
 
@@ -195,7 +195,7 @@
         if call.applied.is_some() {
             self.calls.remove(index);
         }
-        let reply = failure(&lost.ask, Outcome::Unknown);
+        let reply = failure(&lost.ask, TransactionOutcome::Unknown);
         self.deliver(lost, reply);
     }
 
@@ -260,7 +260,9 @@
                 let waiter = Waiter::Renewal(Some(renewal.clone()));
                 return self.ask(index, waiter, Ask::Renew(renewal));
             }
-            (Some(renewal), Reply::Outcome(outcome)) => node.keeper.on(renewal, &outcome),
+            (Some(renewal), Reply::Outcome(outcome)) => {
+                node.keeper.handle_outcome(renewal, &outcome)
+            }
             _ => {}
         }
         node.renewing = false;
@@ -333,7 +335,7 @@
             return self.ask(index, Waiter::Look, Ask::ReadJob(job));
         }
         let look = node.look.take().unwrap();
-        let started = node.registry.end_look(&look.claimed);
+        let started = node.registry.end_scan(&look.claimed);
         let me = node.id.clone();
         for owned in look.claimed {
             let job = owned.row.job.clone();
@@ -365,7 +367,7 @@
         };
         let run = Run {
             number: self.unique(),
-            machine: JobRun::new(owned, &finished),
+            machine: JobExecution::new(owned, &finished),
             items: BTreeMap::new(),
         };
         self.nodes[index].runs.insert(job, run);
@@ -385,7 +387,7 @@
     }
 }
 
-fn failure(ask: &Ask, outcome: Outcome) -> Reply {
+fn failure(ask: &Ask, outcome: TransactionOutcome) -> Reply {
     match ask {
         Ask::Transact(_) | Ask::Renew(_) => Reply::Outcome(outcome),
         _ => Reply::Failed,
--- a/crates/foxtailhold/tests/idempotency_fuzz/world.rs
+++ b/crates/foxtailhold/tests/idempotency_fuzz/world.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use foxtailhold::idempotency::{
-    ClaimRefusal, ClaimRow, ClaimStep, Claimer, Expected, Found, HeldClaim, RETENTION_MS, Release,
-    ReleaseStep, StoredAnswer, StoredBody, Written, is_expired,
+    ClaimAttempt, ClaimRefusal, ClaimRelease, ClaimRow, ClaimStep, ExpectedVersion, FoundClaim,
+    HeldClaim, RETENTION_MS, ReleaseStep, StoredAnswer, StoredBody, WriteOutcome, is_expired,
 };
 use foxtailhold::time::{MonoMs, WallMs};
 
@@ -31,7 +31,7 @@
 
 #[derive(Debug, Clone)]
 enum Write {
-    Put(Expected, ClaimRow),
+    Put(ExpectedVersion, ClaimRow),
     /// Deletes this version, while no other sweep has been committed.
     Sweep {
         fence: u64,
@@ -41,12 +41,12 @@
 
 #[derive(Debug)]
 enum Stage {
-    Claim(Claimer),
+    Claim(ClaimAttempt),
     Held(HeldClaim),
     /// Checked at this time that it may send, and paused: the send itself comes later.
     Sending(HeldClaim, u64),
     Store(HeldClaim),
-    Release(Release, ReleaseStep),
+    Release(ClaimRelease, ReleaseStep),
     Ended,
 }
 
@@ -73,8 +73,8 @@
             Write::Put(expected, row) => {
                 let version = self.row.as_ref().map(|row| row.0);
                 let holds = match expected {
-                    Expected::Absent => version.is_none(),
-                    Expected::Version(wanted) => version == Some(*wanted),
+                    ExpectedVersion::Absent => version.is_none(),
+                    ExpectedVersion::Version(wanted) => version == Some(*wanted),
                 };
                 if holds {
                     self.row = Some((version.unwrap_or(0) + 1, row.clone()));
@@ -94,27 +94,27 @@
         }
     }
 
-    pub fn found(&self) -> Option<Found> {
+    pub fn found(&self) -> Option<FoundClaim> {
         let (version, row) = self.row.clone()?;
-        Some(Found { version, row })
+        Some(FoundClaim { version, row })
     }
 
-    fn write(&mut self, write: Write, fate: Fate) -> Written {
+    fn write(&mut self, write: Write, fate: Fate) -> WriteOutcome {
         *self.faults.entry(format!("{fate:?}")).or_default() += 1;
         match fate {
-            Fate::Refused => return Written::NoEffect,
-            Fate::Lost => return Written::Unknown,
+            Fate::Refused => return WriteOutcome::NoEffect,
+            Fate::Lost => return WriteOutcome::Unknown,
             Fate::Delayed => {
                 self.delayed.push(write);
-                return Written::Unknown;
+                return WriteOutcome::Unknown;
             }
             Fate::Answered | Fate::AnswerLost => {}
         }
         let applied = self.apply(&write);
         match (fate, applied) {
-            (Fate::AnswerLost, _) => Written::Unknown,
-            (_, true) => Written::Committed,
-            (_, false) => Written::Conflict(self.found()),
+            (Fate::AnswerLost, _) => WriteOutcome::Unknown,
+            (_, true) => WriteOutcome::Committed,
+            (_, false) => WriteOutcome::Conflict(self.found()),
         }
     }
 
@@ -155,7 +155,7 @@
 
     pub fn start(&mut self, body: u8) {
         let id = format!("claim-{}", self.attempts.len());
-        let claimer = Claimer::new(id, digest(body));
+        let claimer = ClaimAttempt::new(id, digest(body));
         self.attempts.push(Attempt {
             stage: Stage::Claim(claimer),
             body,
@@ -202,7 +202,7 @@
             self.table.write(write, fate);
             return;
         }
-        let Some(Found { version, row }) = self.table.found() else {
+        let Some(FoundClaim { version, row }) = self.table.found() else {
             return;
         };
         if is_expired(&row, self.clocks().1) {
@@ -238,10 +238,10 @@
         self.attempts[index].stage = next;
     }
 
-    fn claim(&mut self, index: usize, mut claimer: Claimer, fate: Fate) -> Stage {
+    fn claim(&mut self, index: usize, mut claimer: ClaimAttempt, fate: Fate) -> Stage {
         let (now, wall) = self.clocks();
         let write = Write::Put(claimer.expected(), claimer.row(now, wall).clone());
-        match claimer.written(self.table.write(write, fate)) {
+        match claimer.handle_write(self.table.write(write, fate)) {
             ClaimStep::Write(claimer) => Stage::Claim(claimer),
             ClaimStep::Held(held) => Stage::Held(held),
             ClaimStep::Answer(row, answer) => {
@@ -277,7 +277,7 @@
 
     fn not_sent(&mut self, index: usize, held: HeldClaim) -> Stage {
         self.attempts[index].not_run = true;
-        let release = held.not_sent();
+        let release = held.into_release();
         let step = release.start();
         Stage::Release(release, step)
     }
@@ -294,11 +294,11 @@
         Stage::Store(held)
     }
 
-    fn release(&mut self, release: Release, step: &ReleaseStep, fate: Fate) -> Stage {
+    fn release(&mut self, release: ClaimRelease, step: &ReleaseStep, fate: Fate) -> Stage {
         let next = match step {
             ReleaseStep::Done => return Stage::Ended,
             ReleaseStep::Read if fate == Fate::Answered => {
-                release.found(self.table.found().as_ref())
+                release.handle_read(self.table.found().as_ref())
             }
             ReleaseStep::Read => release.start(),
             ReleaseStep::Write(expected) => {
@@ -308,7 +308,7 @@
                     return Stage::Ended;
                 };
                 let write = Write::Put(*expected, row);
-                release.written(self.table.write(write, fate))
+                release.handle_write(self.table.write(write, fate))
             }
         };
         if next == ReleaseStep::Done {
--- a/crates/foxtailhold/tests/orders_fuzz/main.rs
+++ b/crates/foxtailhold/tests/orders_fuzz/main.rs
@@ -8,7 +8,7 @@
 use std::marker::PhantomData;
 use std::sync::Mutex;
 
-use foxtailhold::orders::Fencing;
+use foxtailhold::orders::FencingCheck;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -76,18 +76,18 @@
 }
 
 trait Kind {
-    const FENCING: Fencing;
+    const FENCING: FencingCheck;
 }
 
 struct Checked;
 struct Ignored;
 
 impl Kind for Checked {
-    const FENCING: Fencing = Fencing::Checked;
+    const FENCING: FencingCheck = FencingCheck::Enforced;
 }
 
 impl Kind for Ignored {
-    const FENCING: Fencing = Fencing::Ignored;
+    const FENCING: FencingCheck = FencingCheck::Ignored;
 }
 
 struct Fuzz<K>(PhantomData<K>);
@@ -187,7 +187,7 @@
 /// longest flight, while another giver takes over as soon as the term has passed.
 #[test]
 fn a_new_giver_waits_out_the_orders_of_the_one_before() {
-    let mut world = World::new(Fencing::Ignored);
+    let mut world = World::new(FencingCheck::Ignored);
     let mut taken_over = false;
     // Look, read the lease, take it: each is decided and done. The other giver looks and reads.
     for _ in 0..6 {
--- a/crates/foxtailhold/tests/orders_fuzz/world.rs
+++ b/crates/foxtailhold/tests/orders_fuzz/world.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeMap;
 
-use foxtailhold::idempotency::Expected;
+use foxtailhold::idempotency::ExpectedVersion;
 use foxtailhold::lease_row::LeaseRow;
-use foxtailhold::orders::issuer::{Action, Giver, LeaseWrite};
+use foxtailhold::orders::issuer::{IssuerAction, LeaseWrite, OrderIssuer};
 use foxtailhold::orders::{
-    EngineSetup, EngineState, Fencing, LONGEST_FLIGHT_MS, LeaseWritten, Order, Ordered, Role,
-    Wanted,
+    DesiredSetup, EngineSetup, EngineState, FencingCheck, LONGEST_FLIGHT_MS, LeaseWriteOutcome,
+    Order, OrderOutcome, Role,
 };
 use foxtailhold::time::MonoMs;
 
@@ -32,21 +32,21 @@
 
 #[derive(Debug)]
 struct Seat {
-    giver: Giver,
-    wanted: Option<Wanted>,
+    giver: OrderIssuer,
+    wanted: Option<DesiredSetup>,
     /// Its reads of the wanted state fail.
     blind: bool,
     /// What it is about to do; it may be paused here.
-    pending: Option<(Action, u64)>,
+    pending: Option<(IssuerAction, u64)>,
 }
 
 #[derive(Debug)]
 pub struct World {
-    fencing: Fencing,
+    fencing: FencingCheck,
     now_ms: u64,
     lease: Option<(LeaseRow, u64)>,
     delayed: Vec<LeaseWrite>,
-    wanted: Wanted,
+    wanted: DesiredSetup,
     engine: EngineState,
     flights: Vec<Flight>,
     seats: Vec<Seat>,
@@ -65,13 +65,13 @@
     }
 }
 
-fn giver(index: usize, fencing: Fencing) -> Giver {
+fn giver(index: usize, fencing: FencingCheck) -> OrderIssuer {
     let me = format!("entry-{index}").as_str().try_into().unwrap();
-    Giver::new(me, fencing)
+    OrderIssuer::new(me, fencing)
 }
 
 impl World {
-    pub fn new(fencing: Fencing) -> Self {
+    pub fn new(fencing: FencingCheck) -> Self {
         let seat = |index| Seat {
             giver: giver(index, fencing),
             wanted: None,
@@ -83,7 +83,7 @@
             now_ms: 100_000,
             lease: None,
             delayed: Vec::new(),
-            wanted: Wanted {
+            wanted: DesiredSetup {
                 version: 1,
                 setup: setup(0),
             },
@@ -101,7 +101,7 @@
     }
 
     pub fn want(&mut self, variant: u8) {
-        self.wanted = Wanted {
+        self.wanted = DesiredSetup {
             version: self.wanted.version + 1,
             setup: setup(variant),
         };
@@ -132,7 +132,7 @@
     /// paused giver, within the longest flight: that is the assumption.
     pub fn pass(&mut self, ms: u64) {
         self.now_ms += ms;
-        if self.fencing == Fencing::Checked {
+        if self.fencing == FencingCheck::Enforced {
             return;
         }
         let due = |sent_at: u64| sent_at + LONGEST_FLIGHT_MS <= self.now_ms;
@@ -146,7 +146,7 @@
             }
         }
         for index in 0..self.seats.len() {
-            let Some((Action::Order(_), sent_at)) = self.seats[index].pending else {
+            let Some((IssuerAction::SendOrder(_), sent_at)) = self.seats[index].pending else {
                 continue;
             };
             if sent_at + LONGEST_FLIGHT_MS <= self.now_ms {
@@ -176,11 +176,11 @@
     fn apply(&mut self, write: &LeaseWrite) -> bool {
         let version = self.lease.as_ref().map(|(_, version)| *version);
         let expected = match write.expected {
-            Expected::Absent => version.is_none(),
-            Expected::Version(wanted) => version == Some(wanted),
+            ExpectedVersion::Absent => version.is_none(),
+            ExpectedVersion::Version(wanted) => version == Some(wanted),
         };
         let current = write
-            .wanted_version
+            .desired_version
             .is_none_or(|version| version == self.wanted.version);
         if !expected || !current {
             return false;
@@ -196,34 +196,34 @@
         true
     }
 
-    fn write(&mut self, write: LeaseWrite, fate: Fate) -> LeaseWritten {
+    fn write(&mut self, write: LeaseWrite, fate: Fate) -> LeaseWriteOutcome {
         match fate {
-            Fate::Refused => LeaseWritten::Failed,
-            Fate::Lost => LeaseWritten::Unknown,
+            Fate::Refused => LeaseWriteOutcome::Failed,
+            Fate::Lost => LeaseWriteOutcome::Unknown,
             Fate::Delayed => {
                 self.delayed.push(write);
-                LeaseWritten::Unknown
+                LeaseWriteOutcome::Unknown
             }
             Fate::AnswerLost => {
                 self.apply(&write);
-                LeaseWritten::Unknown
+                LeaseWriteOutcome::Unknown
             }
-            Fate::Answered if self.apply(&write) => LeaseWritten::Committed,
-            Fate::Answered => LeaseWritten::Failed,
+            Fate::Answered if self.apply(&write) => LeaseWriteOutcome::Committed,
+            Fate::Answered => LeaseWriteOutcome::Failed,
         }
     }
 
-    fn send(&mut self, flight: Flight, fate: Fate) -> Ordered {
+    fn send(&mut self, flight: Flight, fate: Fate) -> OrderOutcome {
         match fate {
-            Fate::Refused => Ordered::NotSent,
-            Fate::Lost => Ordered::Unknown,
+            Fate::Refused => OrderOutcome::NotSent,
+            Fate::Lost => OrderOutcome::Unknown,
             Fate::Delayed => {
                 self.flights.push(flight);
-                Ordered::Unknown
+                OrderOutcome::Unknown
             }
             Fate::AnswerLost => {
                 take(&mut self.engine, self.fencing, &mut self.taken, &flight);
-                Ordered::Unknown
+                OrderOutcome::Unknown
             }
             Fate::Answered => take(&mut self.engine, self.fencing, &mut self.taken, &flight),
         }
@@ -240,30 +240,30 @@
             }
             let wanted = seat.wanted.clone().filter(|_| home);
             let action = seat.giver.next(now, wanted.as_ref());
-            if action != Action::Wait {
+            if action != IssuerAction::Wait {
                 seat.pending = Some((action, self.now_ms));
             }
             return;
         };
         self.count(&format!("{fate:?}"));
         match action {
-            Action::Wait => {}
-            Action::ReadLease => {
+            IssuerAction::Wait => {}
+            IssuerAction::ReadLease => {
                 if fate == Fate::Answered {
                     let found = self.lease.clone();
                     self.seats[index].giver.lease_read(now, found);
                 }
             }
-            Action::WriteLease(write) => {
+            IssuerAction::WriteLease(write) => {
                 let written = self.write(write, fate);
                 self.seats[index].giver.lease_written(now, written);
             }
-            Action::Look => {
+            IssuerAction::ReadEngine => {
                 let state = (fate == Fate::Answered).then(|| self.engine.clone());
                 let asked_at = MonoMs(decided_at);
-                self.seats[index].giver.looked(asked_at, now, state);
+                self.seats[index].giver.engine_read(asked_at, now, state);
             }
-            Action::Order(order) => {
+            IssuerAction::SendOrder(order) => {
                 let wanted = self.seats[index].wanted.as_ref().unwrap().version;
                 let flight = Flight {
                     order,
@@ -273,14 +273,17 @@
                 let ordered = self.send(flight, fate);
                 let sent_at = MonoMs(decided_at);
                 let giver = &mut self.seats[index].giver;
-                giver.ordered(sent_at, now, wanted, ordered);
+                giver.order_sent(sent_at, now, wanted, ordered);
             }
         }
     }
 
     /// One step without faults, but for what becomes of an order.
     pub fn step_ordering(&mut self, index: usize, fate: Fate) {
-        let orders = matches!(self.seats[index].pending, Some((Action::Order(_), _)));
+        let orders = matches!(
+            self.seats[index].pending,
+            Some((IssuerAction::SendOrder(_), _))
+        );
         self.step(index, if orders { fate } else { Fate::Answered }, true);
     }
 
@@ -309,17 +312,17 @@
 /// The engine takes an order or refuses it.
 fn take(
     engine: &mut EngineState,
-    fencing: Fencing,
+    fencing: FencingCheck,
     taken: &mut Vec<u64>,
     flight: &Flight,
-) -> Ordered {
-    if fencing == Fencing::Checked {
+) -> OrderOutcome {
+    if fencing == FencingCheck::Enforced {
         if flight.order.fencing < engine.fencing {
-            return Ordered::Refused;
+            return OrderOutcome::Refused;
         }
         engine.fencing = flight.order.fencing;
     }
     engine.loading = Some(flight.order.setup.clone());
     taken.push(flight.wanted);
-    Ordered::Taken
+    OrderOutcome::Taken
 }
--- a/crates/foxtailhold/tests/routing.rs
+++ b/crates/foxtailhold/tests/routing.rs
@@ -3,7 +3,9 @@
 use foxtailhold::breaker::{Availability, BASE_MS, Breaker, MAX_MS, TRIAL_MS};
 use foxtailhold::ids::{AvailabilityZone, BackendId};
 use foxtailhold::replicas::{FleetState, LoadReport, ReplicaLoad};
-use foxtailhold::retry::{FLOOR_PER_S, MOST, RetryBudget, SHARE};
+use foxtailhold::retry::{
+    MAX_SAVED_RETRIES, MIN_RETRIES_PER_S, RETRIES_PER_FIRST_ATTEMPT, RetryBudget,
+};
 use foxtailhold::routing::{
     BoundedAffinity, Candidate, LeastLoaded, RoutePolicy, RouteQuery, affinity_seed,
 };
@@ -210,21 +212,24 @@
 fn retries_are_a_share_of_first_tries_with_a_floor() {
     let mut budget = RetryBudget::new(MonoMs(0));
     let mut spent = 0;
-    while budget.retry(MonoMs(0)) {
+    while budget.try_retry(MonoMs(0)) {
         spent += 1;
     }
-    assert_eq!(spent, MOST as u32);
+    assert_eq!(spent, MAX_SAVED_RETRIES as u32);
     let mut allowed = 0;
     for number in 0..10_000_u64 {
-        budget.first_try();
-        allowed += u32::from(budget.retry(MonoMs(number / 10)));
+        budget.record_first_attempt();
+        allowed += u32::from(budget.try_retry(MonoMs(number / 10)));
     }
-    let most = 10_000.0 * SHARE + FLOOR_PER_S + 1.0;
+    let most = 10_000.0 * RETRIES_PER_FIRST_ATTEMPT + MIN_RETRIES_PER_S + 1.0;
     assert!(
         f64::from(allowed) <= most,
         "{allowed} retries of 10000 tries in 1 s"
     );
-    assert!(f64::from(allowed) >= 10_000.0 * SHARE - 1.0, "{allowed}");
+    assert!(
+        f64::from(allowed) >= 10_000.0 * RETRIES_PER_FIRST_ATTEMPT - 1.0,
+        "{allowed}"
+    );
 }
 
 #[test]
