--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -4,25 +4,25 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use foxtailhold::rendezvous;
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::membership::Member;
-use foxtailhold::rendezvous;
 use foxtailhold::replicas::{BackendKind, FleetState};
+use foxtailhold::steward::{PlaceAsk, PlaceGrant};
 use foxtailhold::steward::desk::{Desk, DeskAction, DeskReplica, ItemKey};
 use foxtailhold::steward::replica::ReplicaSteward;
-use foxtailhold::steward::{PlaceAsk, PlaceGrant};
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::mpsc::UnboundedSender;
 
+use crate::online_load;
 use crate::actors::{log_undelivered, tick};
 use crate::backends::{BackendState, BackendTable};
 use crate::batch_controllers::{BatchControllerEntry, BatchControllers};
 use crate::messages::{BatchControllerMessage, SlotSignal};
-use crate::online_load;
 use crate::shared::Shared;
 
 /// Marks, grants and questions are looked at this often.
@@ -356,7 +356,9 @@
         }
         for (backend, items) in cuts {
             self.0.metrics.batch_yields.inc_by(u64::from(items));
-            self.0.timeline.note(Event::BatchYielded { backend, items });
+            self.0
+                .timeline
+                .note(TimelineEvent::BatchPreempted { backend, items });
         }
     }
 }
@@ -364,6 +366,6 @@
 /// The steward of an engine among the live members.
 fn steward_of<'a>(live: &'a [Member], backend: &BackendId) -> Option<&'a Member> {
     let key = format!("steward/{backend}");
-    let home = rendezvous::home(live.iter().map(|member| &member.id), key.as_bytes())?;
+    let home = rendezvous::select(live.iter().map(|member| &member.id), key.as_bytes())?;
     live.iter().find(|member| member.id == *home)
 }
--- a/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
@@ -4,13 +4,13 @@
 //! late finds another fence and deletes nothing. Otherwise it could delete a row that was written
 //! anew after another sweep, since versions start again at 1 where a row was deleted.
 
-use foxtailhold::once::{ClaimRow, ClaimState, StoredBody, is_expired};
+use foxtailhold::idempotency::{ClaimRow, ClaimState, StoredBody, is_expired};
 use foxtailhold_platform::{Expect, KeyedRow, Operation, Platform, Result};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 
+use crate::tables;
 use crate::actors::tick;
 use crate::shared::Shared;
-use crate::tables;
 
 /// A page is read this often while this instance is the sweep's home.
 pub const SWEEP_PERIOD_MS: u64 = 5_000;
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -5,11 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::ids::BackendId;
-use foxtailhold::quarantine::{
-    CrashId, Fingerprint, Notice, Standing, TRIALS_KEY, TrialAnswer, TrialEnd,
-};
 use foxtailhold::rendezvous;
+use foxtailhold::ids::BackendId;
+use foxtailhold::quarantine::{CrashId, Fingerprint, Notice, Standing, TRIALS_KEY, TrialAnswer, TrialEnd};
 use foxtailhold_engine::EngineError;
 use foxtailhold_http::client::SendError;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -17,8 +15,8 @@
 use ractor::rpc::CallResult;
 use tokio::net::TcpStream;
 
-use crate::actors::crashes::NOTICE_TIMEOUT_MS;
 use crate::actors::log_undelivered;
+use crate::actors::crashes::NOTICE_TIMEOUT_MS;
 use crate::backends::{BackendState, InFlightGuard};
 use crate::messages::CrashesMessage;
 use crate::shared::Shared;
@@ -118,7 +116,7 @@
 fn home<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let home = rendezvous::home(ids, TRIALS_KEY)?;
+    let home = rendezvous::select(ids, TRIALS_KEY)?;
     if *home == shared.settings.instance {
         return None;
     }
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -4,24 +4,24 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use foxtailhold::stall;
 use foxtailhold::ids::{BackendId, RequestId, TargetName};
 use foxtailhold::quarantine::{Fingerprint, Standing, TrialEnd};
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::routing::{BoundedAffinity, LeastLoaded, RoutePolicy, RouteQuery};
-use foxtailhold::stall;
 use foxtailhold::suspect::{Asking, NextStep};
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, Resume};
 use foxtailhold_platform::Platform;
 use rand::Rng;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::backends::{BackendState, InFlightGuard, Serving};
-use crate::crashes::{self, ProbeGuard};
 use crate::online_load;
+use crate::backends::{BackendState, InFlightGuard, Serving};
+use crate::crashes::{ProbeGuard, self};
 use crate::shared::Shared;
 
 /// Backend servers that may have run it, for one request.
@@ -122,11 +122,11 @@
         self.runs = 1;
     }
 
-    fn ran(&self) -> Ran {
+    fn ran(&self) -> ExecutionStatus {
         if self.may_have_run {
-            return Ran::MayHaveRun;
+            return ExecutionStatus::MayHaveRun;
         }
-        Ran::NotRun
+        ExecutionStatus::NotRun
     }
 
     fn refused(&self, reason: RefusalReason, after_ms: u64) -> Refusal {
@@ -374,7 +374,7 @@
         let timeout_ms = left_ms.min(answer_timeout_ms(&server, outgoing));
         let in_flight = server.start_tracked_request(Some(outgoing.fingerprint));
         online_load::sent(shared, &server);
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: outgoing.id.clone(),
             backend: server.backend.id.clone(),
         });
--- a/crates/foxtailhold-entry/src/gateway/idempotency.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency.rs
@@ -5,22 +5,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use foxtailhold::idempotency::{ClaimAttempt, ClaimRefusal, ClaimStep, HeldClaim};
 use foxtailhold::ids::{RequestId, TargetName};
-use foxtailhold::once::{ClaimRefusal, ClaimStep, Claimer, HeldClaim};
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{Inference, PlainCall, RequestContext, Whole};
 use foxtailhold_http::client::{Reuse, SendError};
 use foxtailhold_platform::Platform;
 use foxtailhold_service::{ServiceAnswer, ServiceCall, ServiceError};
 use http::HeaderValue;
 
-use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_TRIES};
+use crate::tables;
 use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest};
+use crate::gateway::dispatch::{BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_TRIES, self};
 use crate::shared::Shared;
-use crate::tables;
 
 /// When to ask again for the answer of a request that another attempt started.
 const ANSWER_RETRY_AFTER_MS: u64 = 1_000;
@@ -67,13 +67,14 @@
         Ok(answer) => answer,
         Err(error) => {
             log::error!("an attempt at a request that must not be repeated ended: {error}");
-            Err(Refusal::not_run(RefusalReason::AlreadyStarted).with_ran(Ran::MayHaveRun))
+            Err(Refusal::not_run(RefusalReason::AlreadyStarted)
+                .with_ran(ExecutionStatus::MayHaveRun))
         }
     }
 }
 
 async fn claim_and_send<P: Platform>(shared: Shared<P>, attempt: Attempt) -> Result<Whole> {
-    let claimer = Claimer::new(shared.unique(), attempt.digest.clone());
+    let claimer = ClaimAttempt::new(shared.unique(), attempt.digest.clone());
     match table::claim(&shared, &attempt.key, claimer).await {
         ClaimStep::Held(held) => send_held(&shared, attempt, held).await,
         ClaimStep::Answer(row, answer) => table::restore(&shared, &attempt.key, &row, answer).await,
@@ -90,7 +91,7 @@
 fn refusal(why: ClaimRefusal) -> Refusal {
     match why {
         ClaimRefusal::MayHaveRun => Refusal::not_run(RefusalReason::AlreadyStarted)
-            .with_ran(Ran::MayHaveRun)
+            .with_ran(ExecutionStatus::MayHaveRun)
             .retry_after_ms(ANSWER_RETRY_AFTER_MS),
         ClaimRefusal::OtherRequest => Refusal::not_run(RefusalReason::Conflict {
             detail: "the idempotency key was used with another request".into(),
@@ -112,8 +113,8 @@
             Ok(answer)
         }
         Err(refusal) => {
-            if refusal.ran == Ran::NotRun {
-                table::release_later(shared, attempt.key, held.not_sent());
+            if refusal.ran == ExecutionStatus::NotRun {
+                table::release_later(shared, attempt.key, held.into_release());
             }
             Err(refusal)
         }
@@ -144,7 +145,7 @@
             break;
         }
         let _in_flight = server.start_request();
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: attempt.id.clone(),
             backend: server.backend.id.clone(),
         });
@@ -152,7 +153,7 @@
         let failed = match call_fresh(shared, address, &call).await {
             Ok(answer) => {
                 server.record_success();
-                shared.timeline.note(Event::Answered {
+                shared.timeline.note(TimelineEvent::Answered {
                     request: attempt.id.clone(),
                 });
                 return Ok(Whole {
@@ -167,7 +168,7 @@
         tried.push(server.backend.id.clone());
         last = backend_failed(target, &failed);
         if !failed.is_not_sent() {
-            return Err(Refusal::not_run(last).with_ran(Ran::MayHaveRun));
+            return Err(Refusal::not_run(last).with_ran(ExecutionStatus::MayHaveRun));
         }
     }
     Err(Refusal::not_run(last).retry_after_ms(BACKEND_RETRY_AFTER_MS))
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -23,12 +23,9 @@
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::time::MonoMs;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::error_body;
-use foxtailhold_caller::gateway::{
-    BatchObject, BatchRequest, Entries, EntriesQuery, EntryAddress, FileObject, Gateway, Inference,
-    InferenceAnswer, PlainCall, RequestContext, RequestKind, Whole,
-};
+use foxtailhold_caller::gateway::{BatchObject, BatchRequest, Entries, EntriesQuery, EntryAddress, FileObject, Gateway, Inference, InferenceAnswer, PlainCall, RequestContext, RequestKind, Whole};
 use foxtailhold_platform::{Platform, PlatformError};
 use rand::seq::SliceRandom;
 use sha2::{Digest, Sha256};
@@ -85,7 +82,7 @@
     ) -> Result<AdmittedRequest> {
         let shared = &self.0;
         let admitted = self.within_limits(&context.contract, tokens as f64).await?;
-        shared.timeline.note(Event::Accepted {
+        shared.timeline.note(TimelineEvent::Accepted {
             request: context.id.clone(),
             customer: context.contract.customer.clone(),
         });
@@ -265,7 +262,7 @@
             .refusals
             .get_or_create(&CodeLabel { code })
             .inc();
-        self.0.timeline.note(Event::Refused {
+        self.0.timeline.note(TimelineEvent::Refused {
             request: request.clone(),
             code: code.to_owned(),
         });
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -1,27 +1,24 @@
 //! What operators see and change through this instance.
 
-use foxtailhold::batch::{JobRow, OpenRow, OwnerRow};
+use foxtailhold::batch::{JobRow, OpenJobRow, OwnerRow};
 use foxtailhold::contract_registry::{ContractEntry, ContractSyncData};
 use foxtailhold::contract_sync::ListingState;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::orders::EngineSetup;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_operator::error::{OperatorError, Result};
 use foxtailhold_operator::gateway::{ContractUpdate, OperatorGateway};
-use foxtailhold_operator::view::{
-    AcceptedChange, BackendView, ContractView, InstanceView, InstancesView, JobView, OrderView,
-    Readiness, TimelineView,
-};
+use foxtailhold_operator::view::{AcceptedChange, BackendView, ContractView, InstanceView, InstancesView, JobView, OrderView, Readiness, TimelineView};
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::{Platform, PlatformError};
 use tokio::sync::mpsc;
 
+use crate::{gauges, tables};
 use crate::actors::log_undelivered;
 use crate::gateway::{EntryGateway, contract_change, orders};
 use crate::jobs::owner::{finished_chunks, scan_all};
 use crate::messages::ContractsMessage;
 use crate::shared::Shared;
-use crate::{gauges, tables};
 
 /// Limit for telling a peer of a change.
 const PUSH_TIMEOUT_MS: u64 = 1_000;
@@ -126,7 +123,7 @@
             version: change.version,
             number: change.number,
         };
-        shared.timeline.note(Event::ContractAccepted {
+        shared.timeline.note(TimelineEvent::ContractAccepted {
             number: change.number,
         });
         spread(shared, &ContractSyncData::Changes(vec![change])).await;
@@ -175,7 +172,7 @@
         let open = scan_all(&shared.platform, tables::JOB_OPEN, "").await;
         let mut views = Vec::new();
         for keyed in open.map_err(|error| unavailable(&error))? {
-            let Ok(open) = keyed.row.read::<OpenRow>() else {
+            let Ok(open) = keyed.row.read::<OpenJobRow>() else {
                 continue;
             };
             let view = job_view(shared, &keyed.key, &open.job).await;
--- a/crates/foxtailhold-entry/src/gateway/service_call.rs
+++ b/crates/foxtailhold-entry/src/gateway/service_call.rs
@@ -2,9 +2,9 @@
 
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::BackendId;
-use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
+use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
-use foxtailhold::timeline::Event;
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{PlainCall, Whole};
 use foxtailhold_http::client::Reuse;
 use foxtailhold_platform::Platform;
@@ -12,8 +12,8 @@
 use http::Method;
 use tokio::time::Instant;
 
-use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_TRIES};
 use crate::gateway::{EntryGateway, idempotency};
+use crate::gateway::dispatch::{BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_TRIES, self};
 use crate::shared::Shared;
 
 fn check_service<P: Platform>(shared: &Shared<P>, call: &PlainCall) -> Result<()> {
@@ -43,7 +43,7 @@
 /// What is known after some tries.
 struct CallAttempts {
     tried: Vec<BackendId>,
-    ran: Ran,
+    ran: ExecutionStatus,
     last: RefusalReason,
 }
 
@@ -72,7 +72,7 @@
         return true;
     }
     let spent = attempts.tried.len() >= MAX_TRIES;
-    if spent || (attempts.ran == Ran::MayHaveRun && !method.is_idempotent()) {
+    if spent || (attempts.ran == ExecutionStatus::MayHaveRun && !method.is_idempotent()) {
         return false;
     }
     if !shared.retries.retry(shared.clock.mono()) {
@@ -94,7 +94,7 @@
     };
     let mut attempts = CallAttempts {
         tried: Vec::new(),
-        ran: Ran::NotRun,
+        ran: ExecutionStatus::NotRun,
         last: RefusalReason::NoBackend {
             target: service.clone(),
         },
@@ -111,7 +111,7 @@
             break;
         };
         let _in_flight = server.start_request();
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: call.context.id.clone(),
             backend: server.backend.id.clone(),
         });
@@ -132,7 +132,7 @@
         attempts.tried.push(server.backend.id.clone());
         attempts.last = idempotency::backend_failed(service, &error);
         if !error.is_not_sent() {
-            attempts.ran = Ran::MayHaveRun;
+            attempts.ran = ExecutionStatus::MayHaveRun;
         }
     }
     Err(attempts.refusal())
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -4,21 +4,21 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxtailhold::quarantine::TrialEnd;
-use foxtailhold::refusal::{Ran, Refusal, Result};
 use foxtailhold::stall;
-use foxtailhold::timeline::Event;
+use foxtailhold::quarantine::TrialEnd;
+use foxtailhold::refusal::{ExecutionStatus, Refusal, Result};
+use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::EventSource;
-use foxtailhold_engine::check::DONE_EVENT;
 use foxtailhold_engine::{EngineAnswer, EngineError, EngineStream, Resume, TokenEvent};
+use foxtailhold_engine::check::DONE_EVENT;
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
+use crate::online_load;
 use crate::backends::{BackendState, InFlightGuard};
 use crate::crashes::ProbeGuard;
-use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest, StartedAnswer};
+use crate::gateway::dispatch::{AttemptHistory, OutgoingRequest, StartedAnswer, self};
 use crate::limits::AdmittedRequest;
-use crate::online_load;
 use crate::shared::Shared;
 
 /// The part of a stream that comes from one engine.
@@ -136,11 +136,11 @@
     }
 
     /// What is known of the request's effect.
-    fn ran(&self) -> Ran {
+    fn ran(&self) -> ExecutionStatus {
         if self.tokens > 0 {
-            return Ran::Ran;
+            return ExecutionStatus::Ran;
         }
-        Ran::MayHaveRun
+        ExecutionStatus::MayHaveRun
     }
 
     /// Silence after which the engine is given up on; before the first event not past the deadline.
@@ -194,7 +194,7 @@
         if let Some(attempt) = self.attempt.take() {
             attempt.close();
         }
-        self.shared.timeline.note(Event::Answered {
+        self.shared.timeline.note(TimelineEvent::Answered {
             request: self.outgoing.id.clone(),
         });
         Some(Ok(raw))
--- a/crates/foxtailhold-entry/src/jobs/item_attempt.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_attempt.rs
@@ -3,21 +3,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::quarantine::TrialEnd;
 use foxtailhold::stall;
-use foxtailhold::timeline::Event;
-use foxtailhold_engine::{
-    EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer,
-};
+use foxtailhold::quarantine::TrialEnd;
+use foxtailhold::timeline::TimelineEvent;
+use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer};
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
+use crate::online_load;
 use crate::backends::{BackendState, InFlightGuard};
 use crate::batch_controllers::BatchItemInFlight;
 use crate::crashes::ProbeGuard;
-use crate::gateway::dispatch::{self, OutgoingRequest, StartedAnswer};
+use crate::gateway::dispatch::{OutgoingRequest, StartedAnswer, self};
 use crate::jobs::item_body::Received;
-use crate::online_load;
 use crate::shared::Shared;
 
 /// How a leg ended by itself.
@@ -53,7 +51,7 @@
     ) -> foxtailhold_engine::Result<Self> {
         let batch = online_load::start_batch_item(shared, &server.backend.id);
         let in_flight = server.start_tracked_request(Some(outgoing.fingerprint));
-        shared.timeline.note(Event::Sent {
+        shared.timeline.note(TimelineEvent::Sent {
             request: outgoing.id.clone(),
             backend: server.backend.id.clone(),
         });
--- a/crates/foxtailhold-entry/src/jobs/ordinary.rs
+++ b/crates/foxtailhold-entry/src/jobs/ordinary.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use foxtailhold::batch::MAX_ITEM_TRIES;
+use foxtailhold::batch::MAX_ITEM_ATTEMPTS;
 use foxtailhold::refusal::{Refusal, RefusalReason};
 use foxtailhold_engine::EngineAnswer;
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{self, AttemptHistory};
+use crate::gateway::dispatch::{AttemptHistory, self};
 use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
 use crate::jobs::item_body::ItemBody;
 use crate::shared::Shared;
@@ -55,7 +55,7 @@
                 }
                 Err(refusal) => {
                     failures += attempts.tried.len() as u32;
-                    if failures >= MAX_ITEM_TRIES {
+                    if failures >= MAX_ITEM_ATTEMPTS {
                         return run.failed(&id, "backend_failed", refusal.to_string());
                     }
                 }
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -2,10 +2,11 @@
 
 use std::collections::HashMap;
 use std::ops::Deref;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use arc_swap::ArcSwap;
+use foxtailhold::rendezvous;
 use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::contract_sync::ContractSync;
 use foxtailhold::ids::{InstanceId, RequestId};
@@ -13,7 +14,6 @@
 use foxtailhold::leaving::LeavingMarks;
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold::quarantine::{Fingerprint, Standing};
-use foxtailhold::rendezvous;
 use foxtailhold::steward::desk::ItemKey;
 use foxtailhold_engine::EngineClient;
 use foxtailhold_peer::PeerClient;
@@ -28,10 +28,7 @@
 use crate::batch_controllers::BatchControllers;
 use crate::jobs::chunk_slots::SharedChunkSlots;
 use crate::limits::Limits;
-use crate::messages::{
-    BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage,
-    LimitsMessage, MembershipMessage,
-};
+use crate::messages::{BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, LimitsMessage, MembershipMessage};
 use crate::metrics::Metrics;
 use crate::retries::RetryGate;
 use crate::settings::{BatchPolicy, Settings};
@@ -218,7 +215,7 @@
     pub fn is_coordinator_for(&self, key: &[u8]) -> bool {
         let members = self.live_members();
         let ids = members.iter().map(|member| &member.id);
-        rendezvous::home(ids, key) == Some(&self.settings.instance)
+        rendezvous::select(ids, key) == Some(&self.settings.instance)
     }
 
     /// A member by its identifier.
@@ -229,7 +226,7 @@
 
     /// Until when this instance may act on work owned under `epoch`; the present where it may not.
     pub fn acts_until(&self, epoch: u64) -> Instant {
-        let until = self.lease.load().acts_until(epoch);
+        let until = self.lease.load().valid_until(epoch);
         until.map_or_else(Instant::now, |until| self.clock.instant(until))
     }
 
--- a/crates/foxtailhold-relay/src/jobs/owner.rs
+++ b/crates/foxtailhold-relay/src/jobs/owner.rs
@@ -4,17 +4,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::ids::{InstanceId, JobId};
 use foxtailhold::rendezvous;
+use foxtailhold::ids::{InstanceId, JobId};
 use foxtailhold_platform::{Committed, ObjectStore, RowStore};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
 use crate::dialect::Dialect;
-use crate::jobs::Jobs;
+use crate::jobs::{Job, JobError, Jobs};
 use crate::jobs::cache::KnownJob;
 use crate::jobs::run::run_job;
-use crate::jobs::{Job, JobError};
 
 /// Pause between two looks at owners without a change of a job.
 const LOOK_MS: u64 = 300;
@@ -106,7 +105,7 @@
         return false;
     }
     let heirs = members.not_down(now, down_ms);
-    let heir = rendezvous::home(&heirs, id.as_str().as_bytes());
+    let heir = rendezvous::select(&heirs, id.as_str().as_bytes());
     heir.is_none_or(|heir| heir == jobs.me())
 }
 
@@ -188,5 +187,5 @@
     let live = members.live(now);
     let others = live.iter().map(|member| &member.instance);
     let others = others.filter(|instance| *instance != jobs.me());
-    rendezvous::home(others, id.as_str().as_bytes()).cloned()
+    rendezvous::select(others, id.as_str().as_bytes()).cloned()
 }
--- a/crates/foxtailhold-relay/src/jobs/store.rs
+++ b/crates/foxtailhold-relay/src/jobs/store.rs
@@ -3,19 +3,16 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
+use foxtailhold::attempt_counts::AttemptCounts;
 use foxtailhold::ids::JobId;
-use foxtailhold::run_account::RunAccount;
 use foxtailhold_peer::codec;
 use foxtailhold_platform::{Changes, Committed, ObjectStore, RowKey, RowStore, VersionedRow};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
+use crate::jobs::{BODIES_TABLE, Item, ItemState, JOBS_TABLE, Job, JobError, ListedResult, NewJob, PIECES_TABLE, Piece, RESULTS_TABLE, Result};
 use crate::jobs::cache::{JOB_PREFIX, QUOTA_PREFIX};
 use crate::jobs::checkpoint::ACCOUNT_KEY;
-use crate::jobs::{
-    BODIES_TABLE, Item, ItemState, JOBS_TABLE, Job, JobError, ListedResult, NewJob, PIECES_TABLE,
-    Piece, RESULTS_TABLE, Result,
-};
 
 /// Bytes of a text in one row, below the platform's limit on a row with room for base64.
 const TEXT_PART_BYTES: usize = 40_000;
@@ -218,7 +215,12 @@
     }
 
     /// Writes the account of an item's runs beside its pieces.
-    pub async fn write_account(&self, id: &JobId, item: &str, account: &RunAccount) -> Result<()> {
+    pub async fn write_account(
+        &self,
+        id: &JobId,
+        item: &str,
+        account: &AttemptCounts,
+    ) -> Result<()> {
         let key = format!("{id}/{item}/{ACCOUNT_KEY}");
         let changes = Changes {
             puts: vec![(RowKey::new(PIECES_TABLE, &key), json(id, account)?)],
--- a/crates/foxtailhold-relay/src/jobs/sweep.rs
+++ b/crates/foxtailhold-relay/src/jobs/sweep.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::ids::{InstanceId, JobId};
 use foxtailhold::rendezvous;
+use foxtailhold::ids::{InstanceId, JobId};
 use foxtailhold_platform::{ObjectStore, RowStore};
 
 use crate::dialect::Dialect;
-use crate::jobs::cache::KnownJob;
 use crate::jobs::{Jobs, Result};
+use crate::jobs::cache::KnownJob;
 
 /// Pause between two sweeps; jobs are kept for minutes.
 const SWEEP_MS: u64 = 2_000;
@@ -48,7 +48,7 @@
     sweepers: &[InstanceId],
     id: &JobId,
 ) -> bool {
-    let home = rendezvous::home(sweepers, id.as_str().as_bytes());
+    let home = rendezvous::select(sweepers, id.as_str().as_bytes());
     home.is_none_or(|home| home == jobs.me())
 }
 
--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -14,12 +14,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+use foxtailhold::rendezvous;
 use foxtailhold::ids::{AvailabilityZone, BackendId, InstanceId, TargetName};
 use foxtailhold::quarantine::{CrashId, Fingerprint};
-use foxtailhold::rendezvous;
-use foxtailhold::slots::{
-    Allocator, Ask, AskId, Decision, Held, Outcome, Places, Urgency, Verdict,
-};
+use foxtailhold::slots::{Allocator, Ask, AskId, Decision, Held, Outcome, Places, Urgency, Verdict};
 use foxtailhold::time::{MonoMs, WallMs};
 use foxtailhold_peer::codec;
 use parking_lot::{Mutex, MutexGuard};
@@ -128,7 +126,7 @@
     pub fn is_home(&self, key: &[u8]) -> bool {
         let members = self.members();
         let live = members.live(self.now());
-        let home = rendezvous::home(live.iter().map(|member| &member.instance), key);
+        let home = rendezvous::select(live.iter().map(|member| &member.instance), key);
         home.is_none_or(|home| home == self.me())
     }
 
