--- a/crates/foxtailhold-entry/src/actors/steward.rs
+++ b/crates/foxtailhold-entry/src/actors/steward.rs
@@ -1,16 +1,16 @@
 //! Steers batch at the engines whose steward this instance is, and gives the items of jobs owned
-//! here their places. The decisions are those of [`foxtailhold::steward`].
+//! here their places. The decisions are those of [`foxtailhold::batch_control`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use foxtailhold::batch_control::controller::ReplicaSteward;
+use foxtailhold::batch_control::scheduler::{Desk, DeskAction, DeskReplica, ItemKey};
+use foxtailhold::batch_control::{PlaceAsk, PlaceGrant};
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::membership::Member;
 use foxtailhold::rendezvous;
 use foxtailhold::replicas::{BackendKind, FleetState};
-use foxtailhold::steward::desk::{Desk, DeskAction, DeskReplica, ItemKey};
-use foxtailhold::steward::replica::ReplicaSteward;
-use foxtailhold::steward::{PlaceAsk, PlaceGrant};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::Event;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
--- a/crates/foxtailhold-entry/src/jobs/steward_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_item.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use foxtailhold::batch::MAX_ITEM_TRIES;
+use foxtailhold::batch_control::scheduler::WaitingItem;
 use foxtailhold::ids::BackendId;
 use foxtailhold::quarantine::Standing;
 use foxtailhold::refusal::RefusalReason;
 use foxtailhold::replicas::BackendKind;
-use foxtailhold::steward::desk::WaitingItem;
 use foxtailhold::timeline::Event;
 use foxtailhold_engine::{EngineError, Resume, WholeAnswer};
 use foxtailhold_platform::Platform;
--- a/crates/foxtailhold-entry/src/jobs/steward_line.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_line.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use foxtailhold::batch_control::scheduler::{ItemKey, WaitingItem};
 use foxtailhold::ids::BackendId;
-use foxtailhold::steward::desk::{ItemKey, WaitingItem};
 use foxtailhold_platform::Platform;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -3,6 +3,8 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
+use foxtailhold::batch_control::scheduler::{ItemKey, WaitingItem};
+use foxtailhold::batch_control::{OnlineNotice, PlaceAsk, PlaceGrant};
 use foxtailhold::contract_book::{Catchup, ContractChange};
 use foxtailhold::contract_sync::{Advert, Step, StoreSnapshot};
 use foxtailhold::ids::{BackendId, InstanceId, JobId};
@@ -10,8 +12,6 @@
 use foxtailhold::membership::Gossip;
 use foxtailhold::quarantine::{Fingerprint, Notice, TrialAnswer, TrialEnd};
 use foxtailhold::replicas::LoadReport;
-use foxtailhold::steward::desk::{ItemKey, WaitingItem};
-use foxtailhold::steward::{OnlineNotice, PlaceAsk, PlaceGrant};
 use foxtailhold::time::MonoMs;
 use foxtailhold_platform::{Fleet, FleetInstance};
 use ractor::RpcReplyPort;
--- a/crates/foxtailhold-entry/src/online.rs
+++ b/crates/foxtailhold-entry/src/online.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use foxtailhold::batch_control::{NOTICE_GAP_MS, NOTICE_PERIOD_MS, OnlineNotice, is_queued};
 use foxtailhold::ids::BackendId;
-use foxtailhold::steward::{NOTICE_GAP_MS, NOTICE_PERIOD_MS, OnlineNotice, is_queued};
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 use ractor::rpc::CallResult;
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -6,6 +6,7 @@
 use std::sync::{Arc, OnceLock};
 
 use arc_swap::ArcSwap;
+use foxtailhold::batch_control::scheduler::ItemKey;
 use foxtailhold::contract_book::ContractBook;
 use foxtailhold::contract_sync::ContractSync;
 use foxtailhold::ids::{InstanceId, RequestId};
@@ -14,7 +15,6 @@
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold::quarantine::{Fingerprint, Standing};
 use foxtailhold::rendezvous;
-use foxtailhold::steward::desk::ItemKey;
 use foxtailhold_engine::EngineClient;
 use foxtailhold_peer::PeerClient;
 use foxtailhold_platform::Platform;
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::landing::Verdict;
+use foxtailhold::batch_control::{OnlineNotice, PlaceAsk, PlaceGrant};
 use foxtailhold::contract_book::Catchup;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
 use foxtailhold::leaving::LeavingMark;
 use foxtailhold::limits::{Grant, ShareAsks};
 use foxtailhold::membership::Gossip;
 use foxtailhold::quarantine::{Fingerprint, Notice, TrialAnswer, TrialEnd};
-use foxtailhold::steward::{OnlineNotice, PlaceAsk, PlaceGrant};
 use serde::{Deserialize, Serialize};
 
 /// A message to a peer.
--- a/crates/foxtailhold-standin/tests/batch_beside_online.rs
+++ b/crates/foxtailhold-standin/tests/batch_beside_online.rs
@@ -9,9 +9,9 @@
 
 use bytes::Bytes;
 use common::{Deployment, until};
+use foxtailhold::batch_control::GRANT_MS;
 use foxtailhold::ids::InstanceId;
 use foxtailhold::rendezvous;
-use foxtailhold::steward::GRANT_MS;
 use foxtailhold_http::client::{HttpClient, Reuse};
 use foxtailhold_standin::demo::{API_KEY, chat};
 use foxtailhold_standin::engine::faults::Ran;
--- a/crates/foxtailhold/src/steward/replica.rs
+++ b/crates/foxtailhold/src/batch_control/controller.rs
@@ -6,10 +6,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::batch_control::window::Mark;
+use crate::batch_control::{GRANT_MS, OnlineNotice, PlaceAsk, PlaceGrant};
 use crate::ids::{BackendId, InstanceId};
 use crate::replicas::LoadReport;
-use crate::steward::mark::Mark;
-use crate::steward::{GRANT_MS, OnlineNotice, PlaceAsk, PlaceGrant};
 use crate::time::MonoMs;
 
 /// Owners whose slack falls in the same span of this length share evenly.
--- a/crates/foxtailhold/src/steward/mod.rs
+++ b/crates/foxtailhold/src/batch_control/mod.rs
@@ -1,9 +1,9 @@
 //! Batch beside online: how many batch items may be in flight at each replica, and whose.
 //!
 //! One instance, the replica's *steward* (its home by rendezvous hashing over the live members),
-//! keeps batch at the replica below a mark ([`mark::Mark`]) and divides the mark between the owners
-//! of jobs ([`replica::ReplicaSteward`]). An owner asks for places, gets an absolute number that is
-//! valid for a short time, and sends its items itself ([`desk::Desk`]). Any instance that sends
+//! keeps batch at the replica below a mark ([`window::Mark`]) and divides the mark between the owners
+//! of jobs ([`controller::ReplicaSteward`]). An owner asks for places, gets an absolute number that is
+//! valid for a short time, and sends its items itself ([`scheduler::Desk`]). Any instance that sends
 //! online work to a replica with batch tells the steward ([`OnlineNotice`]).
 //!
 //! Bound: the grants of one steward that may be in use at the same time never add up to more than
@@ -11,9 +11,9 @@
 //! An owner uses the grant of one steward only, so two stewards of one replica, for as long as
 //! members disagree, allow at most twice that.
 
-pub mod desk;
-pub mod mark;
-pub mod replica;
+pub mod controller;
+pub mod scheduler;
+pub mod window;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/foxtailhold/src/steward/desk.rs
+++ b/crates/foxtailhold/src/batch_control/scheduler.rs
@@ -8,8 +8,8 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use crate::batch_control::{ASK_GAP_MS, ASK_PERIOD_MS, GRANT_MS, PlaceAsk, PlaceGrant};
 use crate::ids::{BackendId, InstanceId, TargetName};
-use crate::steward::{ASK_GAP_MS, ASK_PERIOD_MS, GRANT_MS, PlaceAsk, PlaceGrant};
 use crate::time::{MonoMs, WallMs};
 
 /// Replicas asked for places at once, besides those where items are in flight.
--- a/crates/foxtailhold/src/steward/mark.rs
+++ b/crates/foxtailhold/src/batch_control/window.rs
@@ -7,9 +7,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::batch_control::{NOTICE_VALID_MS, OnlineNotice, is_queued};
 use crate::ids::InstanceId;
 use crate::replicas::LoadReport;
-use crate::steward::{NOTICE_VALID_MS, OnlineNotice, is_queued};
 use crate::time::MonoMs;
 
 /// Time between two rises of the mark.
--- a/crates/foxtailhold/src/lib.rs
+++ b/crates/foxtailhold/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod admission;
 pub mod batch;
+pub mod batch_control;
 pub mod breaker;
 pub mod contract;
 pub mod contract_book;
@@ -30,7 +31,6 @@
 pub mod run_account;
 pub mod slots;
 pub mod stall;
-pub mod steward;
 pub mod suspect;
 pub mod time;
 pub mod timeline;
--- a/crates/foxtailhold/src/limits/mod.rs
+++ b/crates/foxtailhold/src/limits/mod.rs
@@ -11,16 +11,16 @@
 //! plus one request for each instance. `docs/design/limits.md` gives the bounds without a home.
 
 mod bucket;
+mod coordinator;
 mod divide;
 mod holder;
-mod home;
 mod message;
 mod views;
 
 pub use bucket::TokenBucket;
+pub use coordinator::LimitHome;
 pub use divide::{Claim, max_min};
 pub use holder::{Holder, Limit, Verdict};
-pub use home::LimitHome;
 pub use message::{Ask, Credit, Demand, Grant, Share, ShareAsks, Terms, WHOLE_PPM};
 pub use views::Views;
 
--- a/crates/foxtailhold/src/slots/mod.rs
+++ b/crates/foxtailhold/src/slots/mod.rs
@@ -7,11 +7,11 @@
 //! over at any moment, and two allocators at once cost capacity, never correctness.
 
 mod allocator;
+pub mod health;
 mod pool;
-pub mod trouble;
 
 pub use allocator::{Allocator, Decision};
-pub use trouble::Trouble;
+pub use health::Trouble;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/foxtailhold/src/slots/pool.rs
+++ b/crates/foxtailhold/src/slots/pool.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::ids::BackendId;
-use crate::slots::trouble::Trouble;
+use crate::slots::health::Trouble;
 use crate::slots::{Ask, AskId, Decision, Held, Outcome, Places, Urgency, Verdict};
 use crate::time::MonoMs;
 
--- a/crates/foxtailhold/tests/steward_fuzz.rs
+++ b/crates/foxtailhold/tests/batch_control_fuzz.rs
@@ -3,12 +3,12 @@
 //!
 //! `FOXTAILHOLD_FUZZ_CASES` and `FOXTAILHOLD_FUZZ_STEPS` make longer runs.
 
-mod steward_world;
+mod batch_control_world;
 
+use batch_control_world::{LAG_MS, OWNERS, STEWARDS, Step, World};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
-use steward_world::{LAG_MS, OWNERS, STEWARDS, Step, World};
 
 struct Steps;
 
--- a/crates/foxtailhold/tests/steward_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -1,11 +1,11 @@
 //! Single rules of the steward and the owner's desk.
 
+use foxtailhold::batch_control::controller::ReplicaSteward;
+use foxtailhold::batch_control::scheduler::{Desk, DeskAction, DeskReplica, WaitingItem};
+use foxtailhold::batch_control::window::{HOLD_MS, Mark, RISE_MS, STALE_MS};
+use foxtailhold::batch_control::{GRANT_MS, OnlineNotice, PlaceAsk, PlaceGrant, is_queued};
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::replicas::LoadReport;
-use foxtailhold::steward::desk::{Desk, DeskAction, DeskReplica, WaitingItem};
-use foxtailhold::steward::mark::{HOLD_MS, Mark, RISE_MS, STALE_MS};
-use foxtailhold::steward::replica::ReplicaSteward;
-use foxtailhold::steward::{GRANT_MS, OnlineNotice, PlaceAsk, PlaceGrant, is_queued};
 use foxtailhold::time::{MonoMs, WallMs};
 use test_case::test_case;
 
--- a/crates/foxtailhold/tests/steward_world/mod.rs
+++ b/crates/foxtailhold/tests/batch_control_world/mod.rs
@@ -5,12 +5,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+use foxtailhold::batch_control::controller::ReplicaSteward;
+use foxtailhold::batch_control::scheduler::{Desk, DeskAction, DeskReplica, ItemKey, WaitingItem};
+use foxtailhold::batch_control::window::Mark;
+use foxtailhold::batch_control::{GRANT_MS, OnlineNotice, PlaceGrant};
 use foxtailhold::ids::{BackendId, InstanceId, TargetName};
 use foxtailhold::replicas::LoadReport;
-use foxtailhold::steward::desk::{Desk, DeskAction, DeskReplica, ItemKey, WaitingItem};
-use foxtailhold::steward::mark::Mark;
-use foxtailhold::steward::replica::ReplicaSteward;
-use foxtailhold::steward::{GRANT_MS, OnlineNotice, PlaceGrant};
 use foxtailhold::time::{MonoMs, WallMs};
 
 use self::step::Message;
--- a/crates/foxtailhold/tests/steward_world/step.rs
+++ b/crates/foxtailhold/tests/batch_control_world/step.rs
@@ -1,6 +1,6 @@
 //! What happens in the world, and what is under way between its processes.
 
-use foxtailhold::steward::{OnlineNotice, PlaceAsk, PlaceGrant};
+use foxtailhold::batch_control::{OnlineNotice, PlaceAsk, PlaceGrant};
 use foxtailhold::time::MonoMs;
 
 #[derive(Debug, Clone)]
