--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -9,7 +9,7 @@
 use foxtailhold::contract::Contract;
 use foxtailhold::contract_book::{ContractBook, ContractChange};
 use foxtailhold::ids::{InstanceId, TargetName};
-use foxtailhold::limits::{Ask, EXCHANGE_MS, IDLE_MS, ShareAsks};
+use foxtailhold::limits::{EXCHANGE_MS, IDLE_MS, ShareRequest, ShareRequests};
 use foxtailhold::time::MonoMs;
 use foxtailhold_entry::admission::Admission;
 use foxtailhold_entry::limits::{Attempt, Decision, Limits};
@@ -57,11 +57,19 @@
 }
 
 /// Asks this instance as the home and takes its answer in.
-fn exchange(limits: &Limits, asks: Vec<Ask>, book: &ContractBook, now: MonoMs) -> Result<()> {
+fn exchange(
+    limits: &Limits,
+    asks: Vec<ShareRequest>,
+    book: &ContractBook,
+    now: MonoMs,
+) -> Result<()> {
     let from = InstanceId::try_from(ME)?;
-    let asks = ShareAsks { from, asks };
+    let asks = ShareRequests {
+        from,
+        requests: asks,
+    };
     let grants = limits.answer(&asks, book, now).grants;
-    limits.granted(&asks.asks, &grants, now);
+    limits.granted(&asks.requests, &grants, now);
     Ok(())
 }
 
--- a/crates/foxtailhold-entry/src/actors/crashes.rs
+++ b/crates/foxtailhold-entry/src/actors/crashes.rs
@@ -2,7 +2,7 @@
 
 use foxtailhold::breaker::Availability;
 use foxtailhold::membership::MemberState;
-use foxtailhold::quarantine::{Notice, Quarantine, TrialAnswer};
+use foxtailhold::quarantine::{ProbeResponse, Quarantine, QuarantineNotice};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::Event;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -78,8 +78,8 @@
             }
             CrashesMessage::Ask(fingerprint, backends, reply) => {
                 let answer = quarantine.ask(fingerprint, &backends, now);
-                if let TrialAnswer::Granted { backend, .. } = &answer {
-                    self.tell(Notice::Trial {
+                if let ProbeResponse::Granted { backend, .. } = &answer {
+                    self.tell(QuarantineNotice::ProbeStarted {
                         fingerprint,
                         backend: backend.clone(),
                     });
@@ -87,7 +87,7 @@
                 let _ = reply.send(answer);
             }
             CrashesMessage::Ended(fingerprint, backend, end) => {
-                if let Some(notice) = quarantine.trial_ended(fingerprint, &backend, end, now) {
+                if let Some(notice) = quarantine.probe_ended(fingerprint, &backend, end, now) {
                     self.tell(notice);
                 }
             }
@@ -108,9 +108,9 @@
 
 impl<P: Platform> CrashesActor<P> {
     /// Tells all peers, each in a task of its own with a few tries.
-    fn tell(&self, notice: Notice) {
+    fn tell(&self, notice: QuarantineNotice) {
         log::info!("told to all: {notice:?}");
-        if let Notice::Convicted { fingerprint, .. } = &notice {
+        if let QuarantineNotice::Convicted { fingerprint, .. } = &notice {
             self.0.timeline.note(Event::Convicted {
                 fingerprint: format!("{:032x}", fingerprint.0),
             });
@@ -135,12 +135,13 @@
     }
 
     /// A backend server that crashed under another instance's requests gets nothing from here.
-    fn set_aside(&self, notice: &Notice, now: MonoMs) {
-        let Notice::Crashed { crash, .. } = notice else {
+    fn set_aside(&self, notice: &QuarantineNotice, now: MonoMs) {
+        let QuarantineNotice::Crashed { crash, .. } = notice else {
             return;
         };
         for cell in &self.0.backends.load().cells {
-            let is_lost = cell.is_process(crash) && cell.availability(now) == Availability::Open;
+            let is_lost =
+                cell.is_process(crash) && cell.availability(now) == Availability::Available;
             if is_lost {
                 cell.failed(now);
             }
@@ -175,7 +176,7 @@
         }
         for cell in &shared.backends.load().cells {
             let id = &cell.backend.id;
-            cell.set_on_trial(quarantine.trial_backends().any(|backend| backend == id));
+            cell.set_on_trial(quarantine.probed_backends().any(|backend| backend == id));
         }
     }
 }
--- a/crates/foxtailhold-entry/src/actors/fleet.rs
+++ b/crates/foxtailhold-entry/src/actors/fleet.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use foxtailhold::ids::InstanceId;
-use foxtailhold::leaving::LeavingMarks;
+use foxtailhold::leaving::LeavingBackends;
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::time::MonoMs;
 use foxtailhold_peer::PeerRequest;
@@ -32,24 +32,24 @@
 
 impl<P: Platform> Actor for FleetActor<P> {
     type Msg = FleetMessage;
-    type State = LeavingMarks;
+    type State = LeavingBackends;
     type Arguments = ();
 
     async fn pre_start(
         &self,
         myself: ActorRef<Self::Msg>,
         (): (),
-    ) -> Result<LeavingMarks, ActorProcessingErr> {
+    ) -> Result<LeavingBackends, ActorProcessingErr> {
         tick(&myself, || FleetMessage::ReadList, LIST_PERIOD_MS);
         tick(&myself, || FleetMessage::ReadLoads, LOAD_PERIOD_MS);
-        Ok(LeavingMarks::default())
+        Ok(LeavingBackends::default())
     }
 
     async fn handle(
         &self,
         myself: ActorRef<Self::Msg>,
         message: Self::Msg,
-        marks: &mut LeavingMarks,
+        marks: &mut LeavingBackends,
     ) -> Result<(), ActorProcessingErr> {
         let now = self.0.clock.mono();
         match message {
@@ -62,7 +62,7 @@
                 marks.tick(now);
             }
             FleetMessage::Marks(told) => {
-                if marks.hear(&told, now) {
+                if marks.merge(&told, now) {
                     self.spread(marks, now);
                 }
             }
@@ -104,16 +104,16 @@
     }
 
     /// Marks what this instance sees first-hand, and publishes all marks.
-    fn mark(&self, marks: &mut LeavingMarks, now: MonoMs) {
+    fn mark(&self, marks: &mut LeavingBackends, now: MonoMs) {
         let (backends, wall) = (self.0.backends.load(), self.0.clock.wall());
         let mut news = false;
         for cell in &backends.cells {
             if cell.seen_leaving() {
-                news |= marks.witness(&cell.backend.id, wall, now);
+                news |= marks.observe(&cell.backend.id, wall, now);
             }
         }
         for cell in &backends.cells {
-            cell.set_marked_leaving(marks.is_marked(&cell.backend.id, now));
+            cell.set_marked_leaving(marks.is_leaving(&cell.backend.id, now));
         }
         self.0.leaving.store(Arc::new(marks.clone()));
         if news {
@@ -122,14 +122,14 @@
     }
 
     /// Tells some instances at once; they tell others, and gossip brings the rest.
-    fn spread(&self, marks: &LeavingMarks, now: MonoMs) {
+    fn spread(&self, marks: &LeavingBackends, now: MonoMs) {
         let mut peers = self.0.live_members();
         peers.retain(|member| member.id != self.0.settings.instance);
         peers.shuffle(&mut rand::rng());
         peers.truncate(SPREAD_TO);
         for peer in peers {
             let shared = self.0.clone();
-            let request = PeerRequest::BackendsLeaving(marks.told(now));
+            let request = PeerRequest::BackendsLeaving(marks.outgoing(now));
             tokio::spawn(async move {
                 let address = peer.peer_address;
                 let told = shared.peers.ask(address, &request, SPREAD_TIMEOUT_MS).await;
--- a/crates/foxtailhold-entry/src/actors/limits.rs
+++ b/crates/foxtailhold-entry/src/actors/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use foxtailhold::ids::{CustomerId, InstanceId};
-use foxtailhold::limits::{Ask, Grant, HURRY_MS, ShareAsks};
+use foxtailhold::limits::{FAST_RENEWAL_MS, ShareGrant, ShareRequest, ShareRequests};
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
@@ -63,7 +63,7 @@
         myself: ActorRef<Self::Msg>,
         (): (),
     ) -> Result<Self::State, ActorProcessingErr> {
-        tick(&myself, || LimitsMessage::Tick, HURRY_MS);
+        tick(&myself, || LimitsMessage::Tick, FAST_RENEWAL_MS);
         Ok(Instances::default())
     }
 
@@ -117,7 +117,7 @@
 }
 
 /// Answers asks as the home of the customers, and tells holders where another one lacks room.
-pub fn answer<P: Platform>(shared: &Shared<P>, asks: &ShareAsks) -> Vec<Grant> {
+pub fn answer<P: Platform>(shared: &Shared<P>, asks: &ShareRequests) -> Vec<ShareGrant> {
     let (contracts, now) = (shared.contracts.load(), shared.clock.mono());
     let shares = shared.limits.answer(asks, &contracts, now);
     for (instance, customers) in shares.recalls {
@@ -145,33 +145,39 @@
 
 /// Sends asks, in one message to each home, and takes the answers in when they come. Asks to
 /// this instance are answered before it returns.
-fn send<P: Platform>(shared: &Shared<P>, asks: Vec<Ask>) {
+fn send<P: Platform>(shared: &Shared<P>, asks: Vec<ShareRequest>) {
     for (home, asks) in shared.limits.by_home(asks) {
         if home != shared.settings.instance {
             let shared = shared.clone();
             tokio::spawn(async move { exchange(&shared, &home, asks).await });
             continue;
         }
-        let asks = ShareAsks { from: home, asks };
+        let asks = ShareRequests {
+            from: home,
+            requests: asks,
+        };
         let grants = answer(shared, &asks);
-        take_in(shared, &asks.asks, &grants);
+        take_in(shared, &asks.requests, &grants);
     }
 }
 
 /// Takes answers in. A share that shrank is confirmed at once, so that its room can be used.
-fn take_in<P: Platform>(shared: &Shared<P>, asks: &[Ask], grants: &[Grant]) {
+fn take_in<P: Platform>(shared: &Shared<P>, asks: &[ShareRequest], grants: &[ShareGrant]) {
     let due = shared.limits.granted(asks, grants, shared.clock.mono());
     if !due.is_empty() {
         send(shared, due);
     }
 }
 
-async fn exchange<P: Platform>(shared: &Shared<P>, home: &InstanceId, asks: Vec<Ask>) {
+async fn exchange<P: Platform>(shared: &Shared<P>, home: &InstanceId, asks: Vec<ShareRequest>) {
     let Some(home) = shared.member(home) else {
         return;
     };
     let from = shared.settings.instance.clone();
-    let asks = ShareAsks { from, asks };
+    let asks = ShareRequests {
+        from,
+        requests: asks,
+    };
     let request = PeerRequest::Shares(asks.clone());
     let answer = shared
         .peers
@@ -187,5 +193,5 @@
             Vec::new()
         }
     };
-    take_in(shared, &asks.asks, &grants);
+    take_in(shared, &asks.requests, &grants);
 }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -5,8 +5,10 @@
 
 use foxtailhold::contract_sync::Advert;
 use foxtailhold::ids::InstanceId;
-use foxtailhold::leaving::LeavingMark;
-use foxtailhold::membership::{Carried, Gossip, Member, MemberState, Membership, PROBE_PERIOD_MS};
+use foxtailhold::leaving::LeavingNotice;
+use foxtailhold::membership::{
+    Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS,
+};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::Event;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -72,13 +74,13 @@
             }
             MembershipMessage::Answer(answer) => {
                 let (gossip, all) = (&answer.gossip, answer.asked_all);
-                state.membership.on_answer(gossip, all, now);
+                state.membership.on_probe_response(gossip, all, now);
                 self.advert_seen(gossip.contracts, Some(answer.sent_at), answer.address);
                 self.leaving_seen(answer.gossip.leaving);
             }
             MembershipMessage::NoAnswer(id) => self.ask_others(&myself, state, id),
-            MembershipMessage::Indirect(_, true) => state.membership.on_indirect_answer(),
-            MembershipMessage::Indirect(id, false) => state.membership.on_no_answer(&id, now),
+            MembershipMessage::Indirect(_, true) => state.membership.on_indirect_response(),
+            MembershipMessage::Indirect(id, false) => state.membership.on_probe_failure(&id, now),
             MembershipMessage::Seeds(seeds) => state.seeds = seeds,
             MembershipMessage::Leave(reply) => {
                 state.membership.leave();
@@ -86,7 +88,7 @@
             }
         }
         let sync = self.0.contract_sync.load();
-        let listing = sync.listing(state.membership.is_cut_off(), now);
+        let listing = sync.listing(state.membership.is_isolated(), now);
         state.membership.set_listing(listing);
         self.publish(&state.membership);
         Ok(())
@@ -94,10 +96,10 @@
 }
 
 impl<P: Platform> MembershipActor<P> {
-    fn carried(&self, now: MonoMs) -> Carried {
-        Carried {
+    fn carried(&self, now: MonoMs) -> GossipPayload {
+        GossipPayload {
             contracts: self.0.contract_sync.load().advert(now),
-            leaving: self.0.leaving.load().told(now),
+            leaving: self.0.leaving.load().outgoing(now),
         }
     }
 
@@ -111,7 +113,7 @@
             let gossip = state.membership.probe(Some(&target.id), self.carried(now));
             self.send(myself, Some(target.id), target.peer_address, gossip);
         }
-        if let Some(target) = state.membership.dead_target() {
+        if let Some(target) = state.membership.dead_probe_target() {
             let gossip = state.membership.probe(Some(&target.id), self.carried(now));
             self.send(myself, None, target.peer_address, gossip);
         }
@@ -182,7 +184,7 @@
             return;
         };
         let mut asked = JoinSet::new();
-        for helper in state.membership.indirect(&id) {
+        for helper in state.membership.indirect_probers(&id) {
             let shared = self.0.clone();
             asked.spawn(async move {
                 let request = PeerRequest::ProbeFor { address };
@@ -212,7 +214,7 @@
         }
     }
 
-    fn leaving_seen(&self, marks: Vec<LeavingMark>) {
+    fn leaving_seen(&self, marks: Vec<LeavingNotice>) {
         if marks.is_empty() {
             return;
         }
--- a/crates/foxtailhold-entry/src/actors/steward.rs
+++ b/crates/foxtailhold-entry/src/actors/steward.rs
@@ -4,9 +4,11 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use foxtailhold::batch_control::controller::ReplicaSteward;
-use foxtailhold::batch_control::scheduler::{Desk, DeskAction, DeskReplica, ItemKey};
-use foxtailhold::batch_control::{PlaceAsk, PlaceGrant};
+use foxtailhold::batch_control::controller::BatchController;
+use foxtailhold::batch_control::scheduler::{
+    BatchScheduler, ItemKey, SchedulerAction, SchedulerReplica,
+};
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest};
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::membership::Member;
 use foxtailhold::rendezvous;
@@ -40,7 +42,7 @@
 
 #[derive(Debug)]
 struct Stewarded {
-    machine: ReplicaSteward,
+    machine: BatchController,
     polled_at: MonoMs,
 }
 
@@ -48,7 +50,7 @@
 #[derive(Debug)]
 pub struct StewardState {
     term: u64,
-    desk: Desk,
+    desk: BatchScheduler,
     signals: HashMap<ItemKey, UnboundedSender<PlaceSignal>>,
     replicas: HashMap<BackendId, Stewarded>,
     members: Option<Arc<Vec<Member>>>,
@@ -68,7 +70,7 @@
         tick(&myself, || StewardMessage::Tick, TICK_MS);
         Ok(StewardState {
             term: self.0.clock.wall().0,
-            desk: Desk::new(self.0.settings.instance.clone()),
+            desk: BatchScheduler::new(self.0.settings.instance.clone()),
             signals: HashMap::new(),
             replicas: HashMap::new(),
             members: None,
@@ -185,10 +187,10 @@
             }
             let backend = &cell.backend.id;
             let steward = steward_of(&live, backend);
-            replicas.push(DeskReplica {
+            replicas.push(SchedulerReplica {
                 backend: backend.clone(),
                 targets: cell.backend.targets.clone(),
-                steward: steward.map(|member| member.id.clone()),
+                controller: steward.map(|member| member.id.clone()),
             });
             let Some(steward) = steward else {
                 continue;
@@ -235,9 +237,9 @@
         &self,
         myself: &ActorRef<StewardMessage>,
         state: &mut StewardState,
-        ask: PlaceAsk,
+        ask: BatchSlotRequest,
         now: MonoMs,
-    ) -> PlaceGrant {
+    ) -> BatchSlotGrant {
         let backend = ask.backend.clone();
         let (me, term) = (self.0.settings.instance.clone(), state.term);
         let share = self.0.settings.batch_share_percent;
@@ -245,7 +247,7 @@
         let stewarded = entry.or_insert_with(|| {
             self.poll(myself, &backend);
             Stewarded {
-                machine: ReplicaSteward::new(me, backend, term, share),
+                machine: BatchController::new(me, backend, term, share),
                 polled_at: now,
             }
         });
@@ -254,7 +256,12 @@
         grant
     }
 
-    fn granted(&self, state: &mut StewardState, grant: &PlaceGrant, now: MonoMs) -> PlaceAsk {
+    fn granted(
+        &self,
+        state: &mut StewardState,
+        grant: &BatchSlotGrant,
+        now: MonoMs,
+    ) -> BatchSlotRequest {
         let actions = state.desk.pushed(grant, now);
         self.perform(state, actions);
         state.desk.ask(&grant.backend, self.0.clock.wall())
@@ -265,7 +272,7 @@
         &self,
         myself: &ActorRef<StewardMessage>,
         state: &mut StewardState,
-        grants: Vec<(InstanceId, PlaceGrant)>,
+        grants: Vec<(InstanceId, BatchSlotGrant)>,
         now: MonoMs,
     ) {
         for (owner, grant) in grants {
@@ -328,12 +335,12 @@
         }
     }
 
-    fn perform(&self, state: &mut StewardState, actions: Vec<DeskAction>) {
+    fn perform(&self, state: &mut StewardState, actions: Vec<SchedulerAction>) {
         let mut cuts: HashMap<BackendId, u32> = HashMap::new();
         for action in actions {
             let (item, signal) = match action {
-                DeskAction::Start { item, backend } => (item, PlaceSignal::Start(backend)),
-                DeskAction::Cut { item, backend } => {
+                SchedulerAction::Start { item, backend } => (item, PlaceSignal::Start(backend)),
+                SchedulerAction::Preempt { item, backend } => {
                     *cuts.entry(backend).or_default() += 1;
                     (item, PlaceSignal::Cut)
                 }
--- a/crates/foxtailhold-entry/src/admission.rs
+++ b/crates/foxtailhold-entry/src/admission.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use foxtailhold::admission::{
-    AdmissionQueue, Arrival, Capacity, Entered, Released, WaiterId, Window,
+    AdmissionQueue, Arrival, Capacity, ConcurrencyWindow, DequeueOutcome, EnqueueOutcome, WaiterId,
 };
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{CustomerId, TargetName};
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct QueueState {
     queue: AdmissionQueue,
-    window: Window,
+    window: ConcurrencyWindow,
     wakes: HashMap<WaiterId, Wake>,
 }
 
@@ -81,8 +81,8 @@
         let mut state = self.state.lock();
         while let Some(released) = state.queue.next(now) {
             let (id, place) = match released {
-                Released::Expired(id) => (id, None),
-                Released::Admitted(id) => (id, Some(self.place(now))),
+                DequeueOutcome::Expired(id) => (id, None),
+                DequeueOutcome::Admitted(id) => (id, Some(self.place(now))),
             };
             match state.wakes.remove(&id) {
                 Some(wake) => told.push((Some(wake), place)),
@@ -150,9 +150,9 @@
         let (woken, wait_ms, _guard) = {
             let mut state = queue.state.lock();
             match state.queue.enter(&arrival, now) {
-                Entered::Admitted => return Ok(queue.place(now)),
-                Entered::Refused { after_ms } => return Err(queue.overloaded(after_ms)),
-                Entered::Waiting {
+                EnqueueOutcome::Admitted => return Ok(queue.place(now)),
+                EnqueueOutcome::Refused { after_ms } => return Err(queue.overloaded(after_ms)),
+                EnqueueOutcome::Waiting {
                     id,
                     give_up_at,
                     evicted,
@@ -222,7 +222,7 @@
         drop(queues);
         let mut queues = self.queues.write();
         let new = || {
-            let window = Window::new();
+            let window = ConcurrencyWindow::new();
             Arc::new(ModelQueue {
                 model: model.clone(),
                 clock: self.clock,
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwapOption;
 use foxtailhold::breaker::{Availability, Breaker};
 use foxtailhold::ids::{BackendId, TargetName};
-use foxtailhold::quarantine::{CrashId, Fingerprint, Flight};
+use foxtailhold::quarantine::{CrashId, Fingerprint, InFlightRequest};
 use foxtailhold::replicas::{Backend, BackendKind, FleetState, LoadReport, ReplicaLoad};
 use foxtailhold::routing::{Candidate, Candidates, affinity_seed};
 use foxtailhold::stall::{self, Pace};
@@ -191,17 +191,17 @@
     /// Whether it may be used.
     pub fn availability(&self, now: MonoMs) -> Availability {
         if !self.counters.failures.load(Ordering::Relaxed) {
-            return Availability::Open;
+            return Availability::Available;
         }
         if self.counters.set_aside_until.load(Ordering::Relaxed) > now.0 {
-            return Availability::SetAside;
+            return Availability::Ejected;
         }
         Availability::HalfOpen
     }
 
     /// Whether it is set aside.
     pub fn set_aside(&self, now: MonoMs) -> bool {
-        self.availability(now) == Availability::SetAside
+        self.availability(now) == Availability::Ejected
     }
 
     /// Whether a request suspected of crashes is tried there.
@@ -220,14 +220,14 @@
     /// Notes the time between two events of a stream.
     pub fn note_gap(&self, gap: Duration) {
         let mean_us = self.counters.gap_us.load(Ordering::Relaxed);
-        let moved = stall::moved_mean(mean_us, gap.as_micros() as u64);
+        let moved = stall::moving_average(mean_us, gap.as_micros() as u64);
         self.counters.gap_us.store(moved, Ordering::Relaxed);
     }
 
     /// Notes the time of a whole request.
     pub fn note_service(&self, time: Duration) {
         let mean_ms = self.counters.service_ms.load(Ordering::Relaxed);
-        let moved = stall::moved_mean(mean_ms, time.as_millis() as u64);
+        let moved = stall::moving_average(mean_ms, time.as_millis() as u64);
         self.counters.service_ms.store(moved, Ordering::Relaxed);
     }
 
@@ -259,13 +259,13 @@
     }
 
     /// Requests now in flight there.
-    pub fn flights(&self) -> Vec<Flight> {
+    pub fn flights(&self) -> Vec<InFlightRequest> {
         let mut flights = Vec::new();
         for sent in &self.counters.flights.lock().sent {
             let Some(fingerprint) = sent.fingerprint else {
                 continue;
             };
-            flights.push(Flight {
+            flights.push(InFlightRequest {
                 fingerprint,
                 age_ms: sent.at.elapsed().as_millis() as u64,
             });
@@ -385,7 +385,7 @@
             state: cell.state(),
             load: cell.load(),
             availability: cell.availability(self.now),
-            on_trial: cell.counters.on_trial.load(Ordering::Relaxed),
+            under_probe: cell.counters.on_trial.load(Ordering::Relaxed),
             gap_us: cell.counters.gap_us.load(Ordering::Relaxed),
         }
     }
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -7,7 +7,8 @@
 
 use foxtailhold::ids::BackendId;
 use foxtailhold::quarantine::{
-    CrashId, Fingerprint, Notice, Standing, TRIALS_KEY, TrialAnswer, TrialEnd,
+    CrashId, Fingerprint, PROBES_KEY, ProbeOutcome, ProbeResponse, QuarantineNotice,
+    QuarantineStatus,
 };
 use foxtailhold::rendezvous;
 use foxtailhold_engine::EngineError;
@@ -32,10 +33,10 @@
 
 impl<P: Platform> Shared<P> {
     /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint) -> Standing {
+    pub fn standing(&self, fingerprint: Fingerprint) -> QuarantineStatus {
         let standings = self.standings.load();
         let standing = standings.get(&fingerprint);
-        standing.copied().unwrap_or(Standing::Clear)
+        standing.copied().unwrap_or(QuarantineStatus::Clear)
     }
 }
 
@@ -90,13 +91,13 @@
     cell: &Cell,
     in_flight: &InFlight,
     error: &EngineError,
-) -> TrialEnd {
+) -> ProbeOutcome {
     let started = in_flight.started_unix_ms();
     if !may_be_crash(error) || !has_ended(shared, cell.backend.address, started).await {
-        return TrialEnd::Unknown;
+        return ProbeOutcome::Unknown;
     }
     shared.metrics.crashes.inc();
-    let notice = Notice::Crashed {
+    let notice = QuarantineNotice::Crashed {
         crash: CrashId {
             backend: cell.backend.id.clone(),
             started_unix_ms: started,
@@ -111,14 +112,14 @@
             log::warn!("a crash could not be noted");
         }
     }
-    TrialEnd::Crashed
+    ProbeOutcome::Crashed
 }
 
 /// The address of the instance that grants trials, `None` where it is this one.
 fn home<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let home = rendezvous::home(ids, TRIALS_KEY)?;
+    let home = rendezvous::home(ids, PROBES_KEY)?;
     if *home == shared.settings.instance {
         return None;
     }
@@ -133,7 +134,7 @@
     shared: &Shared<P>,
     fingerprint: Fingerprint,
     backends: Vec<BackendId>,
-) -> Option<TrialAnswer> {
+) -> Option<ProbeResponse> {
     if let Some(address) = home(shared) {
         let request = PeerRequest::TrialAsked {
             fingerprint,
@@ -159,7 +160,7 @@
     fingerprint: Fingerprint,
     cell: Arc<Cell>,
     strict: bool,
-    end: TrialEnd,
+    end: ProbeOutcome,
 }
 
 impl<P: Platform> TrialGuard<P> {
@@ -175,7 +176,7 @@
             fingerprint,
             cell: cell.clone(),
             strict,
-            end: TrialEnd::Unknown,
+            end: ProbeOutcome::Unknown,
         }
     }
 
@@ -185,7 +186,7 @@
     }
 
     /// Ends the trial.
-    pub fn close(mut self, end: TrialEnd) {
+    pub fn close(mut self, end: ProbeOutcome) {
         self.end = end;
     }
 }
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -5,12 +5,12 @@
 
 use bytes::Bytes;
 use foxtailhold::ids::{BackendId, RequestId, TargetName};
-use foxtailhold::quarantine::{Fingerprint, Standing, TrialEnd};
+use foxtailhold::quarantine::{Fingerprint, ProbeOutcome, QuarantineStatus};
 use foxtailhold::refusal::{Ran, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::routing::{BoundedAffinity, LeastLoaded, RoutePolicy, RouteQuery};
 use foxtailhold::stall;
-use foxtailhold::suspect::{Asking, NextStep};
+use foxtailhold::suspect::{ProbeNegotiation, SuspectAction};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::Event;
 use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, Resume};
@@ -206,7 +206,7 @@
     let bytes = outgoing.body.len() as u64;
     match outgoing.streamed {
         true => stall::first_event_bound_ms(&load, pace, bytes),
-        false => stall::whole_bound_ms(&load, pace, bytes, outgoing.max_tokens),
+        false => stall::full_response_bound_ms(&load, pace, bytes, outgoing.max_tokens),
     }
 }
 
@@ -260,13 +260,13 @@
 ) -> Result<Route<P>> {
     let fingerprint = outgoing.fingerprint;
     let begun = shared.clock.mono();
-    let mut asking = Asking::default();
+    let mut asking = ProbeNegotiation::default();
     loop {
         time_left_ms(shared, outgoing, tries)?;
         match shared.standing(fingerprint) {
-            Standing::Clear => return plain_route(shared, outgoing, tries),
-            Standing::Convicted { left_ms } => return Err(tries.quarantined(left_ms)),
-            Standing::Suspect => {}
+            QuarantineStatus::Clear => return plain_route(shared, outgoing, tries),
+            QuarantineStatus::Convicted { left_ms } => return Err(tries.quarantined(left_ms)),
+            QuarantineStatus::Suspect => {}
         }
         if shared.clock.mono().since_ms(begun) >= TRIAL_WAIT_MS {
             return Err(tries.refusal(&outgoing.model));
@@ -281,7 +281,7 @@
             continue;
         };
         match asking.answered(answer, shared.clock.mono()) {
-            NextStep::Try {
+            SuspectAction::Probe {
                 backend,
                 strict,
                 quiet_ms,
@@ -295,9 +295,9 @@
                 let cell = cell.clone();
                 return Ok(Route { cell, trial });
             }
-            NextStep::Refuse { left_ms } => return Err(tries.quarantined(left_ms)),
-            NextStep::Send => return plain_route(shared, outgoing, tries),
-            NextStep::AskAgain { after_ms } => pause(after_ms).await,
+            SuspectAction::Refuse { left_ms } => return Err(tries.quarantined(left_ms)),
+            SuspectAction::Send => return plain_route(shared, outgoing, tries),
+            SuspectAction::Retry { after_ms } => pause(after_ms).await,
         }
     }
 }
@@ -397,7 +397,7 @@
     cell.succeeded();
     cell.note_service(begun.elapsed());
     if let Some(trial) = trial {
-        trial.close(TrialEnd::Survived);
+        trial.close(ProbeOutcome::Survived);
     }
     None
 }
--- a/crates/foxtailhold-entry/src/gateway/infer.rs
+++ b/crates/foxtailhold-entry/src/gateway/infer.rs
@@ -1,7 +1,7 @@
 //! Requests to models.
 
 use foxtailhold::contract::Contract;
-use foxtailhold::quarantine::{Fingerprint, Standing};
+use foxtailhold::quarantine::{Fingerprint, QuarantineStatus};
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::timeline::Event;
@@ -60,7 +60,7 @@
     let shared = &gateway.0;
     check_model(shared, &request)?;
     let outgoing = outgoing(shared, &request);
-    if let Standing::Convicted { left_ms } = shared.standing(outgoing.fingerprint) {
+    if let QuarantineStatus::Convicted { left_ms } = shared.standing(outgoing.fingerprint) {
         return Err(Tries::default().quarantined(left_ms));
     }
     let deadline = outgoing.deadline.map(|(deadline, _)| deadline);
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxtailhold::quarantine::TrialEnd;
+use foxtailhold::quarantine::ProbeOutcome;
 use foxtailhold::refusal::{Ran, Refusal, Result};
 use foxtailhold::stall;
 use foxtailhold::timeline::Event;
@@ -84,7 +84,7 @@
             self.cell.succeeded();
         }
         if let Some(trial) = self.trial.take_if(|trial| !trial.is_strict()) {
-            trial.close(TrialEnd::Survived);
+            trial.close(ProbeOutcome::Survived);
         }
     }
 
@@ -93,7 +93,7 @@
         self.cell.succeeded();
         self.cell.note_service(self.begun.elapsed());
         if let Some(trial) = self.trial {
-            trial.close(TrialEnd::Survived);
+            trial.close(ProbeOutcome::Survived);
         }
         self.stream.close();
     }
--- a/crates/foxtailhold-entry/src/jobs/steward_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_item.rs
@@ -7,7 +7,7 @@
 use foxtailhold::batch::MAX_ITEM_TRIES;
 use foxtailhold::batch_control::scheduler::WaitingItem;
 use foxtailhold::ids::BackendId;
-use foxtailhold::quarantine::Standing;
+use foxtailhold::quarantine::QuarantineStatus;
 use foxtailhold::refusal::RefusalReason;
 use foxtailhold::replicas::BackendKind;
 use foxtailhold::timeline::Event;
@@ -76,8 +76,10 @@
                 continue;
             }
             let ended = match self.shared.standing(self.outgoing.fingerprint) {
-                Standing::Clear => self.next_leg(&mut line).await,
-                Standing::Suspect | Standing::Convicted { .. } => self.trial_leg().await,
+                QuarantineStatus::Clear => self.next_leg(&mut line).await,
+                QuarantineStatus::Suspect | QuarantineStatus::Convicted { .. } => {
+                    self.trial_leg().await
+                }
             };
             if let Some(ended) = ended {
                 return ended;
--- a/crates/foxtailhold-entry/src/jobs/steward_leg.rs
+++ b/crates/foxtailhold-entry/src/jobs/steward_leg.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::quarantine::TrialEnd;
+use foxtailhold::quarantine::ProbeOutcome;
 use foxtailhold::stall;
 use foxtailhold::timeline::Event;
 use foxtailhold_engine::{
@@ -135,14 +135,14 @@
                         cell.note_gap(now - last);
                     }
                     if let Some(trial) = trial.take_if(|trial| !trial.is_strict()) {
-                        trial.close(TrialEnd::Survived);
+                        trial.close(ProbeOutcome::Survived);
                     }
                     continue;
                 }
                 Ok(TokenEvent::Done { .. }) => {
                     cell.succeeded();
                     if let Some(trial) = trial {
-                        trial.close(TrialEnd::Survived);
+                        trial.close(ProbeOutcome::Survived);
                     }
                     stream.close();
                     return LegEnd::Finished;
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -10,7 +10,8 @@
 use foxtailhold::contract_book::ContractBook;
 use foxtailhold::ids::{CustomerId, InstanceId};
 use foxtailhold::limits::{
-    Ask, EXCHANGE_MS, Grant, Holder, Limit, LimitHome, ShareAsks, Terms, Verdict, Views,
+    CustomerLimits, EXCHANGE_MS, LimitCoordinator, LimitDecision, LimitKind, MembershipViews,
+    ShareGrant, ShareHolder, ShareRequest, ShareRequests,
 };
 use foxtailhold::refusal::{Refusal, RefusalReason};
 use foxtailhold::time::{MonoMs, WallMs};
@@ -32,8 +33,8 @@
 /// One customer with requests here.
 #[derive(Debug)]
 struct Usage {
-    terms: Terms,
-    holder: Holder,
+    terms: CustomerLimits,
+    holder: ShareHolder,
     /// Dropped when the home has answered.
     answered: Option<watch::Sender<()>>,
 }
@@ -52,8 +53,8 @@
 struct State {
     hasher: std::hash::RandomState,
     shards: Vec<Shard>,
-    home: Mutex<LimitHome>,
-    views: ArcSwap<Views>,
+    home: Mutex<LimitCoordinator>,
+    views: ArcSwap<MembershipViews>,
     next_number: AtomicU64,
 }
 
@@ -76,7 +77,7 @@
 #[derive(Debug, Default)]
 pub struct Shares {
     /// One for each ask, without those of other homes.
-    pub grants: Vec<Grant>,
+    pub grants: Vec<ShareGrant>,
     /// Customers of which each instance should give room, by asking at once.
     pub recalls: BTreeMap<InstanceId, Vec<CustomerId>>,
 }
@@ -117,7 +118,7 @@
             hasher: std::hash::RandomState::new(),
             shards,
             home: Mutex::default(),
-            views: ArcSwap::from_pointee(Views::new(me, now)),
+            views: ArcSwap::from_pointee(MembershipViews::new(me, now)),
             next_number: AtomicU64::new(wall.0 << NUMBER_BITS),
         }))
     }
@@ -132,14 +133,14 @@
     ) -> Decision {
         let customer = &contract.customer;
         let listed = self.0.views.load().listed();
-        let terms = Terms::from(contract);
+        let terms = CustomerLimits::from(contract);
         let charged_tokens = tokens.min(terms.burst_tokens);
         let mut shard = self.shard(customer);
         let usage = match shard.get_mut(customer) {
             Some(usage) => usage,
             None => shard.entry(customer.clone()).or_insert_with(|| Usage {
                 terms,
-                holder: Holder::new(now),
+                holder: ShareHolder::new(now),
                 answered: None,
             }),
         };
@@ -152,27 +153,27 @@
             }
         };
         match verdict {
-            Verdict::Admitted => Decision::Admitted(Admitted {
+            LimitDecision::Admitted => Decision::Admitted(Admitted {
                 limits: self.clone(),
                 customer: customer.clone(),
                 charged_tokens,
                 generated_tokens: 0.0,
                 place: None,
             }),
-            Verdict::Wait => {
+            LimitDecision::Wait => {
                 let answered = usage.answered.get_or_insert_with(|| watch::Sender::new(()));
                 if answered.receiver_count() >= MOST_WAITING {
-                    let refusal = over_limit(contract, Limit::Requests, EXCHANGE_MS);
+                    let refusal = over_limit(contract, LimitKind::Requests, EXCHANGE_MS);
                     return Decision::Refused(refusal);
                 }
                 Decision::Wait(answered.subscribe())
             }
-            Verdict::Over { after_ms, .. }
+            LimitDecision::Over { after_ms, .. }
                 if after_ms <= PAUSE_MS && attempt != Attempt::Paused =>
             {
                 Decision::Pause { after_ms }
             }
-            Verdict::Over { limit, after_ms } => {
+            LimitDecision::Over { limit, after_ms } => {
                 Decision::Refused(over_limit(contract, limit, after_ms))
             }
         }
@@ -188,7 +189,7 @@
     }
 
     /// The ask for one customer, where one is due.
-    pub fn due_ask(&self, customer: &CustomerId, now: MonoMs) -> Option<Ask> {
+    pub fn due_ask(&self, customer: &CustomerId, now: MonoMs) -> Option<ShareRequest> {
         let mut shard = self.shard(customer);
         let usage = shard.get_mut(customer)?;
         usage
@@ -197,7 +198,7 @@
     }
 
     /// All asks that are due. Forgets customers at rest on the way.
-    pub fn due_asks(&self, now: MonoMs) -> Vec<Ask> {
+    pub fn due_asks(&self, now: MonoMs) -> Vec<ShareRequest> {
         let mut asks = Vec::new();
         for shard in &self.0.shards {
             shard.lock().retain(|customer, usage| {
@@ -210,11 +211,11 @@
     }
 
     /// The asks by the home of their customers; without those of which no home is known.
-    pub fn by_home(&self, asks: Vec<Ask>) -> BTreeMap<InstanceId, Vec<Ask>> {
+    pub fn by_home(&self, asks: Vec<ShareRequest>) -> BTreeMap<InstanceId, Vec<ShareRequest>> {
         let views = self.0.views.load();
-        let mut by_home: BTreeMap<InstanceId, Vec<Ask>> = BTreeMap::new();
+        let mut by_home: BTreeMap<InstanceId, Vec<ShareRequest>> = BTreeMap::new();
         for ask in asks {
-            if let Some(home) = views.home(&ask.customer) {
+            if let Some(home) = views.coordinator(&ask.customer) {
                 by_home.entry(home.clone()).or_default().push(ask);
             }
         }
@@ -222,16 +223,16 @@
     }
 
     /// Answers an instance's asks as the home of the customers; leaves out the others.
-    pub fn answer(&self, asks: &ShareAsks, contracts: &ContractBook, now: MonoMs) -> Shares {
+    pub fn answer(&self, asks: &ShareRequests, contracts: &ContractBook, now: MonoMs) -> Shares {
         let views = self.0.views.load();
         let mut home = self.0.home.lock();
         let mut shares = Shares::default();
-        for ask in &asks.asks {
+        for ask in &asks.requests {
             let entry = contracts.get(&ask.customer);
             let Some(contract) = entry.and_then(|entry| entry.contract.as_ref()) else {
                 continue;
             };
-            let terms = Terms::from(contract.as_ref());
+            let terms = CustomerLimits::from(contract.as_ref());
             let grant = home.ask(&asks.from, ask, &terms, &views, now);
             shares.grants.extend(grant);
             for above in home.recall(&ask.customer, now) {
@@ -243,7 +244,12 @@
     }
 
     /// Takes a home's answer to `asks` in, and returns the asks that are due then.
-    pub fn granted(&self, asks: &[Ask], grants: &[Grant], now: MonoMs) -> Vec<Ask> {
+    pub fn granted(
+        &self,
+        asks: &[ShareRequest],
+        grants: &[ShareGrant],
+        now: MonoMs,
+    ) -> Vec<ShareRequest> {
         for grant in grants {
             if let Some(usage) = self.shard(&grant.customer).get_mut(&grant.customer) {
                 usage.holder.granted(&usage.terms, grant, now);
@@ -262,7 +268,7 @@
 
     /// Takes in that homes want these customers' shares to be asked for at once, and returns the
     /// asks.
-    pub fn recalled(&self, customers: &[CustomerId], now: MonoMs) -> Vec<Ask> {
+    pub fn recalled(&self, customers: &[CustomerId], now: MonoMs) -> Vec<ShareRequest> {
         let mut due = Vec::new();
         for customer in customers {
             if let Some(usage) = self.shard(customer).get_mut(customer) {
@@ -275,7 +281,7 @@
 
     /// Sets the live instances and how many there are with those out of reach.
     pub fn set_view(&self, members: Vec<InstanceId>, listed: u32, now: MonoMs) {
-        let mut views = Views::clone(&self.0.views.load());
+        let mut views = MembershipViews::clone(&self.0.views.load());
         views.set(members, listed, now);
         self.0.views.store(Arc::new(views));
     }
@@ -339,12 +345,12 @@
     }
 }
 
-fn over_limit(contract: &Contract, limit: Limit, after_ms: u64) -> Refusal {
+fn over_limit(contract: &Contract, limit: LimitKind, after_ms: u64) -> Refusal {
     let customer = contract.customer.clone();
     let limit = match limit {
-        Limit::Requests => format!("{} requests a second", contract.requests_per_s),
-        Limit::Tokens => format!("{} tokens a second", contract.tokens_per_s),
-        Limit::Slots => format!("{} concurrent requests", contract.concurrent_requests),
+        LimitKind::Requests => format!("{} requests a second", contract.requests_per_s),
+        LimitKind::Tokens => format!("{} tokens a second", contract.tokens_per_s),
+        LimitKind::Slots => format!("{} concurrent requests", contract.concurrent_requests),
     };
     let spread_ms = rand::random_range(0..=after_ms / 2);
     Refusal::not_run(RefusalReason::OverLimit { customer, limit })
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -4,13 +4,13 @@
 
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
 use foxtailhold::batch_control::scheduler::{ItemKey, WaitingItem};
-use foxtailhold::batch_control::{OnlineNotice, PlaceAsk, PlaceGrant};
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest, OnlineLoadNotice};
 use foxtailhold::contract_book::{Catchup, ContractChange};
 use foxtailhold::contract_sync::{Advert, Step, StoreSnapshot};
 use foxtailhold::ids::{BackendId, InstanceId, JobId};
-use foxtailhold::leaving::LeavingMark;
+use foxtailhold::leaving::LeavingNotice;
 use foxtailhold::membership::Gossip;
-use foxtailhold::quarantine::{Fingerprint, Notice, TrialAnswer, TrialEnd};
+use foxtailhold::quarantine::{Fingerprint, ProbeOutcome, ProbeResponse, QuarantineNotice};
 use foxtailhold::replicas::LoadReport;
 use foxtailhold::time::MonoMs;
 use foxtailhold_platform::{Fleet, FleetInstance};
@@ -63,17 +63,17 @@
     /// Time for verdicts.
     Tick,
     /// Seen here, to be told to all; answered when the table holds it.
-    Own(Notice, RpcReplyPort<()>),
+    Own(QuarantineNotice, RpcReplyPort<()>),
     /// Told by a peer.
-    Told(Vec<Notice>),
+    Told(Vec<QuarantineNotice>),
     /// At the home: an instance asks for a trial.
-    Ask(Fingerprint, Vec<BackendId>, RpcReplyPort<TrialAnswer>),
+    Ask(Fingerprint, Vec<BackendId>, RpcReplyPort<ProbeResponse>),
     /// At the home: a trial ended.
-    Ended(Fingerprint, BackendId, TrialEnd),
+    Ended(Fingerprint, BackendId, ProbeOutcome),
     /// A starting instance asks for the table.
-    Snapshot(RpcReplyPort<Vec<Notice>>),
+    Snapshot(RpcReplyPort<Vec<QuarantineNotice>>),
     /// A peer answered with its table.
-    Caught(Vec<Notice>),
+    Caught(Vec<QuarantineNotice>),
 }
 
 /// Messages to the reader of the fleet list and of load reports.
@@ -86,7 +86,7 @@
     /// Time to read load reports.
     ReadLoads,
     /// Backend servers that are leaving, as a peer tells.
-    Marks(Vec<LeavingMark>),
+    Marks(Vec<LeavingNotice>),
 }
 
 /// Messages to the keeper of batch jobs owned here.
@@ -166,15 +166,15 @@
     /// Time to look.
     Tick,
     /// An owner asks for places at an engine.
-    Asked(PlaceAsk, RpcReplyPort<PlaceGrant>),
+    Asked(BatchSlotRequest, RpcReplyPort<BatchSlotGrant>),
     /// A steward allows this owner another number of places; answered with what it has then.
-    Granted(PlaceGrant, RpcReplyPort<PlaceAsk>),
+    Granted(BatchSlotGrant, RpcReplyPort<BatchSlotRequest>),
     /// An owner's answer to a grant.
-    Told(PlaceAsk),
+    Told(BatchSlotRequest),
     /// The answer to a question that was sent at this time.
-    Answered(PlaceGrant, MonoMs),
+    Answered(BatchSlotGrant, MonoMs),
     /// Online work at an engine; answered with whether batch is steered there.
-    Noticed(OnlineNotice, RpcReplyPort<bool>),
+    Noticed(OnlineLoadNotice, RpcReplyPort<bool>),
     /// A load report read by this steward.
     Reported(BackendId, LoadReport),
     /// An item waits for a place.
--- a/crates/foxtailhold-entry/src/online.rs
+++ b/crates/foxtailhold-entry/src/online.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use foxtailhold::batch_control::{NOTICE_GAP_MS, NOTICE_PERIOD_MS, OnlineNotice, is_queued};
+use foxtailhold::batch_control::{NOTICE_GAP_MS, NOTICE_PERIOD_MS, OnlineLoadNotice, is_queued};
 use foxtailhold::ids::BackendId;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
@@ -93,7 +93,7 @@
     gauge.telling.store(false, Ordering::Release);
     let online = in_flight(cell, gauge);
     gauge.told.store(online, Ordering::Relaxed);
-    let notice = OnlineNotice {
+    let notice = OnlineLoadNotice {
         from: shared.settings.instance.clone(),
         backend: cell.backend.id.clone(),
         number: gauge.number.fetch_add(1, Ordering::Relaxed) + 1,
@@ -110,7 +110,7 @@
 async fn deliver<P: Platform>(
     shared: &Shared<P>,
     entry: &StewardEntry,
-    notice: OnlineNotice,
+    notice: OnlineLoadNotice,
 ) -> bool {
     if entry.steward == shared.settings.instance {
         return noticed_here(shared, notice).await;
@@ -127,7 +127,7 @@
 }
 
 /// Gives a notice to this instance's steward. Returns whether it has batch there.
-pub async fn noticed_here<P: Platform>(shared: &Shared<P>, notice: OnlineNotice) -> bool {
+pub async fn noticed_here<P: Platform>(shared: &Shared<P>, notice: OnlineLoadNotice) -> bool {
     let Some(actors) = shared.actors() else {
         return false;
     };
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -11,9 +11,9 @@
 use foxtailhold::contract_sync::ContractSync;
 use foxtailhold::ids::{InstanceId, RequestId};
 use foxtailhold::lease::HeldLease;
-use foxtailhold::leaving::LeavingMarks;
+use foxtailhold::leaving::LeavingBackends;
 use foxtailhold::membership::{Member, MemberState};
-use foxtailhold::quarantine::{Fingerprint, Standing};
+use foxtailhold::quarantine::{Fingerprint, QuarantineStatus};
 use foxtailhold::rendezvous;
 use foxtailhold_engine::EngineClient;
 use foxtailhold_peer::PeerClient;
@@ -81,9 +81,9 @@
     /// Backend servers.
     pub backends: ArcSwap<BackendTable>,
     /// Which of them are leaving, by what instances tell each other.
-    pub leaving: ArcSwap<LeavingMarks>,
+    pub leaving: ArcSwap<LeavingBackends>,
     /// Requests that do not stand clear of crashes.
-    pub standings: ArcSwap<HashMap<Fingerprint, Standing>>,
+    pub standings: ArcSwap<HashMap<Fingerprint, QuarantineStatus>>,
     /// Retries this instance may make.
     pub retries: RetryGate,
     /// This instance's lease.
--- a/crates/foxtailhold-entry/tests/limits.rs
+++ b/crates/foxtailhold-entry/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::InstanceId;
-use foxtailhold::limits::{Credit, Grant, Share, WHOLE_PPM};
+use foxtailhold::limits::{Credit, FULL_SHARE_PPM, Share, ShareGrant};
 use foxtailhold::time::{MonoMs, WallMs};
 use foxtailhold_entry::limits::{Attempt, Decision, Limits};
 
@@ -22,8 +22,8 @@
     let first = limits.decide(contract, 1.0, Attempt::First, NOW);
     assert!(matches!(first, Decision::Wait(_)), "{first:?}");
     let ask = limits.due_ask(&contract.customer, NOW).unwrap();
-    let tenth = WHOLE_PPM / 10;
-    let grant = Grant {
+    let tenth = FULL_SHARE_PPM / 10;
+    let grant = ShareGrant {
         customer: contract.customer.clone(),
         number: ask.number,
         share: Share {
@@ -35,7 +35,7 @@
             requests: 0.0,
             tokens: 1_000.0,
         },
-        hurry: false,
+        renew_soon: false,
         rising: false,
     };
     limits.granted(&[ask], &[grant], NOW);
--- a/crates/foxtailhold-experiment/src/placement/allocator.rs
+++ b/crates/foxtailhold-experiment/src/placement/allocator.rs
@@ -3,7 +3,10 @@
 use std::collections::HashMap;
 
 use foxtailhold::ids::{AvailabilityZone, BackendId, IdError, InstanceId, TargetName};
-use foxtailhold::slots::{Allocator, Ask, AskId, Decision, Outcome, Places, Urgency, Verdict};
+use foxtailhold::slots::{
+    Allocator, BackendSlots, SlotDecision, SlotNotice, SlotOutcome, SlotRequest, SlotRequestId,
+    Urgency,
+};
 use foxtailhold::time::MonoMs;
 
 use crate::arrivals::Kind;
@@ -31,7 +34,7 @@
         /// The ask's number.
         number: u64,
         /// How it ended.
-        outcome: Outcome,
+        outcome: SlotOutcome,
     },
 }
 
@@ -92,7 +95,7 @@
     fn begin(&mut self) {
         let mut places = Vec::new();
         for (backend, zone) in self.engines.iter().zip(&self.layout.engines) {
-            places.push(Places {
+            places.push(BackendSlots {
                 backend: backend.clone(),
                 zone: self.zones[*zone].clone(),
                 slots: self.layout.slots as u32,
@@ -109,8 +112,8 @@
         }
     }
 
-    fn ask_id(&self, instance: usize, number: u64) -> AskId {
-        AskId {
+    fn ask_id(&self, instance: usize, number: u64) -> SlotRequestId {
+        SlotRequestId {
             instance: self.instances[instance].clone(),
             number,
         }
@@ -132,7 +135,7 @@
         };
         let offer = asking.offer;
         let zone = self.layout.instances[offer.instance];
-        let ask = Ask {
+        let ask = SlotRequest {
             id: self.ask_id(offer.instance, number),
             pool: self.pool.clone(),
             urgency: match offer.kind {
@@ -152,9 +155,9 @@
         let verdict = self
             .allocator
             .ask(MonoMs(now_us / 1_000), ask, &mut decisions);
-        let own = Decision {
-            ask: id,
-            verdict: Some(verdict),
+        let own = SlotNotice {
+            request: id,
+            decision: Some(verdict),
         };
         self.pass_on(now_us, &own, actions);
         for decision in &decisions {
@@ -162,8 +165,8 @@
         }
     }
 
-    fn pass_on(&mut self, now_us: u64, decision: &Decision, actions: &mut Vec<Action<Note>>) {
-        let Some(request) = self.by_number.get(&decision.ask.number).copied() else {
+    fn pass_on(&mut self, now_us: u64, decision: &SlotNotice, actions: &mut Vec<Action<Note>>) {
+        let Some(request) = self.by_number.get(&decision.request.number).copied() else {
             return;
         };
         let Some(instance) = self.asking.get(&request).map(|a| a.offer.instance) else {
@@ -173,8 +176,8 @@
         let Some(asking) = self.asking.get_mut(&request) else {
             return;
         };
-        match &decision.verdict {
-            Some(Verdict::Granted(backend)) => {
+        match &decision.decision {
+            Some(SlotDecision::Granted(backend)) => {
                 if asking.sent_at_us.is_some() {
                     return;
                 }
@@ -188,8 +191,8 @@
                     engine,
                 });
             }
-            Some(Verdict::Queued) => {}
-            Some(Verdict::Refused { retry_after_ms }) => {
+            Some(SlotDecision::Queued) => {}
+            Some(SlotDecision::Refused { retry_after_ms }) => {
                 let retry_after_ms = *retry_after_ms;
                 actions.push(Action::Refuse {
                     at_us,
@@ -204,7 +207,7 @@
     fn pass_all_on(
         &mut self,
         now_us: u64,
-        decisions: &[Decision],
+        decisions: &[SlotNotice],
         actions: &mut Vec<Action<Note>>,
     ) {
         for decision in decisions {
@@ -245,11 +248,11 @@
             .sent_at_us
             .map_or(0, |at_us| now_us.saturating_sub(at_us));
         let outcome = match end {
-            End::Done => Outcome::Done {
+            End::Done => SlotOutcome::Done {
                 held_ms: held_us / 1_000,
             },
-            End::Full => Outcome::Full,
-            End::Cut | End::GivenUp => Outcome::Abandoned,
+            End::Full => SlotOutcome::Full,
+            End::Cut | End::GivenUp => SlotOutcome::Abandoned,
         };
         let instance = asking.offer.instance;
         actions.push(Action::Note {
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::landing::Verdict;
-use foxtailhold::batch_control::{OnlineNotice, PlaceAsk, PlaceGrant};
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest, OnlineLoadNotice};
 use foxtailhold::contract_book::Catchup;
 use foxtailhold::ids::{BackendId, CustomerId, JobId};
-use foxtailhold::leaving::LeavingMark;
-use foxtailhold::limits::{Grant, ShareAsks};
+use foxtailhold::leaving::LeavingNotice;
+use foxtailhold::limits::{ShareGrant, ShareRequests};
 use foxtailhold::membership::Gossip;
-use foxtailhold::quarantine::{Fingerprint, Notice, TrialAnswer, TrialEnd};
+use foxtailhold::quarantine::{Fingerprint, ProbeOutcome, ProbeResponse, QuarantineNotice};
 use serde::{Deserialize, Serialize};
 
 /// A message to a peer.
@@ -44,24 +44,24 @@
         job: JobId,
     },
     /// Asks the home of customers' limits for shares.
-    Shares(ShareAsks),
+    Shares(ShareRequests),
     /// Tells a holder of shares that another instance lacks room: it asks at once for less.
     SharesRecalled(Vec<CustomerId>),
     /// Asks the steward of a replica for places of batch items.
-    PlacesAsked(PlaceAsk),
+    PlacesAsked(BatchSlotRequest),
     /// Tells an owner of jobs what a steward allows it from now on.
-    PlacesGranted(PlaceGrant),
+    PlacesGranted(BatchSlotGrant),
     /// Tells the steward of a replica of online work there.
-    OnlineSeen(OnlineNotice),
+    OnlineSeen(OnlineLoadNotice),
     /// Asks to probe another instance; answered with `Done` if that one answers.
     ProbeFor {
         /// Where that one takes messages of peers.
         address: SocketAddr,
     },
     /// Tells that backend servers are leaving.
-    BackendsLeaving(Vec<LeavingMark>),
+    BackendsLeaving(Vec<LeavingNotice>),
     /// Tells of crashes, trials and verdicts.
-    Crashes(Vec<Notice>),
+    Crashes(Vec<QuarantineNotice>),
     /// Asks for all that is known of crashes.
     CrashTable,
     /// Asks the home of trials to try a suspect.
@@ -78,7 +78,7 @@
         /// Where it was tried.
         backend: BackendId,
         /// How it ended.
-        end: TrialEnd,
+        end: ProbeOutcome,
     },
 }
 
@@ -94,15 +94,15 @@
     /// The receiver could not act.
     Refused,
     /// To [`PeerRequest::Shares`]; customers of another home are left out.
-    Shares(Vec<Grant>),
+    Shares(Vec<ShareGrant>),
     /// To [`PeerRequest::PlacesAsked`].
-    Places(PlaceGrant),
+    Places(BatchSlotGrant),
     /// To [`PeerRequest::PlacesGranted`]: what the owner has and wants after it acted.
-    PlacesInUse(PlaceAsk),
+    PlacesInUse(BatchSlotRequest),
     /// To [`PeerRequest::CrashTable`].
-    Crashes(Vec<Notice>),
+    Crashes(Vec<QuarantineNotice>),
     /// To [`PeerRequest::TrialAsked`].
-    Trial(TrialAnswer),
+    Trial(ProbeResponse),
     /// To [`PeerRequest::JobCanLand`].
     Landing(Verdict),
 }
--- a/crates/foxtailhold-relay/src/attempts.rs
+++ b/crates/foxtailhold-relay/src/attempts.rs
@@ -61,7 +61,7 @@
 
     /// Whether the request may run once more if its present run is lost.
     pub fn may_repeat(&self, route: &Route) -> bool {
-        route.repeat.is_idempotent() && self.runs + 1 < route.attempts.max(1)
+        route.kind.is_idempotent() && self.runs + 1 < route.attempts.max(1)
     }
 
     /// Until when the next backend server may be silent: shorter where another one can be tried.
--- a/crates/foxtailhold-relay/src/crashes.rs
+++ b/crates/foxtailhold-relay/src/crashes.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use foxtailhold::crashes::{CrashBook, Evidence, MOST_CRASHES, Standing};
+use foxtailhold::crashes::{CrashEvidence, CrashRegistry, CrashStatus, MAX_CRASHES};
 use foxtailhold::quarantine::{CrashId, Fingerprint};
 use foxtailhold::time::{MonoMs, WallMs};
 use foxtailhold_platform::VersionedRow;
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Default)]
 struct Known {
-    book: CrashBook,
+    book: CrashRegistry,
     /// Versions of the rows.
     rows: HashMap<Fingerprint, u64>,
     /// When requests on probation were admitted here.
@@ -45,8 +45,8 @@
     }
 
     /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint, now: WallMs) -> Standing {
-        self.known.lock().book.standing(fingerprint, now)
+    pub fn standing(&self, fingerprint: Fingerprint, now: WallMs) -> CrashStatus {
+        self.known.lock().book.status(fingerprint, now)
     }
 
     /// Whether a request on probation may run now: one at a time.
@@ -71,14 +71,14 @@
         fingerprint: Fingerprint,
         crash: CrashId,
         now: WallMs,
-    ) -> Option<Evidence> {
+    ) -> Option<CrashEvidence> {
         let mut known = self.known.lock();
         let backend = crash.backend.clone();
         let evidence = known.book.crashed(fingerprint, crash, now)?.clone();
         let crashes = evidence.crashes.len();
         log::warn!(
             fingerprint:% = fingerprint, backend = backend.as_str(), crashes = crashes,
-            refused = crashes >= MOST_CRASHES;
+            refused = crashes >= MAX_CRASHES;
             "a backend server was lost under a request"
         );
         if crashes >= PERSISTED_CRASHES {
@@ -89,7 +89,7 @@
     }
 
     /// Merges what another instance knows.
-    pub fn merge(&self, fingerprint: Fingerprint, evidence: &Evidence) {
+    pub fn merge(&self, fingerprint: Fingerprint, evidence: &CrashEvidence) {
         self.known.lock().book.join(fingerprint, evidence);
     }
 
@@ -130,7 +130,7 @@
             return;
         };
         known.rows.insert(fingerprint, row.version);
-        match serde_json::from_slice::<Evidence>(value) {
+        match serde_json::from_slice::<CrashEvidence>(value) {
             Ok(evidence) => {
                 known.book.join(fingerprint, &evidence);
             }
@@ -150,7 +150,7 @@
 
     /// A row as it should be, `None` where it should be deleted, and the version that it has, 0 where
     /// there is none.
-    pub fn row(&self, fingerprint: Fingerprint) -> (Option<Evidence>, u64) {
+    pub fn row(&self, fingerprint: Fingerprint) -> (Option<CrashEvidence>, u64) {
         let known = self.known.lock();
         let version = known.rows.get(&fingerprint).copied().unwrap_or(0);
         (known.book.evidence(fingerprint).cloned(), version)
--- a/crates/foxtailhold-relay/src/dispatch.rs
+++ b/crates/foxtailhold-relay/src/dispatch.rs
@@ -5,7 +5,7 @@
 
 use foxtailhold::ids::{BackendId, TargetName};
 use foxtailhold::routes::Route;
-use foxtailhold::slots::{Outcome, Urgency};
+use foxtailhold::slots::{SlotOutcome, Urgency};
 use foxtailhold_http::body;
 use foxtailhold_http::clock::Clock;
 use http::Response;
@@ -193,7 +193,7 @@
                 loads: &self.plain,
                 clock: &self.clock,
                 backend: &backend.id,
-                outcome: Outcome::Abandoned,
+                outcome: SlotOutcome::Abandoned,
             };
             let begun = Instant::now();
             let unsettled = self.watch_run(request, &backend);
@@ -209,8 +209,8 @@
                     self.metrics
                         .run_ended(&backend.id, whole_end(has_failed), begun);
                     counted.outcome = match has_failed {
-                        true => Outcome::Broken,
-                        false => Outcome::Done { held_ms: 0 },
+                        true => SlotOutcome::Broken,
+                        false => SlotOutcome::Done { held_ms: 0 },
                     };
                     if !has_failed {
                         self.note_run(|| request.fingerprint());
@@ -302,8 +302,8 @@
                     self.metrics
                         .run_ended(&backend.id, whole_end(has_failed), begun);
                     place.close(match has_failed {
-                        true => Outcome::Broken,
-                        false => Outcome::Done {
+                        true => SlotOutcome::Broken,
+                        false => SlotOutcome::Done {
                             held_ms: begun.elapsed().as_millis() as u64,
                         },
                     });
@@ -364,7 +364,7 @@
             .send_to(backend, &sent, progress.attempts.until, patience_until)
             .await?;
         place.sign();
-        if !route.repeat.is_stream() || !response.status().is_success() {
+        if !route.kind.is_stream() || !response.status().is_success() {
             let whole = exchange::read_whole(response, in_use, progress.attempts.until).await?;
             return Ok(Opened::Whole(whole));
         }
@@ -410,7 +410,7 @@
     loads: &'a PlainLoads,
     clock: &'a Clock,
     backend: &'a BackendId,
-    outcome: Outcome,
+    outcome: SlotOutcome,
 }
 
 impl Drop for Counted<'_> {
--- a/crates/foxtailhold-relay/src/exchange.rs
+++ b/crates/foxtailhold-relay/src/exchange.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use foxtailhold::ids::BackendId;
-use foxtailhold::slots::Outcome;
+use foxtailhold::slots::SlotOutcome;
 use http::uri::PathAndQuery;
 use http::{HeaderMap, Method, Request, Response, Uri};
 use http_body_util::{BodyExt, Full};
@@ -54,12 +54,12 @@
     }
 
     /// What it says of the backend server.
-    pub fn outcome(self) -> Outcome {
+    pub fn outcome(self) -> SlotOutcome {
         match self {
-            Miss::Unreachable => Outcome::Unreachable,
-            Miss::NotRun => Outcome::Full,
-            Miss::Closed | Miss::Broken | Miss::Failed => Outcome::Broken,
-            Miss::Silent => Outcome::Silent,
+            Miss::Unreachable => SlotOutcome::Unreachable,
+            Miss::NotRun => SlotOutcome::Full,
+            Miss::Closed | Miss::Broken | Miss::Failed => SlotOutcome::Broken,
+            Miss::Silent => SlotOutcome::Silent,
         }
     }
 }
--- a/crates/foxtailhold-relay/src/fleet.rs
+++ b/crates/foxtailhold-relay/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use foxtailhold::ids::{AvailabilityZone, BackendId, TargetName};
 use foxtailhold::quarantine::CrashId;
-use foxtailhold::slots::Places;
+use foxtailhold::slots::BackendSlots;
 use foxtailhold::time::MonoMs;
 
 /// Entries that lapse while the platform's store is away are back within about this time after its
@@ -74,8 +74,8 @@
     }
 
     /// The places of a service.
-    pub fn places(&self, service: &TargetName) -> Vec<Places> {
-        let places = self.of(service).iter().map(|backend| Places {
+    pub fn places(&self, service: &TargetName) -> Vec<BackendSlots> {
+        let places = self.of(service).iter().map(|backend| BackendSlots {
             backend: backend.id.clone(),
             zone: backend.zone.clone(),
             slots: backend.slots,
--- a/crates/foxtailhold-relay/src/jobs/accept.rs
+++ b/crates/foxtailhold-relay/src/jobs/accept.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use foxtailhold::ids::JobId;
-use foxtailhold::routes::{BatchBounds, Route};
+use foxtailhold::routes::{BatchLimits, Route};
 use foxtailhold_platform::{Committed, ObjectStore, PlatformError, RowStore, VersionedRow};
 use tokio::time::Instant;
 
@@ -35,7 +35,7 @@
 
 fn check_quota(
     view: &QuotaView,
-    bounds: BatchBounds,
+    bounds: BatchLimits,
     new_tokens: u64,
 ) -> Result<Option<(u64, QuotaRow)>> {
     let quota_tokens = bounds.quota_tokens;
@@ -72,7 +72,7 @@
     pub async fn accept(
         &self,
         route: &Route,
-        bounds: BatchBounds,
+        bounds: BatchLimits,
         new: &NewJob,
     ) -> Result<Accepted> {
         if self.book.get(&new.id).is_some() {
@@ -114,7 +114,7 @@
         Err(others_came_first("acceptances of the route"))
     }
 
-    fn row(&self, route: &Route, bounds: BatchBounds, new: &NewJob) -> Job {
+    fn row(&self, route: &Route, bounds: BatchLimits, new: &NewJob) -> Job {
         let now = self.relay.clock.wall().0;
         let items = new.items.iter();
         Job {
@@ -137,7 +137,7 @@
     async fn quota_for(
         &self,
         route: &Route,
-        bounds: BatchBounds,
+        bounds: BatchLimits,
         new_tokens: u64,
         newer: Option<QuotaView>,
     ) -> Result<Option<(u64, QuotaRow)>> {
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxtailhold::crashes::EARLY_EVENTS;
+use foxtailhold::crashes::STABLE_AFTER_EVENTS;
 use foxtailhold::ids::{BackendId, JobId};
 use foxtailhold::quarantine::Fingerprint;
 use foxtailhold::routes::Route;
 use foxtailhold::run_account::{NextRun, RunAccount};
-use foxtailhold::slots::{Outcome, Urgency};
+use foxtailhold::slots::{SlotOutcome, Urgency};
 use foxtailhold_engine::sse::RawEvent;
 use foxtailhold_platform::{ObjectStore, RowStore};
 use http::uri::PathAndQuery;
@@ -361,14 +361,14 @@
             .run_ended(&backend.id, RunEnd::from(&run), begun);
         let took_ms = begun.elapsed().as_millis() as u64;
         self.jobs.pace().ran(self.events() - events, took_ms);
-        if matches!(run, Run::Unfinished) && self.events() - events < EARLY_EVENTS {
+        if matches!(run, Run::Unfinished) && self.events() - events < STABLE_AFTER_EVENTS {
             relay.note_silent_run(self.fingerprint(job), &backend);
         }
         let outcome = match &run {
             Run::Complete => {
                 relay.note_run(|| self.fingerprint(job));
                 self.jobs.pace().finished(self.events());
-                Outcome::Done { held_ms: took_ms }
+                SlotOutcome::Done { held_ms: took_ms }
             }
             Run::Lost(miss) => {
                 self.avoid.push(backend.id.clone());
@@ -376,9 +376,9 @@
             }
             Run::Failed => {
                 self.avoid.push(backend.id.clone());
-                Outcome::Abandoned
+                SlotOutcome::Abandoned
             }
-            Run::Impossible | Run::Unfinished => Outcome::Abandoned,
+            Run::Impossible | Run::Unfinished => SlotOutcome::Abandoned,
         };
         place.close(outcome);
         run
@@ -476,7 +476,7 @@
                         account.note_events();
                         self.write_account(account).await;
                     }
-                    if events == EARLY_EVENTS {
+                    if events == STABLE_AFTER_EVENTS {
                         self.jobs.relay.note_run(|| self.fingerprint(job));
                     }
                 }
--- a/crates/foxtailhold-relay/src/jobs/rest.rs
+++ b/crates/foxtailhold-relay/src/jobs/rest.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxtailhold::crashes::{ItemRest, item_rest};
+use foxtailhold::crashes::{ItemBackoff, item_backoff};
 use tokio::time::Instant;
 
 /// Rests are shortened by up to this part of their time.
@@ -24,10 +24,10 @@
             return None;
         }
         self.crashes = crashes;
-        let rest_ms = match item_rest(crashes, left_ms) {
-            ItemRest::None => return None,
-            ItemRest::Pause { pause_ms } => shortened_at_random(pause_ms),
-            ItemRest::UntilGivenUp => left_ms,
+        let rest_ms = match item_backoff(crashes, left_ms) {
+            ItemBackoff::None => return None,
+            ItemBackoff::Delay { pause_ms } => shortened_at_random(pause_ms),
+            ItemBackoff::NoMoreAttempts => left_ms,
         };
         self.until = Some(Instant::now() + Duration::from_millis(rest_ms));
         Some(rest_ms)
--- a/crates/foxtailhold-relay/src/peers/message.rs
+++ b/crates/foxtailhold-relay/src/peers/message.rs
@@ -3,10 +3,10 @@
 //! Datagrams fit: each is small, is repeated until it is answered or replaced by the next one, and
 //! a peer that vanishes leaves no connection that must time out.
 
-use foxtailhold::crashes::Evidence;
+use foxtailhold::crashes::CrashEvidence;
 use foxtailhold::ids::{InstanceId, TargetName};
 use foxtailhold::quarantine::Fingerprint;
-use foxtailhold::slots::{Ask, AskId, Held, Outcome, Verdict};
+use foxtailhold::slots::{HeldSlot, SlotDecision, SlotOutcome, SlotRequest, SlotRequestId};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -27,34 +27,34 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Asks for a place.
-    Ask(Ask),
+    Ask(SlotRequest),
     /// Answers an ask, also later when a place has become free.
     Answer {
         /// The ask.
-        ask: AskId,
+        ask: SlotRequestId,
         /// What was decided.
-        verdict: Verdict,
+        verdict: SlotDecision,
     },
     /// A batch item is to give way.
     Yield {
         /// The ask that was granted.
-        ask: AskId,
+        ask: SlotRequestId,
     },
     /// A place is free again, or who waited has left.
     Release {
         /// The ask.
-        ask: AskId,
+        ask: SlotRequestId,
         /// Its service.
         pool: TargetName,
         /// How it ended.
-        outcome: Outcome,
+        outcome: SlotOutcome,
     },
     /// What an instance holds; also says that it lives.
     Report {
         /// The instance.
         instance: InstanceId,
         /// All places that it holds.
-        held: Vec<Held>,
+        held: Vec<HeldSlot>,
     },
     /// The answer to a report: who has reported lately.
     Live {
@@ -68,7 +68,7 @@
         /// The request.
         fingerprint: Fingerprint,
         /// Its crashes.
-        evidence: Evidence,
+        evidence: CrashEvidence,
     },
     /// A request was seen to run: nothing is held against it.
     Cleared {
--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -18,7 +18,8 @@
 use foxtailhold::quarantine::{CrashId, Fingerprint};
 use foxtailhold::rendezvous;
 use foxtailhold::slots::{
-    Allocator, Ask, AskId, Decision, Held, Outcome, Places, Urgency, Verdict,
+    Allocator, BackendSlots, HeldSlot, SlotDecision, SlotNotice, SlotOutcome, SlotRequest,
+    SlotRequestId, Urgency,
 };
 use foxtailhold::time::{MonoMs, WallMs};
 use foxtailhold_peer::codec;
@@ -49,7 +50,7 @@
 #[derive(Debug, Default)]
 struct OwnPlaces {
     next: u64,
-    waiting: HashMap<u64, mpsc::UnboundedSender<Verdict>>,
+    waiting: HashMap<u64, mpsc::UnboundedSender<SlotDecision>>,
     held: HashMap<u64, Holding>,
 }
 
@@ -175,7 +176,7 @@
     }
 
     /// Sets the places of a service.
-    pub fn set_backends(&self, pool: &TargetName, places: &[Places]) {
+    pub fn set_backends(&self, pool: &TargetName, places: &[BackendSlots]) {
         self.inner.allocator.lock().set_backends(pool, places);
     }
 
@@ -252,9 +253,9 @@
         self.inner.members_changed.notify_one();
     }
 
-    fn holdings(&self, now: MonoMs) -> Vec<Held> {
+    fn holdings(&self, now: MonoMs) -> Vec<HeldSlot> {
         let places = self.inner.places.lock();
-        let held = places.held.iter().map(|(number, holding)| Held {
+        let held = places.held.iter().map(|(number, holding)| HeldSlot {
             number: *number,
             pool: holding.pool.clone(),
             backend: holding.backend.clone(),
@@ -321,14 +322,14 @@
         }
     }
 
-    fn decide(&self, now: MonoMs, ask: Ask) -> Verdict {
+    fn decide(&self, now: MonoMs, ask: SlotRequest) -> SlotDecision {
         let mut decisions = Vec::new();
         let verdict = self.inner.allocator.lock().ask(now, ask, &mut decisions);
         self.spread(decisions);
         verdict
     }
 
-    fn free(&self, now: MonoMs, pool: &TargetName, ask: &AskId, outcome: Outcome) {
+    fn free(&self, now: MonoMs, pool: &TargetName, ask: &SlotRequestId, outcome: SlotOutcome) {
         let mut decisions = Vec::new();
         self.inner
             .allocator
@@ -353,8 +354,12 @@
     }
 
     /// Brings decisions to the instances that asked.
-    fn spread(&self, decisions: Vec<Decision>) {
-        for Decision { ask, verdict } in decisions {
+    fn spread(&self, decisions: Vec<SlotNotice>) {
+        for SlotNotice {
+            request: ask,
+            decision: verdict,
+        } in decisions
+        {
             if ask.instance == self.inner.me {
                 match verdict {
                     Some(verdict) => self.deliver(&ask, verdict),
@@ -373,7 +378,7 @@
         }
     }
 
-    fn deliver(&self, ask: &AskId, verdict: Verdict) {
+    fn deliver(&self, ask: &SlotRequestId, verdict: SlotDecision) {
         let now = self.inner.clock.mono();
         if ask.instance != self.inner.me {
             return;
@@ -384,7 +389,7 @@
             let sent = waiting.is_some_and(|waiting| waiting.send(verdict.clone()).is_ok());
             (sent, places.held.contains_key(&ask.number))
         };
-        if let (false, false, Verdict::Granted(backend)) = (is_wanted, is_held, &verdict) {
+        if let (false, false, SlotDecision::Granted(backend)) = (is_wanted, is_held, &verdict) {
             log::debug!("a place at {backend} came too late");
             self.release_at_allocator(now, None, ask);
         }
@@ -393,15 +398,15 @@
     fn release_at_allocator(
         &self,
         now: MonoMs,
-        known: Option<(&TargetName, Outcome)>,
-        ask: &AskId,
+        known: Option<(&TargetName, SlotOutcome)>,
+        ask: &SlotRequestId,
     ) {
         let (pools, outcome) = match known {
             Some((pool, outcome)) => (vec![pool.clone()], outcome),
             None => {
                 let allocator = self.inner.allocator.lock();
                 let pools = allocator.loads().map(|(name, ..)| name.clone());
-                (pools.collect(), Outcome::Abandoned)
+                (pools.collect(), SlotOutcome::Abandoned)
             }
         };
         let address = self.members().allocator(now).map(|m| m.peer_address);
@@ -416,7 +421,7 @@
         }
     }
 
-    fn yield_place(&self, ask: &AskId) {
+    fn yield_place(&self, ask: &SlotRequestId) {
         let places = self.inner.places.lock();
         if let Some(holding) = places.held.get(&ask.number) {
             holding.yields.cancel();
--- a/crates/foxtailhold-relay/src/peers/place.rs
+++ b/crates/foxtailhold-relay/src/peers/place.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use foxtailhold::ids::{BackendId, TargetName};
-use foxtailhold::slots::{Ask, AskId, Outcome, Urgency, Verdict};
+use foxtailhold::slots::{SlotDecision, SlotOutcome, SlotRequest, SlotRequestId, Urgency};
 use thiserror::Error;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -61,7 +61,7 @@
     pool: TargetName,
     backend: BackendId,
     yields: CancellationToken,
-    outcome: Outcome,
+    outcome: SlotOutcome,
 }
 
 impl Place {
@@ -84,7 +84,7 @@
     }
 
     /// Gives the place back.
-    pub fn close(mut self, outcome: Outcome) {
+    pub fn close(mut self, outcome: SlotOutcome) {
         self.outcome = outcome;
     }
 }
@@ -116,14 +116,14 @@
         }
         let now = self.peers.inner.clock.mono();
         let ask = self.peers.ask_id(self.number);
-        let known = Some((self.pool, Outcome::Abandoned));
+        let known = Some((self.pool, SlotOutcome::Abandoned));
         self.peers.release_at_allocator(now, known, &ask);
     }
 }
 
 impl Peers {
-    fn ask_id(&self, number: u64) -> AskId {
-        AskId {
+    fn ask_id(&self, number: u64) -> SlotRequestId {
+        SlotRequestId {
             instance: self.inner.me.clone(),
             number,
         }
@@ -145,7 +145,7 @@
             pool: query.pool,
             is_settled: false,
         };
-        let ask = Ask {
+        let ask = SlotRequest {
             id: self.ask_id(number),
             pool: query.pool.clone(),
             urgency: query.urgency,
@@ -157,16 +157,16 @@
             .wait_for_verdict(&ask, query.until, &mut verdicts)
             .await?;
         match verdict {
-            Verdict::Granted(backend) => {
+            SlotDecision::Granted(backend) => {
                 let place = self.hold(number, query, backend);
                 waiting.is_settled = true;
                 Ok(place)
             }
-            Verdict::Refused { retry_after_ms } => {
+            SlotDecision::Refused { retry_after_ms } => {
                 waiting.is_settled = true;
                 Err(NoPlace::Refused { retry_after_ms })
             }
-            Verdict::Queued => Err(NoPlace::TimedOut),
+            SlotDecision::Queued => Err(NoPlace::TimedOut),
         }
     }
 
@@ -186,16 +186,16 @@
             pool: query.pool.clone(),
             backend,
             yields,
-            outcome: Outcome::Abandoned,
+            outcome: SlotOutcome::Abandoned,
         }
     }
 
     async fn wait_for_verdict(
         &self,
-        ask: &Ask,
+        ask: &SlotRequest,
         until: Instant,
-        verdicts: &mut mpsc::UnboundedReceiver<Verdict>,
-    ) -> Result<Verdict> {
+        verdicts: &mut mpsc::UnboundedReceiver<SlotDecision>,
+    ) -> Result<SlotDecision> {
         let repeat_ms = match ask.urgency {
             Urgency::Online { .. } => REPEAT_MS,
             Urgency::Batch => REPEAT_BATCH_MS,
@@ -213,7 +213,7 @@
             match address {
                 Some(address) => self.send(address, &PeerMessage::Ask(ask.clone())),
                 None => match self.decide(now, ask.clone()) {
-                    Verdict::Queued => is_queued = true,
+                    SlotDecision::Queued => is_queued = true,
                     verdict => return Ok(verdict),
                 },
             }
@@ -221,7 +221,7 @@
             let mut next = Instant::now() + Duration::from_millis(wait_ms);
             loop {
                 match tokio::time::timeout_at(next.min(until), verdicts.recv()).await {
-                    Ok(Some(Verdict::Queued)) => {
+                    Ok(Some(SlotDecision::Queued)) => {
                         is_queued = true;
                         next = Instant::now() + Duration::from_millis(repeat_ms);
                     }
--- a/crates/foxtailhold-relay/src/plain.rs
+++ b/crates/foxtailhold-relay/src/plain.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use foxtailhold::ids::{AvailabilityZone, BackendId};
-use foxtailhold::slots::Outcome;
-use foxtailhold::slots::Trouble;
+use foxtailhold::slots::BackendHealth;
+use foxtailhold::slots::SlotOutcome;
 use foxtailhold::time::MonoMs;
 use parking_lot::Mutex;
 
@@ -23,7 +23,7 @@
 struct Known {
     in_flight: u32,
     told: Option<(MonoMs, ToldLoad)>,
-    trouble: Trouble,
+    trouble: BackendHealth,
 }
 
 /// What is known of plain backend servers.
@@ -73,7 +73,7 @@
     }
 
     /// Notes the end of a request.
-    pub fn done(&self, now: MonoMs, id: &BackendId, outcome: Outcome, draw: u64) {
+    pub fn done(&self, now: MonoMs, id: &BackendId, outcome: SlotOutcome, draw: u64) {
         let mut known = self.known.lock();
         let seen = known.entry(id.clone()).or_default();
         seen.in_flight = seen.in_flight.saturating_sub(1);
--- a/crates/foxtailhold-relay/src/relay.rs
+++ b/crates/foxtailhold-relay/src/relay.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use foxtailhold::crashes::{EARLY_EVENTS, MOST_CRASHES, Standing};
+use foxtailhold::crashes::{CrashStatus, MAX_CRASHES, STABLE_AFTER_EVENTS};
 use foxtailhold::quarantine::Fingerprint;
 use foxtailhold::routes::{Route, RouteTable};
-use foxtailhold::slots::Outcome;
+use foxtailhold::slots::SlotOutcome;
 use foxtailhold_http::clock::Clock;
 use http::Response;
 use hyper::body::Incoming;
@@ -121,10 +121,10 @@
         cause: Miss,
         events: u64,
     ) {
-        if events >= EARLY_EVENTS {
+        if events >= STABLE_AFTER_EVENTS {
             return;
         }
-        let is_late = self.peers.crashes().count(fingerprint) >= MOST_CRASHES;
+        let is_late = self.peers.crashes().count(fingerprint) >= MAX_CRASHES;
         match cause {
             Miss::Closed => self.peers.crashed(fingerprint, backend.crash_id()),
             Miss::Silent | Miss::Broken if is_late => {
@@ -168,9 +168,9 @@
         }
         let fingerprint = request.fingerprint();
         match crashes.standing(fingerprint, self.clock.wall()) {
-            Standing::Free => None,
-            Standing::Refused { left_ms } => Some(left_ms),
-            Standing::OnProbation => {
+            CrashStatus::Free => None,
+            CrashStatus::Refused { left_ms } => Some(left_ms),
+            CrashStatus::OnProbation => {
                 let may_run = self.peers.is_home(&fingerprint.0.to_be_bytes())
                     && crashes.admit_on_probation(fingerprint, self.clock.mono());
                 (!may_run).then_some(PROBATION_RETRY_AFTER_MS)
@@ -197,7 +197,7 @@
             // The allocator has heard of a start that is not known here yet, or the other way round.
             log::info!(backend = place.backend().as_str(); "a place where no backend server is known");
             avoid.push(place.backend().clone());
-            place.close(Outcome::Abandoned);
+            place.close(SlotOutcome::Abandoned);
         }
         Err(NoPlace::Refused {
             retry_after_ms: PLAIN_RETRY_AFTER_MS,
@@ -235,7 +235,7 @@
         headers: &request.headers,
         body: &request.body,
         after_event: after,
-        is_idempotent: route.repeat.is_idempotent(),
+        is_idempotent: route.kind.is_idempotent(),
     }
 }
 
--- a/crates/foxtailhold-relay/src/stream.rs
+++ b/crates/foxtailhold-relay/src/stream.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxtailhold::crashes::EARLY_EVENTS;
+use foxtailhold::crashes::STABLE_AFTER_EVENTS;
 use foxtailhold::ids::{BackendId, TargetName};
 use foxtailhold::routes::Route;
-use foxtailhold::slots::{Outcome, Urgency};
+use foxtailhold::slots::{SlotOutcome, Urgency};
 use foxtailhold_http::body::AnswerSender;
 use tokio::time::Instant;
 
@@ -79,14 +79,14 @@
             let end = self.pass(&sender, &mut leg, step.take()).await;
             let metrics = &self.relay.metrics;
             metrics.run_ended(&leg.backend.id, RunEnd::from(&end), leg.begun);
-            if matches!(end, End::CallerGone | End::TimeOver) && leg.events < EARLY_EVENTS {
+            if matches!(end, End::CallerGone | End::TimeOver) && leg.events < STABLE_AFTER_EVENTS {
                 let fingerprint = self.request.fingerprint();
                 self.relay.note_silent_run(fingerprint, &leg.backend);
             }
             let miss = match end {
                 End::Complete => {
                     let held_ms = leg.begun.elapsed().as_millis() as u64;
-                    leg.place.close(Outcome::Done { held_ms });
+                    leg.place.close(SlotOutcome::Done { held_ms });
                     leg.reader.close();
                     self.relay.note_run(|| self.request.fingerprint());
                     return;
@@ -141,7 +141,7 @@
                 Step::Event(event) => {
                     leg.place.sign();
                     leg.events += 1;
-                    if leg.events == EARLY_EVENTS {
+                    if leg.events == STABLE_AFTER_EVENTS {
                         self.relay.note_run(|| self.request.fingerprint());
                     }
                     if !self.send(sender, event.raw).await {
--- a/crates/foxtailhold-relay/tests/attempts.rs
+++ b/crates/foxtailhold-relay/tests/attempts.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use foxtailhold::ids::{BackendId, TargetName};
-use foxtailhold::routes::{Repeat, Route};
+use foxtailhold::routes::{Route, RouteKind};
 use foxtailhold_relay::attempts::Attempts;
 use foxtailhold_relay::exchange::Miss;
 use test_case::test_case;
 use tokio::time::Instant;
 
-fn route(repeat: Repeat, attempts: u32) -> Route {
+fn route(repeat: RouteKind, attempts: u32) -> Route {
     Route {
         name: "lookups".into(),
         host: "records.example".into(),
         prefix: "/".into(),
-        repeat,
+        kind: repeat,
         timeout_ms: 0,
         objective_ms: 300,
         pause_ms: 200,
@@ -38,7 +38,7 @@
 }
 
 use Miss::{Broken, Closed, Failed, NotRun, Silent, Unreachable};
-use Repeat::{Idempotent, Once, ResumableStream, Stream};
+use RouteKind::{Idempotent, Once, ResumableStream, Stream};
 
 #[test_case(Idempotent, 2, &[Closed, Closed], &[true, false]; "two runs")]
 #[test_case(Idempotent, 3, &[Broken, Silent, Failed], &[true, true, false]; "three runs")]
@@ -49,7 +49,7 @@
 #[test_case(Idempotent, 2, &[NotRun; 4], &[true, true, true, false]; "refusals are bounded")]
 #[test_case(Idempotent, 0, &[Closed], &[false]; "a route without a bound allows one run")]
 fn runs_are_bounded_by_the_route(
-    repeat: Repeat,
+    repeat: RouteKind,
     attempts: u32,
     misses: &[Miss],
     expected: &[bool],
--- a/crates/foxtailhold-standin/tests/leaving_backends.rs
+++ b/crates/foxtailhold-standin/tests/leaving_backends.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use common::{Deployment, until};
-use foxtailhold::leaving::LeavingMark;
+use foxtailhold::leaving::LeavingNotice;
 use foxtailhold_peer::{PeerAnswer, PeerClient, PeerRequest};
 use foxtailhold_standin::demo::chat;
 use http::Method;
@@ -108,7 +108,7 @@
     deployment.with_contract().await;
     is_used(&deployment, 1).await;
     let peers = PeerClient::default();
-    let mark = LeavingMark {
+    let mark = LeavingNotice {
         backend: "engine-1".try_into().unwrap(),
         number: 1,
     };
--- a/crates/foxtailhold/src/admission/mod.rs
+++ b/crates/foxtailhold/src/admission/mod.rs
@@ -1,6 +1,6 @@
 //! Admission of online requests in front of the backend servers of one model.
 //!
-//! Requests in flight from one instance are bounded by a window ([`Window`]) that follows what the
+//! Requests in flight from one instance are bounded by a window ([`ConcurrencyWindow`]) that follows what the
 //! replicas report. Above it requests wait in bounded queues, one for each customer, served by
 //! self-clocked fair queueing (Golestani, 1994) with weights by the contract's urgency, so that a
 //! flood waits behind itself. What cannot be served in time is refused when it comes.
@@ -10,8 +10,8 @@
 mod queue;
 mod window;
 
-pub use queue::{AdmissionQueue, Arrival, Entered, Released, WaiterId};
-pub use window::{Capacity, Window};
+pub use queue::{AdmissionQueue, Arrival, DequeueOutcome, EnqueueOutcome, WaiterId};
+pub use window::{Capacity, ConcurrencyWindow};
 
 /// Requests of one customer that may wait.
 pub const WAITING_PER_CUSTOMER: usize = 64;
--- a/crates/foxtailhold/src/admission/queue.rs
+++ b/crates/foxtailhold/src/admission/queue.rs
@@ -33,7 +33,7 @@
 
 /// What becomes of an arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Entered {
+pub enum EnqueueOutcome {
     /// There is room: it is in flight.
     Admitted,
     /// It waits.
@@ -54,7 +54,7 @@
 
 /// What becomes of a request that waited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Released {
+pub enum DequeueOutcome {
     /// It is in flight.
     Admitted(WaiterId),
     /// It waited too long.
@@ -134,10 +134,10 @@
     }
 
     /// Takes a request in.
-    pub fn enter(&mut self, arrival: &Arrival<'_>, now: MonoMs) -> Entered {
+    pub fn enter(&mut self, arrival: &Arrival<'_>, now: MonoMs) -> EnqueueOutcome {
         if self.waiting == 0 && self.in_flight < self.window {
             self.in_flight += 1;
-            return Entered::Admitted;
+            return EnqueueOutcome::Admitted;
         }
         let give_up_at = now + MAX_WAIT_MS;
         let give_up_at = arrival.deadline.map_or(give_up_at, |at| at.min(give_up_at));
@@ -155,7 +155,7 @@
             }
         }
         let id = self.push(arrival, give_up_at);
-        Entered::Waiting {
+        EnqueueOutcome::Waiting {
             id,
             give_up_at,
             evicted,
@@ -171,13 +171,13 @@
     }
 
     /// The next request that need not wait any longer; call until `None`.
-    pub fn next(&mut self, now: MonoMs) -> Option<Released> {
+    pub fn next(&mut self, now: MonoMs) -> Option<DequeueOutcome> {
         let (tag, customer) = self.order.first()?.clone();
         let queue = self.customers.get_mut(&customer)?;
         let waiter = *queue.waiters.front()?;
         if waiter.give_up_at <= now {
             self.remove(&customer, waiter.id);
-            return Some(Released::Expired(waiter.id));
+            return Some(DequeueOutcome::Expired(waiter.id));
         }
         if self.in_flight >= self.window {
             return None;
@@ -191,7 +191,7 @@
         self.order.insert((next_tag, customer.clone()));
         self.drop_if_empty(&customer);
         self.in_flight += 1;
-        Some(Released::Admitted(waiter.id))
+        Some(DequeueOutcome::Admitted(waiter.id))
     }
 
     /// Removes a request whose caller is gone. Returns whether it waited.
@@ -220,9 +220,9 @@
         ahead * self.service_ms.unwrap_or(0.0) / f64::from(self.window.max(1))
     }
 
-    fn refused(&self, draw: u64) -> Entered {
+    fn refused(&self, draw: u64) -> EnqueueOutcome {
         let after_ms = self.retry_after_ms(draw);
-        Entered::Refused { after_ms }
+        EnqueueOutcome::Refused { after_ms }
     }
 
     fn push(&mut self, arrival: &Arrival<'_>, give_up_at: MonoMs) -> WaiterId {
--- a/crates/foxtailhold/src/admission/window.rs
+++ b/crates/foxtailhold/src/admission/window.rs
@@ -36,15 +36,15 @@
 /// lowered step by step, but never below this instance's part. Raised additively and lowered
 /// multiplicatively, it comes to an even split (Chiu and Jain, 1989).
 #[derive(Debug, Clone, Copy)]
-pub struct Window {
+pub struct ConcurrencyWindow {
     places: u32,
     lowered_at: Option<MonoMs>,
 }
 
-impl Window {
+impl ConcurrencyWindow {
     /// A window before any report.
     pub fn new() -> Self {
-        Window {
+        ConcurrencyWindow {
             places: u32::MAX,
             lowered_at: None,
         }
@@ -77,8 +77,8 @@
     }
 }
 
-impl Default for Window {
+impl Default for ConcurrencyWindow {
     fn default() -> Self {
-        Window::new()
+        ConcurrencyWindow::new()
     }
 }
--- a/crates/foxtailhold/src/batch_control/controller.rs
+++ b/crates/foxtailhold/src/batch_control/controller.rs
@@ -6,8 +6,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::batch_control::window::Mark;
-use crate::batch_control::{GRANT_MS, OnlineNotice, PlaceAsk, PlaceGrant};
+use crate::batch_control::window::CongestionWindow;
+use crate::batch_control::{BatchSlotGrant, BatchSlotRequest, GRANT_MS, OnlineLoadNotice};
 use crate::ids::{BackendId, InstanceId};
 use crate::replicas::LoadReport;
 use crate::time::MonoMs;
@@ -30,7 +30,7 @@
 
 #[derive(Debug, Clone)]
 struct Owner {
-    ask: PlaceAsk,
+    ask: BatchSlotRequest,
     /// Items it had in flight when it first asked.
     adopted: u32,
     /// Items it had in flight lately.
@@ -77,31 +77,31 @@
 
 /// The steward of one replica.
 #[derive(Debug, Clone)]
-pub struct ReplicaSteward {
+pub struct BatchController {
     me: InstanceId,
     backend: BackendId,
     term: u64,
     last_number: u64,
-    mark: Mark,
+    mark: CongestionWindow,
     owners: BTreeMap<InstanceId, Owner>,
 }
 
-impl ReplicaSteward {
+impl BatchController {
     /// A steward that knows nothing yet: its mark is zero until a report comes. Batch gets at most
     /// `share_percent` of the slots.
     pub fn new(me: InstanceId, backend: BackendId, term: u64, share_percent: u64) -> Self {
-        ReplicaSteward {
+        BatchController {
             me,
             backend,
             term,
             last_number: 0,
-            mark: Mark::new(share_percent),
+            mark: CongestionWindow::new(share_percent),
             owners: BTreeMap::new(),
         }
     }
 
     /// The mark.
-    pub fn mark(&self) -> &Mark {
+    pub fn window(&self) -> &CongestionWindow {
         &self.mark
     }
 
@@ -130,28 +130,36 @@
     }
 
     /// Takes a load report in. Returns the grants that owners must be told of at once.
-    pub fn reported(&mut self, report: &LoadReport, now: MonoMs) -> Vec<(InstanceId, PlaceGrant)> {
+    pub fn reported(
+        &mut self,
+        report: &LoadReport,
+        now: MonoMs,
+    ) -> Vec<(InstanceId, BatchSlotGrant)> {
         self.mark.reported(report, now);
         self.divide(now)
     }
 
     /// Takes a notice of online work in. Returns the grants that owners must be told of at once.
-    pub fn noticed(&mut self, notice: &OnlineNotice, now: MonoMs) -> Vec<(InstanceId, PlaceGrant)> {
+    pub fn noticed(
+        &mut self,
+        notice: &OnlineLoadNotice,
+        now: MonoMs,
+    ) -> Vec<(InstanceId, BatchSlotGrant)> {
         self.mark.noticed(notice, now);
         self.divide(now)
     }
 
     /// Moves the mark with time. Returns the grants that owners must be told of at once.
-    pub fn tick(&mut self, now: MonoMs) -> Vec<(InstanceId, PlaceGrant)> {
+    pub fn tick(&mut self, now: MonoMs) -> Vec<(InstanceId, BatchSlotGrant)> {
         self.divide(now)
     }
 
     /// Takes an owner's question in. Returns its answer and the grants to tell the others.
     pub fn asked(
         &mut self,
-        ask: PlaceAsk,
+        ask: BatchSlotRequest,
         now: MonoMs,
-    ) -> (PlaceGrant, Vec<(InstanceId, PlaceGrant)>) {
+    ) -> (BatchSlotGrant, Vec<(InstanceId, BatchSlotGrant)>) {
         let id = ask.owner.clone();
         self.told(ask, now);
         let mut others = self.divide(now);
@@ -160,7 +168,7 @@
     }
 
     /// Takes an owner's answer to a grant in.
-    pub fn told(&mut self, ask: PlaceAsk, now: MonoMs) {
+    pub fn told(&mut self, ask: BatchSlotRequest, now: MonoMs) {
         let follows = ask.follows;
         let id = ask.owner.clone();
         match self.owners.get_mut(&id) {
@@ -188,12 +196,12 @@
     }
 
     /// The owner's grant, valid anew.
-    fn renew(&mut self, id: &InstanceId, now: MonoMs) -> PlaceGrant {
+    fn renew(&mut self, id: &InstanceId, now: MonoMs) -> BatchSlotGrant {
         let (keep, start) = self.owners.get(id).map_or((0, 0), Owner::last);
         self.issue(id, Share { keep, start }, now)
     }
 
-    fn issue(&mut self, id: &InstanceId, share: Share, now: MonoMs) -> PlaceGrant {
+    fn issue(&mut self, id: &InstanceId, share: Share, now: MonoMs) -> BatchSlotGrant {
         self.last_number += 1;
         let number = self.last_number;
         if let Some(owner) = self.owners.get_mut(id) {
@@ -205,13 +213,13 @@
                 until: now + GRANT_MS,
             });
         }
-        PlaceGrant {
-            steward: self.me.clone(),
+        BatchSlotGrant {
+            controller: self.me.clone(),
             backend: self.backend.clone(),
             term: self.term,
             number,
-            keep: share.keep,
-            start: share.start,
+            cancel_above: share.keep,
+            start_below: share.start,
         }
     }
 
@@ -227,7 +235,7 @@
     }
 
     /// Divides the mark anew and issues the grants that changed.
-    fn divide(&mut self, now: MonoMs) -> Vec<(InstanceId, PlaceGrant)> {
+    fn divide(&mut self, now: MonoMs) -> Vec<(InstanceId, BatchSlotGrant)> {
         self.drop_expired(now);
         self.mark.update(now);
         let shares = self.shares();
--- a/crates/foxtailhold/src/batch_control/mod.rs
+++ b/crates/foxtailhold/src/batch_control/mod.rs
@@ -1,10 +1,10 @@
 //! Batch beside online: how many batch items may be in flight at each replica, and whose.
 //!
 //! One instance, the replica's *steward* (its home by rendezvous hashing over the live members),
-//! keeps batch at the replica below a mark ([`window::Mark`]) and divides the mark between the owners
-//! of jobs ([`controller::ReplicaSteward`]). An owner asks for places, gets an absolute number that is
-//! valid for a short time, and sends its items itself ([`scheduler::Desk`]). Any instance that sends
-//! online work to a replica with batch tells the steward ([`OnlineNotice`]).
+//! keeps batch at the replica below a mark ([`window::CongestionWindow`]) and divides the mark between the owners
+//! of jobs ([`controller::BatchController`]). An owner asks for places, gets an absolute number that is
+//! valid for a short time, and sends its items itself ([`scheduler::BatchScheduler`]). Any instance that sends
+//! online work to a replica with batch tells the steward ([`OnlineLoadNotice`]).
 //!
 //! Bound: the grants of one steward that may be in use at the same time never add up to more than
 //! the largest mark of the last [`GRANT_MS`], and no mark is above `slots` minus the least headroom.
@@ -35,7 +35,7 @@
 
 /// What an owner of jobs has and wants at one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceAsk {
+pub struct BatchSlotRequest {
     /// The owner.
     pub owner: InstanceId,
     /// The replica.
@@ -52,9 +52,9 @@
 
 /// What a steward allows an owner at one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceGrant {
+pub struct BatchSlotGrant {
     /// The steward.
-    pub steward: InstanceId,
+    pub controller: InstanceId,
     /// The replica.
     pub backend: BackendId,
     /// Start of the steward's process: later ones are higher.
@@ -62,14 +62,14 @@
     /// Position among the steward's grants of this term.
     pub number: u64,
     /// Items above this number are cancelled at once.
-    pub keep: u32,
+    pub cancel_above: u32,
     /// A new item is started only while fewer than this number are in flight.
-    pub start: u32,
+    pub start_below: u32,
 }
 
 /// Online work of one instance at a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OnlineNotice {
+pub struct OnlineLoadNotice {
     /// The instance.
     pub from: InstanceId,
     /// The replica.
--- a/crates/foxtailhold/src/batch_control/scheduler.rs
+++ b/crates/foxtailhold/src/batch_control/scheduler.rs
@@ -8,7 +8,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::batch_control::{ASK_GAP_MS, ASK_PERIOD_MS, GRANT_MS, PlaceAsk, PlaceGrant};
+use crate::batch_control::{ASK_GAP_MS, ASK_PERIOD_MS, BatchSlotGrant, BatchSlotRequest, GRANT_MS};
 use crate::ids::{BackendId, InstanceId, TargetName};
 use crate::time::{MonoMs, WallMs};
 
@@ -37,18 +37,18 @@
 
 /// A replica as the owner sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DeskReplica {
+pub struct SchedulerReplica {
     /// The replica.
     pub backend: BackendId,
     /// Models it serves.
     pub targets: Vec<TargetName>,
     /// Its steward; `None` where it takes no new work.
-    pub steward: Option<InstanceId>,
+    pub controller: Option<InstanceId>,
 }
 
 /// What the owner has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DeskAction {
+pub enum SchedulerAction {
     /// Start or resume the item at the replica.
     Start {
         /// The item.
@@ -57,7 +57,7 @@
         backend: BackendId,
     },
     /// Cancel the item's stream; the item has to wait again with what it received.
-    Cut {
+    Preempt {
         /// The item.
         item: ItemKey,
         /// The replica.
@@ -77,7 +77,7 @@
 
 #[derive(Debug, Clone)]
 struct Replica {
-    entry: DeskReplica,
+    entry: SchedulerReplica,
     followed: Option<Followed>,
     /// Items in flight, oldest first.
     running: Vec<ItemKey>,
@@ -96,17 +96,17 @@
 
 /// The owner's waiting and running items.
 #[derive(Debug, Clone)]
-pub struct Desk {
+pub struct BatchScheduler {
     me: InstanceId,
     replicas: BTreeMap<BackendId, Replica>,
     waiting: BTreeMap<(WallMs, u64, ItemKey), WaitingItem>,
     running: HashMap<ItemKey, BackendId>,
 }
 
-impl Desk {
+impl BatchScheduler {
     /// A desk without items.
     pub fn new(me: InstanceId) -> Self {
-        Desk {
+        BatchScheduler {
             me,
             replicas: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -138,7 +138,11 @@
 
     /// Takes the replicas and their stewards as they are now. Items at replicas that are gone are
     /// cut.
-    pub fn set_replicas(&mut self, replicas: Vec<DeskReplica>, now: MonoMs) -> Vec<DeskAction> {
+    pub fn set_replicas(
+        &mut self,
+        replicas: Vec<SchedulerReplica>,
+        now: MonoMs,
+    ) -> Vec<SchedulerAction> {
         let mut known = std::mem::take(&mut self.replicas);
         for entry in replicas {
             let replica = match known.remove(&entry.backend) {
@@ -159,7 +163,7 @@
             for item in replica.running {
                 self.running.remove(&item);
                 let backend = replica.entry.backend.clone();
-                actions.push(DeskAction::Cut { item, backend });
+                actions.push(SchedulerAction::Preempt { item, backend });
             }
         }
         actions.extend(self.act(now));
@@ -167,14 +171,19 @@
     }
 
     /// An item waits for a place, for the first time or after it was cut.
-    pub fn wait(&mut self, item: ItemKey, waiting: WaitingItem, now: MonoMs) -> Vec<DeskAction> {
+    pub fn wait(
+        &mut self,
+        item: ItemKey,
+        waiting: WaitingItem,
+        now: MonoMs,
+    ) -> Vec<SchedulerAction> {
         let key = (waiting.deadline, waiting.order, item);
         self.waiting.insert(key, waiting);
         self.act(now)
     }
 
     /// An item no longer waits or runs: it ended, failed at its replica, or its job was stopped.
-    pub fn leave(&mut self, item: ItemKey, now: MonoMs) -> Vec<DeskAction> {
+    pub fn leave(&mut self, item: ItemKey, now: MonoMs) -> Vec<SchedulerAction> {
         self.waiting.retain(|(_, _, key), _| *key != item);
         if let Some(backend) = self.running.remove(&item)
             && let Some(replica) = self.replicas.get_mut(&backend)
@@ -187,30 +196,30 @@
     /// Takes the answer to a question sent at `asked_at`.
     pub fn answered(
         &mut self,
-        grant: &PlaceGrant,
+        grant: &BatchSlotGrant,
         asked_at: MonoMs,
         now: MonoMs,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<SchedulerAction> {
         self.follow(grant, Some(asked_at + GRANT_MS));
         self.act(now)
     }
 
     /// Takes a grant that was not asked for.
-    pub fn pushed(&mut self, grant: &PlaceGrant, now: MonoMs) -> Vec<DeskAction> {
+    pub fn pushed(&mut self, grant: &BatchSlotGrant, now: MonoMs) -> Vec<SchedulerAction> {
         self.follow(grant, None);
         self.act(now)
     }
 
-    fn follow(&mut self, grant: &PlaceGrant, until: Option<MonoMs>) {
+    fn follow(&mut self, grant: &BatchSlotGrant, until: Option<MonoMs>) {
         let Some(replica) = self.replicas.get_mut(&grant.backend) else {
             return;
         };
-        if replica.entry.steward.as_ref() != Some(&grant.steward) {
+        if replica.entry.controller.as_ref() != Some(&grant.controller) {
             return;
         }
         let order = (grant.term, grant.number);
         let known = replica.followed.as_ref();
-        let known = known.filter(|followed| followed.steward == grant.steward);
+        let known = known.filter(|followed| followed.steward == grant.controller);
         if known.is_some_and(|followed| followed.order >= order) {
             return;
         }
@@ -218,17 +227,17 @@
             return;
         };
         replica.followed = Some(Followed {
-            steward: grant.steward.clone(),
+            steward: grant.controller.clone(),
             order,
-            keep: grant.keep,
-            start: grant.start,
+            keep: grant.cancel_above,
+            start: grant.start_below,
             until,
         });
     }
 
     /// Cuts what is above the grants, newest first, and starts what they leave room for, least
     /// slack first.
-    pub fn act(&mut self, now: MonoMs) -> Vec<DeskAction> {
+    pub fn act(&mut self, now: MonoMs) -> Vec<SchedulerAction> {
         let mut actions = Vec::new();
         for replica in self.replicas.values_mut() {
             let (keep, _) = replica.limits(now);
@@ -238,14 +247,14 @@
                 };
                 self.running.remove(&item);
                 let backend = replica.entry.backend.clone();
-                actions.push(DeskAction::Cut { item, backend });
+                actions.push(SchedulerAction::Preempt { item, backend });
             }
         }
         self.start_waiting(now, &mut actions);
         actions
     }
 
-    fn start_waiting(&mut self, now: MonoMs, actions: &mut Vec<DeskAction>) {
+    fn start_waiting(&mut self, now: MonoMs, actions: &mut Vec<SchedulerAction>) {
         let mut started = Vec::new();
         let mut free = self.free_places(now);
         for (key, item) in &self.waiting {
@@ -274,7 +283,7 @@
             if let Some(replica) = self.replicas.get_mut(&backend) {
                 replica.running.push(item);
             }
-            actions.push(DeskAction::Start { item, backend });
+            actions.push(SchedulerAction::Start { item, backend });
         }
     }
 
@@ -283,7 +292,7 @@
         for (backend, replica) in &self.replicas {
             let (_, start) = replica.limits(now);
             let places = start.saturating_sub(replica.running.len());
-            if places > 0 && replica.entry.steward.is_some() {
+            if places > 0 && replica.entry.controller.is_some() {
                 free.insert(backend.clone(), places);
             }
         }
@@ -291,7 +300,7 @@
     }
 
     /// The questions to send now, each with its replica's steward.
-    pub fn asks(&mut self, now: MonoMs, wall: WallMs) -> Vec<(InstanceId, PlaceAsk)> {
+    pub fn asks(&mut self, now: MonoMs, wall: WallMs) -> Vec<(InstanceId, BatchSlotRequest)> {
         let mut asks = Vec::new();
         for backend in self.worth_asking(now) {
             let asked_at = self.replicas.get(&backend).and_then(|known| known.asked_at);
@@ -307,7 +316,7 @@
             if since_ms < ASK_PERIOD_MS && !differs(replica.told, told) {
                 continue;
             }
-            let Some(steward) = replica.entry.steward.clone() else {
+            let Some(steward) = replica.entry.controller.clone() else {
                 continue;
             };
             replica.asked_at = Some(now);
@@ -318,7 +327,7 @@
     }
 
     /// What this owner has and wants at a replica.
-    pub fn ask(&self, backend: &BackendId, wall: WallMs) -> PlaceAsk {
+    pub fn ask(&self, backend: &BackendId, wall: WallMs) -> BatchSlotRequest {
         let in_use = self.in_use(backend);
         let replica = self.replicas.get(backend);
         let mut wanted = in_use;
@@ -335,9 +344,9 @@
             }
         }
         let followed = replica.and_then(|replica| replica.followed.as_ref());
-        let steward = replica.and_then(|replica| replica.entry.steward.as_ref());
+        let steward = replica.and_then(|replica| replica.entry.controller.as_ref());
         let followed = followed.filter(|followed| Some(&followed.steward) == steward);
-        PlaceAsk {
+        BatchSlotRequest {
             owner: self.me.clone(),
             backend: backend.clone(),
             in_use,
--- a/crates/foxtailhold/src/batch_control/window.rs
+++ b/crates/foxtailhold/src/batch_control/window.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::batch_control::{NOTICE_VALID_MS, OnlineNotice, is_queued};
+use crate::batch_control::{NOTICE_VALID_MS, OnlineLoadNotice, is_queued};
 use crate::ids::InstanceId;
 use crate::replicas::LoadReport;
 use crate::time::MonoMs;
@@ -37,7 +37,7 @@
 
 /// The mark of one replica.
 #[derive(Debug, Clone, Default)]
-pub struct Mark {
+pub struct CongestionWindow {
     share_percent: u64,
     slots: u32,
     mark: u32,
@@ -53,12 +53,12 @@
     headroom_fell_at: MonoMs,
 }
 
-impl Mark {
+impl CongestionWindow {
     /// A mark of zero that may rise to `share_percent` of the slots.
     pub fn new(share_percent: u64) -> Self {
-        Mark {
+        CongestionWindow {
             share_percent,
-            ..Mark::default()
+            ..CongestionWindow::default()
         }
     }
 
@@ -156,7 +156,7 @@
 
     /// Takes a notice of online work in; one older than the last of its instance is passed over.
     /// More than the slots can hold is pressure.
-    pub fn noticed(&mut self, notice: &OnlineNotice, now: MonoMs) {
+    pub fn noticed(&mut self, notice: &OnlineLoadNotice, now: MonoMs) {
         if notice.pressed {
             self.press(now);
         }
--- a/crates/foxtailhold/src/breaker.rs
+++ b/crates/foxtailhold/src/breaker.rs
@@ -15,11 +15,11 @@
 pub enum Availability {
     /// It serves.
     #[default]
-    Open,
+    Available,
     /// It failed before; the next request is its trial.
     HalfOpen,
     /// It failed, or its trial runs.
-    SetAside,
+    Ejected,
 }
 
 /// The breaker.
@@ -58,10 +58,10 @@
     /// Whether it may be used.
     pub fn availability(&self, now: MonoMs) -> Availability {
         if self.failures == 0 {
-            return Availability::Open;
+            return Availability::Available;
         }
         if self.blocked_until > now {
-            return Availability::SetAside;
+            return Availability::Ejected;
         }
         Availability::HalfOpen
     }
--- a/crates/foxtailhold/src/crashes.rs
+++ b/crates/foxtailhold/src/crashes.rs
@@ -9,25 +9,25 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::quarantine::{CrashId, Fingerprint, MOST_KEPT, PROBATION_MS, SUSPECT_MS};
+use crate::quarantine::{CrashId, Fingerprint, MAX_ENTRIES, PROBATION_MS, SUSPECT_TTL_MS};
 use crate::time::WallMs;
 
 /// Crashes after which a request is refused. A neighbour on the same backend servers has to be hit
 /// three times in a row before it has run, which is rare; each more costs a backend server.
-pub const MOST_CRASHES: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 /// Runs of a request after that. What was refused may be innocent: connections also end where a backend
 /// server has too many of them. The contract allows one more, which is left for a run whose only witness
 /// was lost and for instances that do not agree yet who decides.
-pub const LATE_RUNS: usize = 2;
-/// Time of refusal after [`MOST_CRASHES`], and after the crash of each late run. The first one is short, so
+pub const MAX_PROBES: usize = 2;
+/// Time of refusal after [`MAX_CRASHES`], and after the crash of each late run. The first one is short, so
 /// that an innocent request is soon served again; after the last late run nobody waits for the end.
-pub const REFUSED_MS: [u64; LATE_RUNS + 1] = [10_000, 60_000, 86_400_000];
+pub const REFUSED_MS: [u64; MAX_PROBES + 1] = [10_000, 60_000, 86_400_000];
 /// Events after which a run has shown that its request does not crash what begins to run it.
-pub const EARLY_EVENTS: u64 = 8;
+pub const STABLE_AFTER_EVENTS: u64 = 8;
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum CrashStatus {
     /// It may run.
     Free,
     /// It was refused for its time, and may run once, alone, to show whether it is innocent.
@@ -41,16 +41,16 @@
 
 /// The crashes of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Evidence {
+pub struct CrashEvidence {
     /// Which starts of backend servers ended under it.
     pub crashes: BTreeSet<CrashId>,
     /// Time of the last crash, by the clock of the instance that saw it.
     pub last_unix_ms: u64,
 }
 
-impl Evidence {
+impl CrashEvidence {
     /// Adds what another one knows; returns whether that was new.
-    pub fn join(&mut self, other: &Evidence) -> bool {
+    pub fn join(&mut self, other: &CrashEvidence) -> bool {
         let before = self.crashes.len();
         self.crashes.extend(other.crashes.iter().cloned());
         self.last_unix_ms = self.last_unix_ms.max(other.last_unix_ms);
@@ -59,26 +59,26 @@
 
     /// Until when the request is refused.
     fn refused_until(&self) -> Option<u64> {
-        let late = self.crashes.len().checked_sub(MOST_CRASHES)?;
-        let refused_ms = REFUSED_MS[late.min(LATE_RUNS)];
+        let late = self.crashes.len().checked_sub(MAX_CRASHES)?;
+        let refused_ms = REFUSED_MS[late.min(MAX_PROBES)];
         Some(self.last_unix_ms.saturating_add(refused_ms))
     }
 
     fn expires(&self) -> u64 {
         match self.refused_until() {
             Some(until) => until.saturating_add(PROBATION_MS),
-            None => self.last_unix_ms.saturating_add(SUSPECT_MS),
+            None => self.last_unix_ms.saturating_add(SUSPECT_TTL_MS),
         }
     }
 }
 
 /// What one instance knows against requests.
 #[derive(Debug, Clone, Default)]
-pub struct CrashBook {
-    known: HashMap<Fingerprint, Evidence>,
+pub struct CrashRegistry {
+    known: HashMap<Fingerprint, CrashEvidence>,
 }
 
-impl CrashBook {
+impl CrashRegistry {
     /// Whether nothing is known against any request.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
@@ -90,8 +90,8 @@
         fingerprint: Fingerprint,
         crash: CrashId,
         now: WallMs,
-    ) -> Option<&Evidence> {
-        let new = Evidence {
+    ) -> Option<&CrashEvidence> {
+        let new = CrashEvidence {
             crashes: BTreeSet::from([crash]),
             last_unix_ms: now.0,
         };
@@ -102,9 +102,9 @@
     }
 
     /// Joins the evidence of another instance or of the store; returns whether that was new.
-    pub fn join(&mut self, fingerprint: Fingerprint, evidence: &Evidence) -> bool {
+    pub fn join(&mut self, fingerprint: Fingerprint, evidence: &CrashEvidence) -> bool {
         let is_new = self.known.entry(fingerprint).or_default().join(evidence);
-        if self.known.len() > MOST_KEPT {
+        if self.known.len() > MAX_ENTRIES {
             self.drop_oldest();
         }
         is_new
@@ -123,7 +123,7 @@
     }
 
     /// The evidence against a request.
-    pub fn evidence(&self, fingerprint: Fingerprint) -> Option<&Evidence> {
+    pub fn evidence(&self, fingerprint: Fingerprint) -> Option<&CrashEvidence> {
         self.known.get(&fingerprint)
     }
 
@@ -133,20 +133,20 @@
     }
 
     /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint, now: WallMs) -> Standing {
+    pub fn status(&self, fingerprint: Fingerprint, now: WallMs) -> CrashStatus {
         let evidence = self.known.get(&fingerprint);
-        match evidence.and_then(Evidence::refused_until) {
-            None => Standing::Free,
-            Some(until) if until > now.0 => Standing::Refused {
+        match evidence.and_then(CrashEvidence::refused_until) {
+            None => CrashStatus::Free,
+            Some(until) if until > now.0 => CrashStatus::Refused {
                 left_ms: until - now.0,
             },
-            Some(_) => Standing::OnProbation,
+            Some(_) => CrashStatus::OnProbation,
         }
     }
 
     /// Forgets what has expired.
     pub fn expire(&mut self, now: WallMs) -> Vec<Fingerprint> {
-        let is_over = |evidence: &Evidence| evidence.expires() <= now.0;
+        let is_over = |evidence: &CrashEvidence| evidence.expires() <= now.0;
         let over = self.known.iter().filter(|(_, evidence)| is_over(evidence));
         let over: Vec<Fingerprint> = over.map(|(fingerprint, _)| *fingerprint).collect();
         for fingerprint in &over {
@@ -159,44 +159,44 @@
 /// Pause of a batch item before the run whose crash would be one too many: engines that end for a reason
 /// of their own often do so together, and are known to be down by then.
 const ITEM_PAUSE_MS: u64 = 1_000;
-/// Rest of a batch item after [`MOST_CRASHES`]. An innocent one is soon done.
+/// Rest of a batch item after [`MAX_CRASHES`]. An innocent one is soon done.
 const ITEM_FIRST_REST_MS: u64 = 2_500;
 /// Later rests, as parts of the time until the item is given up.
 const ITEM_REST_PARTS: [u64; 2] = [6, 3];
 
 /// When a batch item may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ItemRest {
+pub enum ItemBackoff {
     /// At once.
     None,
     /// After this time.
-    Pause {
+    Delay {
         /// How long.
         pause_ms: u64,
     },
     /// Not any more.
-    UntilGivenUp,
+    NoMoreAttempts,
 }
 
 /// Decides the rest of a batch item that has crashed so many backend servers and is given up in
 /// `left_ms`. It cannot be listed as failed before, so its late runs are spread over that time.
-pub fn item_rest(crashes: usize, left_ms: u64) -> ItemRest {
-    let Some(late) = crashes.checked_sub(MOST_CRASHES) else {
-        return match crashes + 1 == MOST_CRASHES {
-            true => ItemRest::Pause {
+pub fn item_backoff(crashes: usize, left_ms: u64) -> ItemBackoff {
+    let Some(late) = crashes.checked_sub(MAX_CRASHES) else {
+        return match crashes + 1 == MAX_CRASHES {
+            true => ItemBackoff::Delay {
                 pause_ms: ITEM_PAUSE_MS,
             },
-            false => ItemRest::None,
+            false => ItemBackoff::None,
         };
     };
     let Some(later) = late.checked_sub(1) else {
-        return ItemRest::Pause {
+        return ItemBackoff::Delay {
             pause_ms: ITEM_FIRST_REST_MS,
         };
     };
     match ITEM_REST_PARTS.get(later) {
-        None => ItemRest::UntilGivenUp,
-        Some(part) => ItemRest::Pause {
+        None => ItemBackoff::NoMoreAttempts,
+        Some(part) => ItemBackoff::Delay {
             pause_ms: left_ms / part,
         },
     }
--- a/crates/foxtailhold/src/leaving.rs
+++ b/crates/foxtailhold/src/leaving.rs
@@ -26,7 +26,7 @@
 
 /// What one instance tells of one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeavingMark {
+pub struct LeavingNotice {
     /// The backend server.
     pub backend: BackendId,
     /// Number of the mark: the wall clock of the instance that set it, or one more than the last.
@@ -47,13 +47,13 @@
 
 /// The marks that one instance knows.
 #[derive(Debug, Clone, Default)]
-pub struct LeavingMarks {
+pub struct LeavingBackends {
     known: BTreeMap<BackendId, Known>,
 }
 
-impl LeavingMarks {
+impl LeavingBackends {
     /// Notes that this instance sees it first-hand. Returns whether it was not marked before.
-    pub fn witness(&mut self, backend: &BackendId, wall: WallMs, now: MonoMs) -> bool {
+    pub fn observe(&mut self, backend: &BackendId, wall: WallMs, now: MonoMs) -> bool {
         let known = self.known.get(backend);
         if known.is_some_and(|known| now.since_ms(known.heard_at) < RENEW_MS) {
             return false;
@@ -63,7 +63,7 @@
     }
 
     /// Takes a peer's marks in. Returns whether any was news.
-    pub fn hear(&mut self, marks: &[LeavingMark], now: MonoMs) -> bool {
+    pub fn merge(&mut self, marks: &[LeavingNotice], now: MonoMs) -> bool {
         let mut news = false;
         for mark in marks {
             news |= self.take(&mark.backend, mark.number, now);
@@ -72,21 +72,21 @@
     }
 
     /// Whether a backend server is marked.
-    pub fn is_marked(&self, backend: &BackendId, now: MonoMs) -> bool {
+    pub fn is_leaving(&self, backend: &BackendId, now: MonoMs) -> bool {
         self.known
             .get(backend)
             .is_some_and(|known| known.is_valid(now))
     }
 
     /// What peers are told.
-    pub fn told(&self, now: MonoMs) -> Vec<LeavingMark> {
+    pub fn outgoing(&self, now: MonoMs) -> Vec<LeavingNotice> {
         let valid = self.known.iter().filter(|(_, known)| known.is_valid(now));
         let mut marks: Vec<(&BackendId, &Known)> = valid.collect();
         marks.sort_by_key(|(_, known)| Reverse(known.heard_at));
         marks.truncate(MARKS_PER_MESSAGE);
         let mut told = Vec::with_capacity(marks.len());
         for (backend, known) in marks {
-            told.push(LeavingMark {
+            told.push(LeavingNotice {
                 backend: backend.clone(),
                 number: known.number,
             });
@@ -109,7 +109,7 @@
         if known.is_none() && self.known.len() >= MARKS_KEPT {
             return false;
         }
-        let news = !self.is_marked(backend, now);
+        let news = !self.is_leaving(backend, now);
         let heard = Known {
             number,
             heard_at: now,
--- a/crates/foxtailhold/src/limits/coordinator.rs
+++ b/crates/foxtailhold/src/limits/coordinator.rs
@@ -4,8 +4,8 @@
 
 use crate::ids::{CustomerId, InstanceId};
 use crate::limits::{
-    Ask, Claim, Credit, Demand, Grant, HURRY_MS, LEASE_MS, Share, Terms, TokenBucket, Views,
-    WHOLE_PPM, max_min,
+    Credit, CustomerLimits, Demand, FAST_RENEWAL_MS, FULL_SHARE_PPM, LEASE_MS, MembershipViews,
+    Share, ShareClaim, ShareGrant, ShareRequest, TokenBucket, max_min,
 };
 use crate::time::MonoMs;
 
@@ -14,7 +14,7 @@
 /// A holder is granted this much more than it used, in percent.
 const HEADROOM_PERCENT: f64 = 125.0;
 /// A share that misses its target by less than this is not worth another exchange.
-const HURRY_PPM: u32 = WHOLE_PPM / 20;
+const HURRY_PPM: u32 = FULL_SHARE_PPM / 20;
 
 /// What one instance may be holding. Until it asks again it may not have had the last answer, so
 /// the larger of old and new counts.
@@ -40,7 +40,7 @@
 /// One customer's limits at its home. The buckets hold what is not granted.
 #[derive(Debug, Clone)]
 struct Division {
-    terms: Terms,
+    terms: CustomerLimits,
     budget: Share,
     holders: BTreeMap<InstanceId, Held>,
     requests: TokenBucket,
@@ -69,7 +69,7 @@
 
     /// How many instances there are as far as this one knows; whoever asks is one, also before the
     /// list and gossip show it.
-    fn instances(&self, views: &Views) -> u32 {
+    fn instances(&self, views: &MembershipViews) -> u32 {
         let others = self.holders.keys().filter(|id| !views.is_me(id)).count();
         views.listed().max(others as u32 + 1)
     }
@@ -116,10 +116,10 @@
 
     fn target(&self, from: &InstanceId) -> Share {
         let (terms, budget) = (&self.terms, self.budget);
-        let of = |whole: u32, wanted: fn(&Demand, &Terms) -> u32| {
-            let mut claims: Vec<Claim> = Vec::with_capacity(self.holders.len());
+        let of = |whole: u32, wanted: fn(&Demand, &CustomerLimits) -> u32| {
+            let mut claims: Vec<ShareClaim> = Vec::with_capacity(self.holders.len());
             for (id, held) in &self.holders {
-                claims.push(Claim {
+                claims.push(ShareClaim {
                     wanted: wanted(&held.demand, terms).min(whole),
                     asker: id == from,
                 });
@@ -147,34 +147,34 @@
 }
 
 fn part(ppm: u32) -> f64 {
-    f64::from(ppm) / f64::from(WHOLE_PPM)
+    f64::from(ppm) / f64::from(FULL_SHARE_PPM)
 }
 
 fn wanted_ppm(per_s: f64, limit_per_s: f64) -> u32 {
     let wanted = per_s * HEADROOM_PERCENT / 100.0 / limit_per_s;
-    (wanted.clamp(0.0, 1.0) * f64::from(WHOLE_PPM)) as u32
+    (wanted.clamp(0.0, 1.0) * f64::from(FULL_SHARE_PPM)) as u32
 }
 
-fn wanted_requests_ppm(demand: &Demand, terms: &Terms) -> u32 {
+fn wanted_requests_ppm(demand: &Demand, terms: &CustomerLimits) -> u32 {
     wanted_ppm(demand.requests_per_s, terms.requests_per_s)
 }
 
-fn wanted_tokens_ppm(demand: &Demand, terms: &Terms) -> u32 {
+fn wanted_tokens_ppm(demand: &Demand, terms: &CustomerLimits) -> u32 {
     wanted_ppm(demand.tokens_per_s, terms.tokens_per_s)
 }
 
-fn wanted_slots(demand: &Demand, _: &Terms) -> u32 {
+fn wanted_slots(demand: &Demand, _: &CustomerLimits) -> u32 {
     let wanted = f64::from(demand.slots.max(1)) * HEADROOM_PERCENT / 100.0;
     wanted.ceil() as u32
 }
 
 /// The limits of all customers whose home is one instance. Customers at rest take no memory.
 #[derive(Debug, Clone, Default)]
-pub struct LimitHome {
+pub struct LimitCoordinator {
     divisions: HashMap<CustomerId, Division>,
 }
 
-impl LimitHome {
+impl LimitCoordinator {
     /// Answers an ask; `None` where this instance is not the home or the ask is outdated.
     ///
     /// A share is only raised out of what is free; one that is held shrinks to its target at most,
@@ -185,12 +185,12 @@
     pub fn ask(
         &mut self,
         from: &InstanceId,
-        ask: &Ask,
-        terms: &Terms,
-        views: &Views,
+        ask: &ShareRequest,
+        terms: &CustomerLimits,
+        views: &MembershipViews,
         now: MonoMs,
-    ) -> Option<Grant> {
-        if !views.is_home(&ask.customer) {
+    ) -> Option<ShareGrant> {
+        if !views.is_coordinator(&ask.customer) {
             return None;
         }
         let budget = Share::part(terms, views.live(), views.listed());
@@ -244,23 +244,23 @@
             (held.granted, held.short) = (share, rising);
         }
         division.keep_rest(now);
-        Some(Grant {
+        Some(ShareGrant {
             customer: ask.customer.clone(),
             number: ask.number,
             share,
             credit,
-            hurry: rising || far(ask.held, share),
+            renew_soon: rising || far(ask.held, share),
             rising,
         })
     }
 
     /// The holders that should ask at once, since they hold more than is due to them and another
-    /// one lacks room. They are named once in [`HURRY_MS`].
+    /// one lacks room. They are named once in [`FAST_RENEWAL_MS`].
     pub fn recall(&mut self, customer: &CustomerId, now: MonoMs) -> Vec<InstanceId> {
         let Some(division) = self.divisions.get_mut(customer) else {
             return Vec::new();
         };
-        let again = |at: MonoMs| now.since_ms(at) < HURRY_MS;
+        let again = |at: MonoMs| now.since_ms(at) < FAST_RENEWAL_MS;
         let short = division.holders.values().any(|held| held.short);
         if !short || division.recalled_at.is_some_and(again) {
             return Vec::new();
@@ -298,7 +298,7 @@
     fn division(
         &mut self,
         customer: &CustomerId,
-        terms: &Terms,
+        terms: &CustomerLimits,
         foreign: bool,
         now: MonoMs,
     ) -> &mut Division {
--- a/crates/foxtailhold/src/limits/divide.rs
+++ b/crates/foxtailhold/src/limits/divide.rs
@@ -5,7 +5,7 @@
 
 /// What one of those who share could use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Claim {
+pub struct ShareClaim {
     /// What it could use.
     pub wanted: u32,
     /// Whether it is the one whose part is asked for.
@@ -15,7 +15,7 @@
 /// The asker's part of `whole`, of which `spare` is kept for those who come next: what it wants
 /// where all can be served, otherwise an equal part of what those who want less leave. Of what
 /// nobody wants, most is spread evenly, so that a demand that grows finds room at once.
-pub fn max_min(whole: u32, spare: u32, claims: &mut [Claim]) -> u32 {
+pub fn max_min(whole: u32, spare: u32, claims: &mut [ShareClaim]) -> u32 {
     claims.sort_by_key(|claim| claim.wanted);
     let mut left = whole.saturating_sub(spare);
     let mut part = 0;
--- a/crates/foxtailhold/src/limits/holder.rs
+++ b/crates/foxtailhold/src/limits/holder.rs
@@ -2,7 +2,8 @@
 
 use crate::ids::CustomerId;
 use crate::limits::{
-    Ask, Credit, Demand, EXCHANGE_MS, Grant, HURRY_MS, IDLE_MS, LEASE_MS, Share, Terms, TokenBucket,
+    Credit, CustomerLimits, Demand, EXCHANGE_MS, FAST_RENEWAL_MS, IDLE_MS, LEASE_MS, Share,
+    ShareGrant, ShareRequest, TokenBucket,
 };
 use crate::time::MonoMs;
 
@@ -11,15 +12,15 @@
 /// Demand is counted over at least this time.
 const LEAST_PERIOD_MS: u64 = 200;
 /// Requests wait at most this long for other holders to give room, which they do when they ask.
-const NO_ROOM_WAIT_MS: u64 = EXCHANGE_MS + 2 * HURRY_MS;
+const NO_ROOM_WAIT_MS: u64 = EXCHANGE_MS + 2 * FAST_RENEWAL_MS;
 /// While requests wait for room the home is asked this often; it has told the others to give.
 const NO_ROOM_ASK_MS: u64 = 50;
 /// An ask that was not answered for this time is given up.
-pub const ANSWER_MS: u64 = 600;
+pub const RESPONSE_TIMEOUT_MS: u64 = 600;
 
 /// One of a contract's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Limit {
+pub enum LimitKind {
     /// Requests a second.
     Requests,
     /// Tokens a second.
@@ -30,17 +31,17 @@
 
 /// What becomes of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LimitDecision {
     /// It is within the limits.
     Admitted,
     /// The home has not answered for this customer yet, or raises its share: decide again with
-    /// [`Holder::admit_again`] when it has answered, or after a short wait call
-    /// [`Holder::fall_back`].
+    /// [`ShareHolder::admit_again`] when it has answered, or after a short wait call
+    /// [`ShareHolder::fall_back`].
     Wait,
     /// It is over a limit.
     Over {
         /// Which.
-        limit: Limit,
+        limit: LimitKind,
         /// When there should be room.
         after_ms: u64,
     },
@@ -69,7 +70,7 @@
 
 /// One customer's limits on one instance.
 #[derive(Debug, Clone)]
-pub struct Holder {
+pub struct ShareHolder {
     standing: Standing,
     share: Share,
     requests: TokenBucket,
@@ -87,10 +88,10 @@
     no_room_until: Option<MonoMs>,
 }
 
-impl Holder {
+impl ShareHolder {
     /// A customer without requests here so far.
     pub fn new(now: MonoMs) -> Self {
-        Holder {
+        ShareHolder {
             standing: Standing::Released,
             share: Share::default(),
             requests: TokenBucket::new(0.0, 0.0, 0.0, now),
@@ -108,7 +109,13 @@
     }
 
     /// Decides on a request that is charged `tokens`; `listed` is the number of all instances.
-    pub fn admit(&mut self, terms: &Terms, listed: u32, tokens: f64, now: MonoMs) -> Verdict {
+    pub fn admit(
+        &mut self,
+        terms: &CustomerLimits,
+        listed: u32,
+        tokens: f64,
+        now: MonoMs,
+    ) -> LimitDecision {
         self.seen.requests += 1.0;
         self.seen.tokens += tokens;
         self.seen.slots = self.seen.slots.max(self.in_flight + 1);
@@ -116,31 +123,37 @@
     }
 
     /// Decides on a request that was told to wait: its demand is counted already.
-    pub fn admit_again(&mut self, terms: &Terms, listed: u32, tokens: f64, now: MonoMs) -> Verdict {
+    pub fn admit_again(
+        &mut self,
+        terms: &CustomerLimits,
+        listed: u32,
+        tokens: f64,
+        now: MonoMs,
+    ) -> LimitDecision {
         self.used_at = now;
         self.lapse(terms, listed, now);
         let waits = self.no_room_until.map(|until| until > now);
         if matches!(self.standing, Standing::Fresh | Standing::Released) {
             self.standing = Standing::Fresh;
-            let (limit, after_ms) = (Limit::Requests, EXCHANGE_MS);
+            let (limit, after_ms) = (LimitKind::Requests, EXCHANGE_MS);
             return match waits {
-                Some(false) => Verdict::Over { limit, after_ms },
-                _ => Verdict::Wait,
+                Some(false) => LimitDecision::Over { limit, after_ms },
+                _ => LimitDecision::Wait,
             };
         }
         if let Some((limit, after_ms)) = self.over(now) {
             if waits == Some(true) {
-                return Verdict::Wait;
+                return LimitDecision::Wait;
             }
             if self.demand_grew() {
-                self.ask_at = self.ask_at.min(self.asked_at + HURRY_MS);
+                self.ask_at = self.ask_at.min(self.asked_at + FAST_RENEWAL_MS);
             }
-            return Verdict::Over { limit, after_ms };
+            return LimitDecision::Over { limit, after_ms };
         }
         self.requests.take(1.0);
         self.tokens.take(tokens);
         self.in_flight += 1;
-        Verdict::Admitted
+        LimitDecision::Admitted
     }
 
     /// Ends an admitted request: `unused` is what was charged and not generated, negative where
@@ -151,7 +164,7 @@
     }
 
     /// Goes on without a home's answer, where there has been none.
-    pub fn fall_back(&mut self, terms: &Terms, listed: u32, now: MonoMs) {
+    pub fn fall_back(&mut self, terms: &CustomerLimits, listed: u32, now: MonoMs) {
         if self.standing != Standing::Fresh || self.no_room_until.is_some() {
             return;
         }
@@ -165,11 +178,15 @@
     pub fn ask(
         &mut self,
         customer: &CustomerId,
-        terms: &Terms,
+        terms: &CustomerLimits,
         number: u64,
         now: MonoMs,
-    ) -> Option<Ask> {
-        if self.asked.is_some_and(|a| now.since_ms(a.at) < ANSWER_MS) || now < self.ask_at {
+    ) -> Option<ShareRequest> {
+        if self
+            .asked
+            .is_some_and(|a| now.since_ms(a.at) < RESPONSE_TIMEOUT_MS)
+            || now < self.ask_at
+        {
             return None;
         }
         if self.standing == Standing::Released {
@@ -182,7 +199,7 @@
         self.asked = Some(Asked { number, at: now });
         self.asked_at = now;
         self.ask_at = now + EXCHANGE_MS;
-        Some(Ask {
+        Some(ShareRequest {
             customer: customer.clone(),
             number,
             held,
@@ -192,7 +209,7 @@
     }
 
     /// Takes the home's answer in. Only the answer to the last ask counts.
-    pub fn granted(&mut self, terms: &Terms, grant: &Grant, now: MonoMs) {
+    pub fn granted(&mut self, terms: &CustomerLimits, grant: &ShareGrant, now: MonoMs) {
         let Some(asked) = self.asked.filter(|asked| asked.number == grant.number) else {
             return;
         };
@@ -222,8 +239,8 @@
             self.ask_at = now;
         } else if grant.rising && waits_until > now {
             self.ask_at = now + NO_ROOM_ASK_MS;
-        } else if first || grant.hurry {
-            self.ask_at = asked.at + HURRY_MS;
+        } else if first || grant.renew_soon {
+            self.ask_at = asked.at + FAST_RENEWAL_MS;
         }
     }
 
@@ -236,7 +253,7 @@
     pub fn not_answered(&mut self, number: u64, now: MonoMs) {
         if self.asked.is_some_and(|asked| asked.number == number) {
             self.asked = None;
-            self.ask_at = now + HURRY_MS;
+            self.ask_at = now + FAST_RENEWAL_MS;
             if self.standing == Standing::Fresh {
                 self.no_room_until = None;
             }
@@ -278,17 +295,17 @@
         self.share
     }
 
-    fn over(&mut self, now: MonoMs) -> Option<(Limit, u64)> {
+    fn over(&mut self, now: MonoMs) -> Option<(LimitKind, u64)> {
         if self.in_flight >= self.share.slots {
-            return Some((Limit::Slots, SLOT_RETRY_AFTER_MS));
+            return Some((LimitKind::Slots, SLOT_RETRY_AFTER_MS));
         }
         let wait_ms = self.requests.wait_ms(0.0, now);
         if wait_ms > 0 {
-            return Some((Limit::Requests, wait_ms));
+            return Some((LimitKind::Requests, wait_ms));
         }
         match self.tokens.wait_ms(f64::EPSILON, now) {
             0 => None,
-            wait_ms => Some((Limit::Tokens, wait_ms)),
+            wait_ms => Some((LimitKind::Tokens, wait_ms)),
         }
     }
 
@@ -312,7 +329,7 @@
         self.in_flight == 0 && now.since_ms(self.used_at) >= IDLE_MS
     }
 
-    fn lapse(&mut self, terms: &Terms, listed: u32, now: MonoMs) {
+    fn lapse(&mut self, terms: &CustomerLimits, listed: u32, now: MonoMs) {
         if let Standing::Granted { until } = self.standing
             && until <= now
         {
@@ -321,7 +338,7 @@
         }
     }
 
-    fn set_share(&mut self, share: Share, terms: &Terms, now: MonoMs) {
+    fn set_share(&mut self, share: Share, terms: &CustomerLimits, now: MonoMs) {
         self.share = share;
         share.fill(terms, &mut self.requests, &mut self.tokens, now);
     }
@@ -331,7 +348,7 @@
         self.tokens.drain(now);
     }
 
-    fn release(&mut self, customer: &CustomerId, number: u64, now: MonoMs) -> Option<Ask> {
+    fn release(&mut self, customer: &CustomerId, number: u64, now: MonoMs) -> Option<ShareRequest> {
         let Standing::Granted { until } = self.standing else {
             return None;
         };
@@ -346,7 +363,7 @@
         self.asked = None;
         self.requests = TokenBucket::new(0.0, 0.0, 0.0, now);
         self.tokens = TokenBucket::new(0.0, 0.0, 0.0, now);
-        Some(Ask {
+        Some(ShareRequest {
             customer: customer.clone(),
             number,
             held: Share::default(),
@@ -357,7 +374,7 @@
 
     /// Demand since it was last counted, falling by half at most, so that one quiet period does
     /// not cost the share. Within a short period it can only rise.
-    fn demand(&mut self, terms: &Terms, now: MonoMs) -> Demand {
+    fn demand(&mut self, terms: &CustomerLimits, now: MonoMs) -> Demand {
         let period_ms = now.since_ms(self.seen_since);
         let counts = period_ms >= LEAST_PERIOD_MS;
         let period_s = period_ms.max(LEAST_PERIOD_MS) as f64 / 1_000.0;
--- a/crates/foxtailhold/src/limits/message.rs
+++ b/crates/foxtailhold/src/limits/message.rs
@@ -8,13 +8,13 @@
 use crate::time::MonoMs;
 
 /// The whole of a limit, in millionths.
-pub const WHOLE_PPM: u32 = 1_000_000;
+pub const FULL_SHARE_PPM: u32 = 1_000_000;
 /// Seconds of the token rate that may be used at once.
 pub const TOKEN_BURST_S: f64 = 2.0;
 
 /// A contract's limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct CustomerLimits {
     /// Requests a second.
     pub requests_per_s: f64,
     /// Requests at once.
@@ -27,9 +27,9 @@
     pub slots: u32,
 }
 
-impl From<&Contract> for Terms {
+impl From<&Contract> for CustomerLimits {
     fn from(contract: &Contract) -> Self {
-        Terms {
+        CustomerLimits {
             requests_per_s: contract.requests_per_s,
             burst_requests: f64::from(contract.burst_requests),
             tokens_per_s: contract.tokens_per_s,
@@ -54,15 +54,15 @@
     /// Sets a customer's two buckets to this part of its rates and bursts.
     pub fn fill(
         &self,
-        terms: &Terms,
+        terms: &CustomerLimits,
         requests: &mut TokenBucket,
         tokens: &mut TokenBucket,
         now: MonoMs,
     ) {
-        let part = f64::from(self.requests_ppm) / f64::from(WHOLE_PPM);
+        let part = f64::from(self.requests_ppm) / f64::from(FULL_SHARE_PPM);
         let (rate_per_s, burst) = (terms.requests_per_s, terms.burst_requests);
         requests.set_rate(rate_per_s * part, burst * part, now);
-        let part = f64::from(self.tokens_ppm) / f64::from(WHOLE_PPM);
+        let part = f64::from(self.tokens_ppm) / f64::from(FULL_SHARE_PPM);
         let (rate_per_s, burst) = (terms.tokens_per_s, terms.burst_tokens);
         tokens.set_rate(rate_per_s * part, burst * part, now);
     }
@@ -109,13 +109,13 @@
     }
 
     /// `numerator` parts of `denominator` of the whole; a part of the slots is rounded up.
-    pub fn part(terms: &Terms, numerator: u32, denominator: u32) -> Share {
+    pub fn part(terms: &CustomerLimits, numerator: u32, denominator: u32) -> Share {
         let denominator = u64::from(denominator.max(1));
         let slots = u64::from(terms.slots) * u64::from(numerator);
         let of = |whole: u32| (u64::from(whole) * u64::from(numerator) / denominator) as u32;
         Share {
-            requests_ppm: of(WHOLE_PPM),
-            tokens_ppm: of(WHOLE_PPM),
+            requests_ppm: of(FULL_SHARE_PPM),
+            tokens_ppm: of(FULL_SHARE_PPM),
             slots: slots.div_ceil(denominator) as u32,
         }
     }
@@ -145,7 +145,7 @@
 
 /// Asks for a share.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ShareRequest {
     /// Whose limit.
     pub customer: CustomerId,
     /// Rises with each ask of an instance, over its restarts too.
@@ -160,16 +160,16 @@
 
 /// The asks of one instance to one home.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ShareAsks {
+pub struct ShareRequests {
     /// The instance.
     pub from: InstanceId,
     /// One for each customer.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<ShareRequest>,
 }
 
 /// A share granted for [`crate::limits::LEASE_MS`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct ShareGrant {
     /// Whose limit.
     pub customer: CustomerId,
     /// The ask answered.
@@ -178,8 +178,8 @@
     pub share: Share,
     /// Added to the holder's buckets.
     pub credit: Credit,
-    /// Whether the holder should ask again after [`crate::limits::HURRY_MS`].
-    pub hurry: bool,
+    /// Whether the holder should ask again after [`crate::limits::FAST_RENEWAL_MS`].
+    pub renew_soon: bool,
     /// Whether more is due to the holder as soon as others have given room.
     pub rising: bool,
 }
--- a/crates/foxtailhold/src/limits/mod.rs
+++ b/crates/foxtailhold/src/limits/mod.rs
@@ -18,18 +18,20 @@
 mod views;
 
 pub use bucket::TokenBucket;
-pub use coordinator::LimitHome;
-pub use divide::{Claim, max_min};
-pub use holder::{Holder, Limit, Verdict};
-pub use message::{Ask, Credit, Demand, Grant, Share, ShareAsks, Terms, WHOLE_PPM};
-pub use views::Views;
+pub use coordinator::LimitCoordinator;
+pub use divide::{ShareClaim, max_min};
+pub use holder::{LimitDecision, LimitKind, ShareHolder};
+pub use message::{
+    Credit, CustomerLimits, Demand, FULL_SHARE_PPM, Share, ShareGrant, ShareRequest, ShareRequests,
+};
+pub use views::MembershipViews;
 
 /// A share is valid for this time after it was asked for.
 pub const LEASE_MS: u64 = 3_000;
 /// A holder with requests asks this often.
 pub const EXCHANGE_MS: u64 = 1_000;
 /// A holder asks again this soon where its share is being changed.
-pub const HURRY_MS: u64 = 200;
+pub const FAST_RENEWAL_MS: u64 = 200;
 /// A holder without requests for this time gives its share back.
 pub const IDLE_MS: u64 = 1_000;
 /// Longest time to come back that a limit gives, in milliseconds.
--- a/crates/foxtailhold/src/limits/views.rs
+++ b/crates/foxtailhold/src/limits/views.rs
@@ -13,7 +13,7 @@
 
 /// The live instances as one instance sees them, with the views of the last lease.
 #[derive(Debug, Clone)]
-pub struct Views {
+pub struct MembershipViews {
     me: InstanceId,
     started_at: MonoMs,
     members: Vec<InstanceId>,
@@ -21,10 +21,10 @@
     past: Vec<PastView>,
 }
 
-impl Views {
+impl MembershipViews {
     /// The view of an instance that has just started and knows only itself.
     pub fn new(me: InstanceId, now: MonoMs) -> Self {
-        Views {
+        MembershipViews {
             members: vec![me.clone()],
             me,
             started_at: now,
@@ -58,7 +58,7 @@
     }
 
     /// The home of a customer's limits.
-    pub fn home(&self, customer: &CustomerId) -> Option<&InstanceId> {
+    pub fn coordinator(&self, customer: &CustomerId) -> Option<&InstanceId> {
         rendezvous::home(&self.members, customer.as_str().as_bytes())
     }
 
@@ -68,8 +68,8 @@
     }
 
     /// Whether this instance is the home of a customer's limits.
-    pub fn is_home(&self, customer: &CustomerId) -> bool {
-        self.home(customer) == Some(&self.me)
+    pub fn is_coordinator(&self, customer: &CustomerId) -> bool {
+        self.coordinator(customer) == Some(&self.me)
     }
 
     /// Until when another instance's grants for a customer may be valid.
--- a/crates/foxtailhold/src/membership.rs
+++ b/crates/foxtailhold/src/membership.rs
@@ -12,7 +12,7 @@
 
 use crate::contract_sync::{Advert, Listing};
 use crate::ids::{AvailabilityZone, InstanceId};
-use crate::leaving::LeavingMark;
+use crate::leaving::LeavingNotice;
 use crate::time::MonoMs;
 
 /// One probe is sent in each period.
@@ -91,18 +91,18 @@
     /// What the sender has of the contracts.
     pub contracts: Advert,
     /// Backend servers that are leaving.
-    pub leaving: Vec<LeavingMark>,
+    pub leaving: Vec<LeavingNotice>,
     /// Members that the sender knows.
     pub members: u32,
 }
 
 /// What a message carries besides membership.
 #[derive(Debug, Clone, Default)]
-pub struct Carried {
+pub struct GossipPayload {
     /// What the sender has of the contracts.
     pub contracts: Advert,
     /// Backend servers that are leaving.
-    pub leaving: Vec<LeavingMark>,
+    pub leaving: Vec<LeavingNotice>,
 }
 
 #[derive(Debug, Clone)]
@@ -167,7 +167,7 @@
     }
 
     /// Whether most of the last probes got no answer, directly or through others.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let answered = self.outcomes.iter().filter(|answered| **answered).count();
         self.outcomes.len() >= OUTCOMES_NEEDED && answered * 2 < self.outcomes.len()
     }
@@ -190,7 +190,7 @@
     }
 
     /// Now and then a dead member, which answers if it was only cut off.
-    pub fn dead_target(&mut self) -> Option<Member> {
+    pub fn dead_probe_target(&mut self) -> Option<Member> {
         self.probes = self.probes.wrapping_add(1);
         if !self.probes.is_multiple_of(DEAD_PROBE_EVERY) {
             return None;
@@ -201,7 +201,7 @@
     }
 
     /// Members to ask to probe `target`, which did not answer.
-    pub fn indirect(&mut self, target: &InstanceId) -> Vec<Member> {
+    pub fn indirect_probers(&mut self, target: &InstanceId) -> Vec<Member> {
         let mut helpers = Vec::new();
         for known in self.known.values() {
             if known.member.state == MemberState::Alive && known.member.id != *target {
@@ -214,7 +214,7 @@
     }
 
     /// The message of a probe. A member thought to be suspect or dead is told so, to refute it.
-    pub fn probe(&mut self, to: Option<&InstanceId>, carried: Carried) -> Gossip {
+    pub fn probe(&mut self, to: Option<&InstanceId>, carried: GossipPayload) -> Gossip {
         let want_all = self.synced_at.is_none();
         let known = to.and_then(|to| self.known.get(to));
         let known = known.map(|known| known.member.clone());
@@ -223,7 +223,7 @@
     }
 
     /// Takes a message in and returns the answer.
-    pub fn on_message(&mut self, gossip: &Gossip, carried: Carried, now: MonoMs) -> Gossip {
+    pub fn on_message(&mut self, gossip: &Gossip, carried: GossipPayload, now: MonoMs) -> Gossip {
         self.merge(&gossip.updates, now);
         if !gossip.want_all {
             let sender = self.outdated_sender(gossip);
@@ -240,7 +240,7 @@
     }
 
     /// Takes the answer to a probe in.
-    pub fn on_answer(&mut self, gossip: &Gossip, asked_all: bool, now: MonoMs) {
+    pub fn on_probe_response(&mut self, gossip: &Gossip, asked_all: bool, now: MonoMs) {
         if asked_all {
             self.synced_at = Some(now);
         }
@@ -257,12 +257,12 @@
     }
 
     /// Notes that a member answered others, not this instance.
-    pub fn on_indirect_answer(&mut self) {
+    pub fn on_indirect_response(&mut self) {
         self.note_outcome(true);
     }
 
     /// Notes that a probe of `id` got no answer, directly or through others.
-    pub fn on_no_answer(&mut self, id: &InstanceId, now: MonoMs) {
+    pub fn on_probe_failure(&mut self, id: &InstanceId, now: MonoMs) {
         self.note_outcome(false);
         let Some(known) = self.known.get(id) else {
             return;
@@ -386,7 +386,12 @@
         3 * (usize::BITS - (self.known.len() + 1).leading_zeros())
     }
 
-    fn message(&mut self, want_all: bool, sender: Option<Member>, carried: Carried) -> Gossip {
+    fn message(
+        &mut self,
+        want_all: bool,
+        sender: Option<Member>,
+        carried: GossipPayload,
+    ) -> Gossip {
         let mut updates = vec![self.me.clone()];
         updates.extend(sender);
         let mut waiting = Vec::new();
--- a/crates/foxtailhold/src/quarantine.rs
+++ b/crates/foxtailhold/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! there during the trial may be the cause; a doubt counts once. A suspect that survives its trial is cleared.
 //!
 //! Every instance keeps the same table from the notices that all of them send to each other. Trials
-//! are granted by one instance, the home of [`TRIALS_KEY`] by rendezvous hashing. Two homes for a
+//! are granted by one instance, the home of [`PROBES_KEY`] by rendezvous hashing. Two homes for a
 //! moment, or a lost notice, cost further trials.
 
 use std::collections::HashMap;
@@ -21,9 +21,9 @@
 use crate::time::MonoMs;
 
 /// Key whose home grants trials.
-pub const TRIALS_KEY: &[u8] = b"crash-trials";
+pub const PROBES_KEY: &[u8] = b"crash-trials";
 /// A suspect nobody asks for is forgotten after this time.
-pub const SUSPECT_MS: u64 = 120_000;
+pub const SUSPECT_TTL_MS: u64 = 120_000;
 /// How long a conviction lasts.
 pub const CONVICTED_MS: u64 = 600_000;
 /// After its conviction a request stays suspect for this time.
@@ -34,11 +34,11 @@
 pub const TRIAL_MS: u64 = 30_000;
 /// Time between the grant of a trial and its request. All instances hear of the grant meanwhile and
 /// send nothing more there, and what is there already has shown that it does not crash the engine.
-pub const QUIET_MS: u64 = 200;
+pub const PROBE_DELAY_MS: u64 = 200;
 /// When to ask again for a trial.
 pub const WAIT_MS: u64 = 40;
 /// Suspects and convictions kept.
-pub const MOST_KEPT: usize = 8_192;
+pub const MAX_ENTRIES: usize = 8_192;
 
 /// What tells a request from others: its customer and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -82,7 +82,7 @@
 
 /// A request in flight at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Flight {
+pub struct InFlightRequest {
     /// The request.
     pub fingerprint: Fingerprint,
     /// How long ago it was sent.
@@ -101,16 +101,16 @@
 
 /// What instances tell each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Notice {
+pub enum QuarantineNotice {
     /// A backend server crashed with these requests of one instance in flight.
     Crashed {
         /// Which crash.
         crash: CrashId,
         /// The requests.
-        flights: Vec<Flight>,
+        flights: Vec<InFlightRequest>,
     },
     /// A suspect is tried.
-    Trial {
+    ProbeStarted {
         /// The suspect.
         fingerprint: Fingerprint,
         /// Where.
@@ -137,7 +137,7 @@
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing is held against it.
     Clear,
     /// It is sent only in a trial.
@@ -151,7 +151,7 @@
 
 /// Answer to an instance that asks to send a suspect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TrialAnswer {
+pub enum ProbeResponse {
     /// Send it there, alone of its kind.
     Granted {
         /// Where.
@@ -177,7 +177,7 @@
 
 /// How a trial ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TrialEnd {
+pub enum ProbeOutcome {
     /// The backend server lived on.
     Survived,
     /// The backend server crashed.
@@ -220,7 +220,7 @@
 }
 
 fn drop_oldest<T>(map: &mut HashMap<Fingerprint, T>, expires: impl Fn(&T) -> MonoMs) {
-    if map.len() <= MOST_KEPT {
+    if map.len() <= MAX_ENTRIES {
         return;
     }
     let oldest = map.iter().min_by_key(|(_, value)| expires(value));
@@ -231,37 +231,37 @@
 
 impl Quarantine {
     /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint, now: MonoMs) -> Standing {
+    pub fn status(&self, fingerprint: Fingerprint, now: MonoMs) -> QuarantineStatus {
         if let Some(until) = self.convicted.get(&fingerprint)
             && *until > now
         {
             let left_ms = until.since_ms(now);
-            return Standing::Convicted { left_ms };
+            return QuarantineStatus::Convicted { left_ms };
         }
         match self.suspects.contains_key(&fingerprint) {
-            true => Standing::Suspect,
-            false => Standing::Clear,
+            true => QuarantineStatus::Suspect,
+            false => QuarantineStatus::Clear,
         }
     }
 
     /// All requests that do not stand clear.
-    pub fn standings(&self, now: MonoMs) -> HashMap<Fingerprint, Standing> {
+    pub fn standings(&self, now: MonoMs) -> HashMap<Fingerprint, QuarantineStatus> {
         let known = self.suspects.keys().chain(self.convicted.keys());
         known
-            .map(|fingerprint| (*fingerprint, self.standing(*fingerprint, now)))
+            .map(|fingerprint| (*fingerprint, self.status(*fingerprint, now)))
             .collect()
     }
 
     /// Backend servers where a trial runs.
-    pub fn trial_backends(&self) -> impl Iterator<Item = &BackendId> {
+    pub fn probed_backends(&self) -> impl Iterator<Item = &BackendId> {
         self.trials.values().map(|trial| &trial.backend)
     }
 
     /// What an instance that has just started needs to know.
-    pub fn snapshot(&self, now: MonoMs) -> Vec<Notice> {
+    pub fn snapshot(&self, now: MonoMs) -> Vec<QuarantineNotice> {
         let mut notices = Vec::new();
         for (fingerprint, until) in &self.convicted {
-            notices.push(Notice::Convicted {
+            notices.push(QuarantineNotice::Convicted {
                 fingerprint: *fingerprint,
                 left_ms: until.since_ms(now),
             });
@@ -270,17 +270,17 @@
             let Some(crash) = suspect.last_crash.clone() else {
                 continue;
             };
-            let flight = Flight {
+            let flight = InFlightRequest {
                 fingerprint: *fingerprint,
-                age_ms: SUSPECT_MS,
+                age_ms: SUSPECT_TTL_MS,
             };
-            notices.push(Notice::Crashed {
+            notices.push(QuarantineNotice::Crashed {
                 crash,
                 flights: vec![flight],
             });
         }
         for (fingerprint, trial) in &self.trials {
-            notices.push(Notice::Trial {
+            notices.push(QuarantineNotice::ProbeStarted {
                 fingerprint: *fingerprint,
                 backend: trial.backend.clone(),
             });
@@ -289,23 +289,25 @@
     }
 
     /// Takes a notice in, an own one too. Returns whether anything changed.
-    pub fn on_notice(&mut self, notice: &Notice, now: MonoMs) -> bool {
+    pub fn on_notice(&mut self, notice: &QuarantineNotice, now: MonoMs) -> bool {
         match notice {
-            Notice::Crashed { crash, flights } => self.crashed(crash, flights, now),
-            Notice::Trial {
+            QuarantineNotice::Crashed { crash, flights } => self.crashed(crash, flights, now),
+            QuarantineNotice::ProbeStarted {
                 fingerprint,
                 backend,
             } => self.trial_begun(*fingerprint, backend, now),
-            Notice::Inconclusive { fingerprint } => self.trials.remove(fingerprint).is_some(),
-            Notice::Cleared { fingerprint } => self.clear(*fingerprint, now),
-            Notice::Convicted {
+            QuarantineNotice::Inconclusive { fingerprint } => {
+                self.trials.remove(fingerprint).is_some()
+            }
+            QuarantineNotice::Cleared { fingerprint } => self.clear(*fingerprint, now),
+            QuarantineNotice::Convicted {
                 fingerprint,
                 left_ms,
             } => self.convict(*fingerprint, *left_ms, now),
         }
     }
 
-    fn crashed(&mut self, crash: &CrashId, flights: &[Flight], now: MonoMs) -> bool {
+    fn crashed(&mut self, crash: &CrashId, flights: &[InFlightRequest], now: MonoMs) -> bool {
         let mut changed = false;
         for flight in flights {
             let fingerprint = flight.fingerprint;
@@ -325,7 +327,7 @@
             });
             changed |= suspect.last_crash.as_ref() != Some(crash);
             suspect.last_crash = Some(crash.clone());
-            suspect.expires = suspect.expires.max(now + SUSPECT_MS);
+            suspect.expires = suspect.expires.max(now + SUSPECT_TTL_MS);
         }
         drop_oldest(&mut self.suspects, |suspect| suspect.expires);
         changed
@@ -343,7 +345,7 @@
 
     fn clear(&mut self, fingerprint: Fingerprint, now: MonoMs) -> bool {
         self.trials.remove(&fingerprint);
-        self.cleared.insert(fingerprint, now + SUSPECT_MS);
+        self.cleared.insert(fingerprint, now + SUSPECT_TTL_MS);
         drop_oldest(&mut self.cleared, |until| *until);
         self.suspects.remove(&fingerprint).is_some()
     }
@@ -369,57 +371,57 @@
         fingerprint: Fingerprint,
         backends: &[BackendId],
         now: MonoMs,
-    ) -> TrialAnswer {
-        match self.standing(fingerprint, now) {
-            Standing::Clear => return TrialAnswer::Clear,
-            Standing::Convicted { left_ms } => return TrialAnswer::Convicted { left_ms },
-            Standing::Suspect => {}
+    ) -> ProbeResponse {
+        match self.status(fingerprint, now) {
+            QuarantineStatus::Clear => return ProbeResponse::Clear,
+            QuarantineStatus::Convicted { left_ms } => return ProbeResponse::Convicted { left_ms },
+            QuarantineStatus::Suspect => {}
         }
-        let wait = TrialAnswer::Wait { after_ms: WAIT_MS };
+        let wait = ProbeResponse::Wait { after_ms: WAIT_MS };
         if self.trials.contains_key(&fingerprint) {
             return wait;
         }
         for backend in backends {
-            if self.trial_backends().any(|taken| taken == backend) {
+            if self.probed_backends().any(|taken| taken == backend) {
                 continue;
             }
             self.trial_begun(fingerprint, backend, now);
             let suspect = self.suspects.get(&fingerprint);
-            return TrialAnswer::Granted {
+            return ProbeResponse::Granted {
                 backend: backend.clone(),
                 strict: suspect.is_some_and(|suspect| suspect.strict),
-                quiet_ms: QUIET_MS,
+                quiet_ms: PROBE_DELAY_MS,
             };
         }
         wait
     }
 
     /// At the home: a trial ended. Returns the notice to send, where there is one at once.
-    pub fn trial_ended(
+    pub fn probe_ended(
         &mut self,
         fingerprint: Fingerprint,
         backend: &BackendId,
-        end: TrialEnd,
+        end: ProbeOutcome,
         now: MonoMs,
-    ) -> Option<Notice> {
+    ) -> Option<QuarantineNotice> {
         let trial = self.trials.get_mut(&fingerprint)?;
         if trial.backend != *backend {
             return None;
         }
         let notice = match end {
-            TrialEnd::Crashed => {
+            ProbeOutcome::Crashed => {
                 trial.crashed_at.get_or_insert(now);
                 return None;
             }
-            TrialEnd::Survived => Notice::Cleared { fingerprint },
-            TrialEnd::Unknown => Notice::Inconclusive { fingerprint },
+            ProbeOutcome::Survived => QuarantineNotice::Cleared { fingerprint },
+            ProbeOutcome::Unknown => QuarantineNotice::Inconclusive { fingerprint },
         };
         self.on_notice(&notice, now);
         Some(notice)
     }
 
     /// Forgets what has expired and gives the verdicts that are due.
-    pub fn tick(&mut self, now: MonoMs) -> Vec<Notice> {
+    pub fn tick(&mut self, now: MonoMs) -> Vec<QuarantineNotice> {
         self.suspects.retain(|_, suspect| suspect.expires > now);
         self.convicted.retain(|_, until| *until > now);
         self.cleared.retain(|_, until| *until > now);
@@ -447,7 +449,7 @@
     fn is_doubtful(&self, fingerprint: Fingerprint, trial: &Trial) -> bool {
         for seen in &self.seen {
             let other = seen.fingerprint != fingerprint && seen.backend == trial.backend;
-            if other && seen.at >= trial.since && seen.sent_at >= trial.since + QUIET_MS / 2 {
+            if other && seen.at >= trial.since && seen.sent_at >= trial.since + PROBE_DELAY_MS / 2 {
                 return true;
             }
         }
@@ -455,11 +457,11 @@
     }
 }
 
-fn verdict(fingerprint: Fingerprint, is_open: bool) -> Notice {
+fn verdict(fingerprint: Fingerprint, is_open: bool) -> QuarantineNotice {
     if is_open {
-        return Notice::Inconclusive { fingerprint };
+        return QuarantineNotice::Inconclusive { fingerprint };
     }
-    Notice::Convicted {
+    QuarantineNotice::Convicted {
         fingerprint,
         left_ms: CONVICTED_MS,
     }
--- a/crates/foxtailhold/src/routes.rs
+++ b/crates/foxtailhold/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes of a contract: which requests go to which service, and under which limits.
 //!
 //! A route is found by host and longest path prefix. What may be repeated follows from its
-//! [`Repeat`] alone, never from the method or the name of a request.
+//! [`RouteKind`] alone, never from the method or the name of a request.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -33,7 +33,7 @@
 
 /// What may be repeated, and how a request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RouteKind {
     /// Whole answers; may run more than once.
     Idempotent,
     /// Whole answers; may run at most once.
@@ -46,24 +46,24 @@
     Batch,
 }
 
-impl Repeat {
+impl RouteKind {
     /// Whether a request may be sent again after it may have run.
     pub fn is_idempotent(self) -> bool {
         matches!(
             self,
-            Repeat::Idempotent | Repeat::ResumableStream | Repeat::Batch
+            RouteKind::Idempotent | RouteKind::ResumableStream | RouteKind::Batch
         )
     }
 
     /// Whether answers are streams of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Repeat::Stream | Repeat::ResumableStream)
+        matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
 /// Bounds of a batch route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BatchBounds {
+pub struct BatchLimits {
     /// All results are due this long after the job was first sent.
     pub due_ms: u64,
     /// An item may be given up this long after the job was first sent.
@@ -82,7 +82,7 @@
     /// Path prefix, with a slash at both ends.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub kind: RouteKind,
     /// Services with their weights.
     pub services: Vec<(TargetName, u32)>,
     /// Longest time that a caller is kept waiting; 0: no limit.
@@ -96,7 +96,7 @@
     /// Most backend servers that one request may be sent to.
     pub attempts: u32,
     /// Bounds of a batch route.
-    pub batch: Option<BatchBounds>,
+    pub batch: Option<BatchLimits>,
 }
 
 impl Route {
@@ -133,7 +133,7 @@
 
 /// A service that routes name.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceBounds {
+pub struct ServiceLimits {
     /// Connections that one of its backend servers takes, from all callers together.
     pub connections: u32,
     /// Whether it generates tokens, with places for a fixed number of requests.
@@ -145,7 +145,7 @@
 pub struct RouteTable {
     version: u64,
     hosts: HashMap<String, Vec<Route>>,
-    services: BTreeMap<TargetName, ServiceBounds>,
+    services: BTreeMap<TargetName, ServiceLimits>,
     limits: Option<ClientLimits>,
 }
 
@@ -154,7 +154,7 @@
     pub fn new(
         version: u64,
         routes: Vec<Route>,
-        services: BTreeMap<TargetName, ServiceBounds>,
+        services: BTreeMap<TargetName, ServiceLimits>,
         limits: Option<ClientLimits>,
     ) -> Result<Self> {
         let mut hosts: HashMap<String, Vec<Route>> = HashMap::new();
@@ -185,7 +185,7 @@
     }
 
     /// A service's bounds.
-    pub fn service(&self, name: &TargetName) -> Option<&ServiceBounds> {
+    pub fn service(&self, name: &TargetName) -> Option<&ServiceLimits> {
         self.services.get(name)
     }
 
--- a/crates/foxtailhold/src/routing.rs
+++ b/crates/foxtailhold/src/routing.rs
@@ -22,7 +22,7 @@
     /// Whether recent failures set it aside.
     pub availability: Availability,
     /// Whether a request suspected of crashes runs there alone of its kind.
-    pub on_trial: bool,
+    pub under_probe: bool,
     /// Mean time between events in µs; 0 where none was seen.
     pub gap_us: u64,
 }
@@ -86,7 +86,7 @@
             .filter(|index| is_allowed(query, &candidates.get(*index)))
             .min_by_key(|index| {
                 let candidate = candidates.get(*index);
-                let set_aside = candidate.availability == Availability::SetAside;
+                let set_aside = candidate.availability == Availability::Ejected;
                 (set_aside, candidate.load.estimate())
             })
     }
@@ -143,7 +143,7 @@
         let mut fleet = Fleet::default();
         for index in 0..candidates.len() {
             let candidate = candidates.get(index);
-            if !is_allowed(query, &candidate) || candidate.availability != Availability::Open {
+            if !is_allowed(query, &candidate) || candidate.availability != Availability::Available {
                 continue;
             }
             fleet.requests += u64::from(candidate.load.estimate());
@@ -176,8 +176,8 @@
     fn is_sound(query: &RouteQuery<'_>, fleet: &Fleet, candidate: &Candidate<'_>) -> bool {
         let looks_at_slow = query.draw.is_multiple_of(SLOW_TRY);
         is_allowed(query, candidate)
-            && candidate.availability != Availability::SetAside
-            && !candidate.on_trial
+            && candidate.availability != Availability::Ejected
+            && !candidate.under_probe
             && (looks_at_slow || !fleet.is_slow(candidate))
     }
 
@@ -261,10 +261,10 @@
             .filter(|index| is_allowed(query, &candidates.get(*index)))
             .min_by_key(|index| {
                 let candidate = candidates.get(*index);
-                let set_aside = candidate.availability == Availability::SetAside;
+                let set_aside = candidate.availability == Availability::Ejected;
                 let slow = fleet.is_slow(&candidate);
                 let load = u64::from(candidate.load.estimate()) * 1_000 / slots(&candidate);
-                (set_aside, candidate.on_trial, slow, load)
+                (set_aside, candidate.under_probe, slow, load)
             })
     }
 }
--- a/crates/foxtailhold/src/slots/allocator.rs
+++ b/crates/foxtailhold/src/slots/allocator.rs
@@ -4,16 +4,16 @@
 
 use crate::ids::{InstanceId, TargetName};
 use crate::slots::pool::Pool;
-use crate::slots::{Ask, AskId, Held, Outcome, Places, Verdict};
+use crate::slots::{BackendSlots, HeldSlot, SlotDecision, SlotOutcome, SlotRequest, SlotRequestId};
 use crate::time::MonoMs;
 
 /// A message to the instance of an ask.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Decision {
+pub struct SlotNotice {
     /// The ask.
-    pub ask: AskId,
+    pub request: SlotRequestId,
     /// What was decided; `None`: a granted batch item is to give way.
-    pub verdict: Option<Verdict>,
+    pub decision: Option<SlotDecision>,
 }
 
 /// Grants the places of all pools.
@@ -24,24 +24,29 @@
 
 impl Allocator {
     /// Replaces the backend servers of a pool.
-    pub fn set_backends(&mut self, pool: &TargetName, all: &[Places]) {
+    pub fn set_backends(&mut self, pool: &TargetName, all: &[BackendSlots]) {
         let pool = self.pools.entry(pool.clone()).or_default();
         pool.set_backends(all);
     }
 
     /// Takes an ask. Whatever could be decided at once, also for others, is added to `decisions`.
-    pub fn ask(&mut self, now: MonoMs, ask: Ask, decisions: &mut Vec<Decision>) -> Verdict {
+    pub fn ask(
+        &mut self,
+        now: MonoMs,
+        ask: SlotRequest,
+        decisions: &mut Vec<SlotNotice>,
+    ) -> SlotDecision {
         let id = ask.id.clone();
         let pool = self.pools.entry(ask.pool.clone()).or_default();
         let verdict = pool.ask(now, ask);
-        if verdict != Verdict::Queued {
+        if verdict != SlotDecision::Queued {
             return verdict;
         }
         pool.decide(now, decisions);
-        let own = decisions.iter().position(|decision| decision.ask == id);
-        match own.map(|index| decisions.swap_remove(index).verdict) {
+        let own = decisions.iter().position(|decision| decision.request == id);
+        match own.map(|index| decisions.swap_remove(index).decision) {
             Some(Some(verdict)) => verdict,
-            _ => Verdict::Queued,
+            _ => SlotDecision::Queued,
         }
     }
 
@@ -50,9 +55,9 @@
         &mut self,
         now: MonoMs,
         pool: &TargetName,
-        ask: &AskId,
-        outcome: Outcome,
-        decisions: &mut Vec<Decision>,
+        ask: &SlotRequestId,
+        outcome: SlotOutcome,
+        decisions: &mut Vec<SlotNotice>,
     ) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
@@ -62,14 +67,14 @@
     }
 
     /// Takes an instance's own list of what it holds.
-    pub fn report(&mut self, now: MonoMs, instance: &InstanceId, held: &[Held]) {
+    pub fn report(&mut self, now: MonoMs, instance: &InstanceId, held: &[HeldSlot]) {
         for (name, pool) in &mut self.pools {
             let ours = held.iter().filter(|held| held.pool == *name);
-            let asks: Vec<(AskId, &Held)> = ours
+            let asks: Vec<(SlotRequestId, &HeldSlot)> = ours
                 .map(|held| {
                     let instance = instance.clone();
                     let number = held.number;
-                    (AskId { instance, number }, held)
+                    (SlotRequestId { instance, number }, held)
                 })
                 .collect();
             pool.reconcile(now, &asks, |ask| ask.instance == *instance);
@@ -81,7 +86,7 @@
         &mut self,
         now: MonoMs,
         lives: impl Fn(&InstanceId) -> bool,
-        decisions: &mut Vec<Decision>,
+        decisions: &mut Vec<SlotNotice>,
     ) {
         for pool in self.pools.values_mut() {
             pool.forget(|ask| !lives(&ask.instance));
@@ -90,7 +95,7 @@
     }
 
     /// Decides what time alone has changed.
-    pub fn tick(&mut self, now: MonoMs, decisions: &mut Vec<Decision>) {
+    pub fn tick(&mut self, now: MonoMs, decisions: &mut Vec<SlotNotice>) {
         for pool in self.pools.values_mut() {
             pool.decide(now, decisions);
         }
--- a/crates/foxtailhold/src/slots/health.rs
+++ b/crates/foxtailhold/src/slots/health.rs
@@ -1,7 +1,7 @@
 //! Trust in one backend server, from the answers that all instances got.
 
 use crate::breaker::{Availability, Breaker};
-use crate::slots::Outcome;
+use crate::slots::SlotOutcome;
 use crate::time::MonoMs;
 
 /// Broken answers in a row after which a backend server is set aside. One alone is usual on a
@@ -25,37 +25,37 @@
 
 /// What is known against one backend server.
 #[derive(Debug, Clone, Default)]
-pub struct Trouble {
+pub struct BackendHealth {
     breaker: Breaker,
     broken: u32,
     broken_share: f64,
     full_until: MonoMs,
 }
 
-impl Trouble {
+impl BackendHealth {
     /// Notes how a use of it ended.
-    pub fn note(&mut self, now: MonoMs, outcome: Outcome, draw: u64) {
+    pub fn note(&mut self, now: MonoMs, outcome: SlotOutcome, draw: u64) {
         match outcome {
-            Outcome::Done { .. } => {
+            SlotOutcome::Done { .. } => {
                 self.broken = 0;
                 self.broken_share *= 1.0 - SHARE_WEIGHT;
                 self.breaker.succeeded();
             }
-            Outcome::Full => self.full_until = now + FULL_MS,
-            Outcome::Unreachable | Outcome::Silent => self.set_aside(now, draw),
-            Outcome::Broken => {
+            SlotOutcome::Full => self.full_until = now + FULL_MS,
+            SlotOutcome::Unreachable | SlotOutcome::Silent => self.set_aside(now, draw),
+            SlotOutcome::Broken => {
                 self.broken += 1;
                 self.broken_share += SHARE_WEIGHT * (1.0 - self.broken_share);
                 if self.broken >= BROKEN_IN_A_ROW || self.broken_share > MOST_BROKEN_SHARE {
                     self.set_aside(now, draw);
                 }
             }
-            Outcome::Abandoned => {}
+            SlotOutcome::Abandoned => {}
         }
     }
 
     fn set_aside(&mut self, now: MonoMs, draw: u64) {
-        if self.breaker.availability(now) == Availability::SetAside {
+        if self.breaker.availability(now) == Availability::Ejected {
             return;
         }
         self.breaker.failed(now, draw);
@@ -75,14 +75,12 @@
             return 0;
         }
         match self.breaker.availability(now) {
-            Availability::Open => self.trusted(slots),
+            Availability::Available => self.trusted(slots),
             Availability::HalfOpen => 1,
-            Availability::SetAside
-                if self.breaker.blocked_until().since_ms(now) > MOST_ASIDE_MS =>
-            {
+            Availability::Ejected if self.breaker.blocked_until().since_ms(now) > MOST_ASIDE_MS => {
                 1
             }
-            Availability::SetAside => 0,
+            Availability::Ejected => 0,
         }
     }
 }
--- a/crates/foxtailhold/src/slots/mod.rs
+++ b/crates/foxtailhold/src/slots/mod.rs
@@ -10,8 +10,8 @@
 pub mod health;
 mod pool;
 
-pub use allocator::{Allocator, Decision};
-pub use health::Trouble;
+pub use allocator::{Allocator, SlotNotice};
+pub use health::BackendHealth;
 
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +19,7 @@
 
 /// One request for a place, unique over all instances.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AskId {
+pub struct SlotRequestId {
     /// The instance that asks, with its incarnation.
     pub instance: InstanceId,
     /// Its counter.
@@ -40,9 +40,9 @@
 
 /// A request for a place.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Its identity; asking again with the same one is harmless.
-    pub id: AskId,
+    pub id: SlotRequestId,
     /// The service.
     pub pool: TargetName,
     /// Who waits.
@@ -57,7 +57,7 @@
 
 /// What the allocator says to an ask.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum SlotDecision {
     /// Send the request there now.
     Granted(BackendId),
     /// It waits; a decision follows.
@@ -71,7 +71,7 @@
 
 /// How the use of a place ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum SlotOutcome {
     /// The answer was whole.
     Done {
         /// From sending to the end.
@@ -91,7 +91,7 @@
 
 /// One place in use, as its holder tells it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldSlot {
     /// Counter of the ask.
     pub number: u64,
     /// The service.
@@ -106,7 +106,7 @@
 
 /// A backend server's places.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Places {
+pub struct BackendSlots {
     /// The backend server.
     pub backend: BackendId,
     /// Where it is.
--- a/crates/foxtailhold/src/slots/pool.rs
+++ b/crates/foxtailhold/src/slots/pool.rs
@@ -3,8 +3,11 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::ids::BackendId;
-use crate::slots::health::Trouble;
-use crate::slots::{Ask, AskId, Decision, Held, Outcome, Places, Urgency, Verdict};
+use crate::slots::health::BackendHealth;
+use crate::slots::{
+    BackendSlots, HeldSlot, SlotDecision, SlotNotice, SlotOutcome, SlotRequest, SlotRequestId,
+    Urgency,
+};
 use crate::time::MonoMs;
 
 /// A grant that its instance does not report is taken back after this time: two reports of many
@@ -48,9 +51,9 @@
 
 #[derive(Debug)]
 struct Backend {
-    places: Places,
-    grants: HashMap<AskId, Grant>,
-    trouble: Trouble,
+    places: BackendSlots,
+    grants: HashMap<SlotRequestId, Grant>,
+    trouble: BackendHealth,
 }
 
 impl Backend {
@@ -62,7 +65,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
+    ask: SlotRequest,
     slack_until: MonoMs,
     seen_at: MonoMs,
 }
@@ -109,7 +112,7 @@
 
 impl Pool {
     /// Replaces the backend servers; grants at those that stay are kept.
-    pub fn set_backends(&mut self, all: &[Places]) {
+    pub fn set_backends(&mut self, all: &[BackendSlots]) {
         let mut old = std::mem::take(&mut self.backends);
         for places in all {
             let backend = match old.remove(&places.backend) {
@@ -120,7 +123,7 @@
                 None => Backend {
                     places: places.clone(),
                     grants: HashMap::new(),
-                    trouble: Trouble::default(),
+                    trouble: BackendHealth::default(),
                 },
             };
             self.backends.insert(places.backend.clone(), backend);
@@ -128,18 +131,18 @@
     }
 
     /// Takes an ask; the same one may come again.
-    pub fn ask(&mut self, now: MonoMs, ask: Ask) -> Verdict {
+    pub fn ask(&mut self, now: MonoMs, ask: SlotRequest) -> SlotDecision {
         if let Some(backend) = self.holder(&ask.id) {
-            return Verdict::Granted(backend);
+            return SlotDecision::Granted(backend);
         }
         if let Some(known) = self.waiting.iter_mut().find(|w| w.ask.id == ask.id) {
             known.seen_at = now;
-            return Verdict::Queued;
+            return SlotDecision::Queued;
         }
         if matches!(ask.urgency, Urgency::Online { .. }) {
             self.arrivals.push_back(now);
             if let Some(retry_after_ms) = self.too_late(now, &ask) {
-                return Verdict::Refused { retry_after_ms };
+                return SlotDecision::Refused { retry_after_ms };
             }
         }
         self.waiting.push(Waiting {
@@ -147,16 +150,16 @@
             seen_at: now,
             ask,
         });
-        Verdict::Queued
+        SlotDecision::Queued
     }
 
-    fn holder(&self, id: &AskId) -> Option<BackendId> {
+    fn holder(&self, id: &SlotRequestId) -> Option<BackendId> {
         let held = self.backends.values().find(|b| b.grants.contains_key(id));
         held.map(|backend| backend.places.backend.clone())
     }
 
     /// When to come back, where the ask would be served after its objective.
-    fn too_late(&self, now: MonoMs, ask: &Ask) -> Option<u64> {
+    fn too_late(&self, now: MonoMs, ask: &SlotRequest) -> Option<u64> {
         let usable = self.usable(now);
         let mut ready = 0_u64;
         for backend in self.backends.values() {
@@ -184,14 +187,16 @@
     }
 
     /// Notes the end of a use, or that who waited has left.
-    pub fn release(&mut self, now: MonoMs, id: &AskId, outcome: Outcome, draw: u64) {
+    pub fn release(&mut self, now: MonoMs, id: &SlotRequestId, outcome: SlotOutcome, draw: u64) {
         self.waiting.retain(|waiting| waiting.ask.id != *id);
         for backend in self.backends.values_mut() {
             let Some(grant) = backend.grants.remove(id) else {
                 continue;
             };
             backend.trouble.note(now, outcome, draw);
-            if let (Urgency::Online { .. }, Outcome::Done { held_ms }) = (grant.urgency, outcome) {
+            if let (Urgency::Online { .. }, SlotOutcome::Done { held_ms }) =
+                (grant.urgency, outcome)
+            {
                 self.held_ms += HELD_WEIGHT * (held_ms as f64 - self.held_ms);
             }
         }
@@ -201,8 +206,8 @@
     pub fn reconcile(
         &mut self,
         now: MonoMs,
-        asks: &[(AskId, &Held)],
-        mine: impl Fn(&AskId) -> bool,
+        asks: &[(SlotRequestId, &HeldSlot)],
+        mine: impl Fn(&SlotRequestId) -> bool,
     ) {
         for backend in self.backends.values_mut() {
             let id = &backend.places.backend;
@@ -222,20 +227,20 @@
                 yielding: false,
             });
             if held.quiet_ms > QUIET_MS {
-                backend.trouble.note(now, Outcome::Silent, held.number);
+                backend.trouble.note(now, SlotOutcome::Silent, held.number);
             }
         }
     }
 
     /// Frees what instances hold that are gone. Who waits is forgotten by its own time.
-    pub fn forget(&mut self, is_gone: impl Fn(&AskId) -> bool) {
+    pub fn forget(&mut self, is_gone: impl Fn(&SlotRequestId) -> bool) {
         for backend in self.backends.values_mut() {
             backend.grants.retain(|ask, _| !is_gone(ask));
         }
     }
 
     /// Hands out what is free, and asks batch items to give way.
-    pub fn decide(&mut self, now: MonoMs, decisions: &mut Vec<Decision>) {
+    pub fn decide(&mut self, now: MonoMs, decisions: &mut Vec<SlotNotice>) {
         self.waiting.retain(|waiting| {
             let forgotten_ms = match waiting.ask.urgency {
                 Urgency::Online { .. } => FORGOTTEN_MS,
@@ -270,7 +275,7 @@
 
     /// The engine with the fewest places in use; one in another availability zone must have two fewer,
     /// since a step grows little with one more place and bytes between availability zones cost.
-    fn place_for(&self, now: MonoMs, ask: &Ask) -> Option<BackendId> {
+    fn place_for(&self, now: MonoMs, ask: &SlotRequest) -> Option<BackendId> {
         let mut best: Option<(u32, bool, &BackendId)> = None;
         for (id, backend) in &self.backends {
             let free = backend.free(now);
@@ -316,7 +321,7 @@
         now: MonoMs,
         waiting: Waiting,
         id: BackendId,
-        decisions: &mut Vec<Decision>,
+        decisions: &mut Vec<SlotNotice>,
     ) {
         let grant = Grant {
             urgency: waiting.ask.urgency,
@@ -327,21 +332,21 @@
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.grants.insert(waiting.ask.id.clone(), grant);
         }
-        decisions.push(Decision {
-            ask: waiting.ask.id,
-            verdict: Some(Verdict::Granted(id)),
+        decisions.push(SlotNotice {
+            request: waiting.ask.id,
+            decision: Some(SlotDecision::Granted(id)),
         });
     }
 
     /// Cuts as many batch items as online requests wait: those that are late already first, then
     /// those with the most slack.
-    fn yield_batch(&mut self, decisions: &mut Vec<Decision>) {
+    fn yield_batch(&mut self, decisions: &mut Vec<SlotNotice>) {
         let wanted = count(self.waiting.iter(), |w| w.ask.urgency != Urgency::Batch);
         if wanted == 0 {
             return;
         }
         let grants = self.backends.values_mut().flat_map(|b| b.grants.iter_mut());
-        let mut batch: Vec<(&AskId, &mut Grant)> = grants
+        let mut batch: Vec<(&SlotRequestId, &mut Grant)> = grants
             .filter(|(_, grant)| grant.urgency == Urgency::Batch)
             .collect();
         let on_the_way = count(batch.iter(), |(_, grant)| grant.yielding);
@@ -353,9 +358,9 @@
         let more = wanted.saturating_sub(on_the_way) as usize;
         for (ask, grant) in batch.into_iter().take(more) {
             grant.yielding = true;
-            decisions.push(Decision {
-                ask: ask.clone(),
-                verdict: None,
+            decisions.push(SlotNotice {
+                request: ask.clone(),
+                decision: None,
             });
         }
     }
--- a/crates/foxtailhold/src/stall.rs
+++ b/crates/foxtailhold/src/stall.rs
@@ -34,7 +34,7 @@
 }
 
 /// The mean moved by one new value.
-pub fn moved_mean(mean: u64, value: u64) -> u64 {
+pub fn moving_average(mean: u64, value: u64) -> u64 {
     if mean == 0 {
         return value.max(1);
     }
@@ -63,7 +63,7 @@
 }
 
 /// Bound for a whole unstreamed answer of at most `max_tokens`.
-pub fn whole_bound_ms(
+pub fn full_response_bound_ms(
     load: &ReplicaLoad,
     pace: Pace,
     prompt_bytes: u64,
--- a/crates/foxtailhold/src/suspect.rs
+++ b/crates/foxtailhold/src/suspect.rs
@@ -1,7 +1,7 @@
 //! What an instance does with a request that it suspects, as the home of trials answers.
 
 use crate::ids::BackendId;
-use crate::quarantine::{TrialAnswer, WAIT_MS};
+use crate::quarantine::{ProbeResponse, WAIT_MS};
 use crate::time::MonoMs;
 
 /// The home's word that nothing is held against a suspect counts once it has stood for this time, in which
@@ -11,9 +11,9 @@
 
 /// What to do with a suspect.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NextStep {
+pub enum SuspectAction {
     /// Send it to this backend server, as its trial.
-    Try {
+    Probe {
         /// Where.
         backend: BackendId,
         /// Whether the trial lasts until the request's end, not only until its first event.
@@ -29,7 +29,7 @@
         left_ms: u64,
     },
     /// Look at its standing again after this time, and ask again.
-    AskAgain {
+    Retry {
         /// When.
         after_ms: u64,
     },
@@ -37,33 +37,33 @@
 
 /// The answers of the home to one suspect.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Asking {
+pub struct ProbeNegotiation {
     clear_since: Option<MonoMs>,
 }
 
-impl Asking {
+impl ProbeNegotiation {
     /// Takes an answer of the home.
-    pub fn answered(&mut self, answer: TrialAnswer, now: MonoMs) -> NextStep {
-        if answer != TrialAnswer::Clear {
+    pub fn answered(&mut self, answer: ProbeResponse, now: MonoMs) -> SuspectAction {
+        if answer != ProbeResponse::Clear {
             self.clear_since = None;
         }
         match answer {
-            TrialAnswer::Granted {
+            ProbeResponse::Granted {
                 backend,
                 strict,
                 quiet_ms,
-            } => NextStep::Try {
+            } => SuspectAction::Probe {
                 backend,
                 strict,
                 quiet_ms,
             },
-            TrialAnswer::Convicted { left_ms } => NextStep::Refuse { left_ms },
-            TrialAnswer::Wait { after_ms } => NextStep::AskAgain { after_ms },
-            TrialAnswer::Clear => {
+            ProbeResponse::Convicted { left_ms } => SuspectAction::Refuse { left_ms },
+            ProbeResponse::Wait { after_ms } => SuspectAction::Retry { after_ms },
+            ProbeResponse::Clear => {
                 let since = *self.clear_since.get_or_insert(now);
                 match now.since_ms(since) >= CLEAR_STANDS_MS {
-                    true => NextStep::Send,
-                    false => NextStep::AskAgain { after_ms: WAIT_MS },
+                    true => SuspectAction::Send,
+                    false => SuspectAction::Retry { after_ms: WAIT_MS },
                 }
             }
         }
--- a/crates/foxtailhold/tests/admission.rs
+++ b/crates/foxtailhold/tests/admission.rs
@@ -3,7 +3,8 @@
 use std::collections::HashMap;
 
 use foxtailhold::admission::{
-    AdmissionQueue, Arrival, Capacity, Entered, Released, WAITING_PER_CUSTOMER, WaiterId, Window,
+    AdmissionQueue, Arrival, Capacity, ConcurrencyWindow, DequeueOutcome, EnqueueOutcome,
+    WAITING_PER_CUSTOMER, WaiterId,
 };
 use foxtailhold::contract::Urgency;
 use foxtailhold::ids::CustomerId;
@@ -29,13 +30,15 @@
     let mut queue = AdmissionQueue::new(1);
     let filler = id("filler");
     let admitted = queue.enter(&arrival(&filler, Urgency::Normal, None), now);
-    assert_eq!(admitted, Entered::Admitted);
+    assert_eq!(admitted, EnqueueOutcome::Admitted);
     let mut owners: HashMap<WaiterId, (CustomerId, Urgency)> = HashMap::new();
     let enter = |queue: &mut AdmissionQueue,
                  owners: &mut HashMap<WaiterId, (CustomerId, Urgency)>,
                  customer: CustomerId,
                  urgency| {
-        if let Entered::Waiting { id, .. } = queue.enter(&arrival(&customer, urgency, None), now) {
+        if let EnqueueOutcome::Waiting { id, .. } =
+            queue.enter(&arrival(&customer, urgency, None), now)
+        {
             owners.insert(id, (customer, urgency));
         }
     };
@@ -47,7 +50,7 @@
     let mut counts = HashMap::new();
     for _ in 0..served {
         queue.leave(now, now);
-        let Some(Released::Admitted(waiter)) = queue.next(now) else {
+        let Some(DequeueOutcome::Admitted(waiter)) = queue.next(now) else {
             panic!("nobody was served");
         };
         let (customer, urgency) = owners.remove(&waiter).unwrap();
@@ -98,7 +101,7 @@
     let deadline = deadline_ms.map(|ms| now + ms);
     let entered = queue.enter(&arrival(&customer, Urgency::Normal, deadline), now);
     assert_eq!(
-        matches!(entered, Entered::Waiting { .. }),
+        matches!(entered, EnqueueOutcome::Waiting { .. }),
         waits,
         "{entered:?}"
     );
@@ -116,7 +119,7 @@
     }
     let newcomer = id("newcomer");
     let entered = queue.enter(&arrival(&newcomer, Urgency::Low, None), now);
-    let Entered::Waiting { evicted, .. } = entered else {
+    let EnqueueOutcome::Waiting { evicted, .. } = entered else {
         panic!("{entered:?}");
     };
     assert!(evicted.is_some());
@@ -146,7 +149,7 @@
 #[test_case(12, 60; "the reserve waits")]
 #[test_case(40, 20; "more than the reserve waits")]
 fn the_window_follows_what_waits_in_the_engines(waiting: u32, settled: u32) {
-    let mut window = Window::new();
+    let mut window = ConcurrencyWindow::new();
     for second in 0..20 {
         window.update(&reported(waiting), 3, MonoMs(second * 1_000));
     }
@@ -159,7 +162,7 @@
 
 #[test]
 fn a_report_lowers_the_window_once() {
-    let mut window = Window::new();
+    let mut window = ConcurrencyWindow::new();
     for step in 0..5 {
         window.update(&reported(40), 3, MonoMs(step * 200));
     }
--- a/crates/foxtailhold/tests/admission_fuzz.rs
+++ b/crates/foxtailhold/tests/admission_fuzz.rs
@@ -7,8 +7,8 @@
 
 use common::fuzz_config;
 use foxtailhold::admission::{
-    AdmissionQueue, Arrival, Entered, MAX_RETRY_AFTER_MS, MAX_WAIT_MS, MIN_RETRY_AFTER_MS,
-    Released, WAITING_IN_ALL, WAITING_PER_CUSTOMER, WaiterId,
+    AdmissionQueue, Arrival, DequeueOutcome, EnqueueOutcome, MAX_RETRY_AFTER_MS, MAX_WAIT_MS,
+    MIN_RETRY_AFTER_MS, WAITING_IN_ALL, WAITING_PER_CUSTOMER, WaiterId,
 };
 use foxtailhold::contract::Urgency;
 use foxtailhold::ids::CustomerId;
@@ -93,11 +93,11 @@
         };
         let room = self.waiting.is_empty() && self.in_flight.len() < self.window as usize;
         match self.queue.enter(&arrival, self.now) {
-            Entered::Admitted => {
+            EnqueueOutcome::Admitted => {
                 assert!(room, "admitted without room");
                 self.in_flight.push(self.now);
             }
-            Entered::Waiting {
+            EnqueueOutcome::Waiting {
                 id,
                 give_up_at,
                 evicted,
@@ -115,7 +115,7 @@
                 };
                 assert!(self.waiting.insert(id, waiting).is_none());
             }
-            Entered::Refused { after_ms } => {
+            EnqueueOutcome::Refused { after_ms } => {
                 assert!(!room, "refused while there is room");
                 assert!((MIN_RETRY_AFTER_MS..=MAX_RETRY_AFTER_MS).contains(&after_ms));
             }
@@ -124,12 +124,12 @@
 
     fn pump(&mut self) {
         while let Some(released) = self.queue.next(self.now) {
-            let (Released::Admitted(id) | Released::Expired(id)) = released;
+            let (DequeueOutcome::Admitted(id) | DequeueOutcome::Expired(id)) = released;
             let waited = self.waiting.remove(&id).expect("released twice or unknown");
             assert!(self.ended.insert(id));
             match released {
-                Released::Expired(_) => assert!(waited.give_up_at <= self.now),
-                Released::Admitted(_) => {
+                DequeueOutcome::Expired(_) => assert!(waited.give_up_at <= self.now),
+                DequeueOutcome::Admitted(_) => {
                     assert!(waited.give_up_at > self.now, "served too late");
                     self.in_flight.push(self.now);
                 }
--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -1,9 +1,13 @@
 //! Single rules of the steward and the owner's desk.
 
-use foxtailhold::batch_control::controller::ReplicaSteward;
-use foxtailhold::batch_control::scheduler::{Desk, DeskAction, DeskReplica, WaitingItem};
-use foxtailhold::batch_control::window::{HOLD_MS, Mark, RISE_MS, STALE_MS};
-use foxtailhold::batch_control::{GRANT_MS, OnlineNotice, PlaceAsk, PlaceGrant, is_queued};
+use foxtailhold::batch_control::controller::BatchController;
+use foxtailhold::batch_control::scheduler::{
+    BatchScheduler, SchedulerAction, SchedulerReplica, WaitingItem,
+};
+use foxtailhold::batch_control::window::{CongestionWindow, HOLD_MS, RISE_MS, STALE_MS};
+use foxtailhold::batch_control::{
+    BatchSlotGrant, BatchSlotRequest, GRANT_MS, OnlineLoadNotice, is_queued,
+};
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::replicas::LoadReport;
 use foxtailhold::time::{MonoMs, WallMs};
@@ -30,8 +34,8 @@
     }
 }
 
-fn notice(number: u64, in_flight: u32, pressed: bool) -> OnlineNotice {
-    OnlineNotice {
+fn notice(number: u64, in_flight: u32, pressed: bool) -> OnlineLoadNotice {
+    OnlineLoadNotice {
         from: instance("caller"),
         backend: backend(),
         number,
@@ -41,8 +45,8 @@
 }
 
 /// A mark that has risen all the way at an idle replica.
-fn risen(share_percent: u64) -> (Mark, MonoMs) {
-    let mut mark = Mark::new(share_percent);
+fn risen(share_percent: u64) -> (CongestionWindow, MonoMs) {
+    let mut mark = CongestionWindow::new(share_percent);
     let mut now = START;
     mark.reported(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
@@ -55,7 +59,7 @@
 #[test_case(100, 15; "all but the headroom")]
 #[test_case(50, 8; "half of the slots")]
 fn mark_rises_by_steps_to_its_share(share_percent: u64, expected: u32) {
-    let mut mark = Mark::new(share_percent);
+    let mut mark = CongestionWindow::new(share_percent);
     mark.update(START);
     assert_eq!(mark.value(), 0, "no report yet");
     mark.reported(&report(0, 0), START);
@@ -109,8 +113,8 @@
     assert_eq!(is_queued(&report), queued);
 }
 
-fn ask(owner: &str, in_use: u32, wanted: u32, slack_s: u64, number: u64) -> PlaceAsk {
-    PlaceAsk {
+fn ask(owner: &str, in_use: u32, wanted: u32, slack_s: u64, number: u64) -> BatchSlotRequest {
+    BatchSlotRequest {
         owner: instance(owner),
         backend: backend(),
         in_use,
@@ -123,7 +127,7 @@
 #[test_case(3_600, (8, 7); "same minute shares evenly")]
 #[test_case(7_200, (0, 15); "less slack goes first")]
 fn places_go_by_least_slack(late_s: u64, expected: (u32, u32)) {
-    let mut steward = ReplicaSteward::new(instance("steward"), backend(), 1, 100);
+    let mut steward = BatchController::new(instance("steward"), backend(), 1, 100);
     let mut now = START;
     steward.asked(ask("late", 0, 100, late_s, 0), now);
     steward.asked(ask("soon", 0, 100, 3_600, 0), now);
@@ -138,7 +142,7 @@
 
 #[test]
 fn place_in_use_is_not_taken_for_an_owner_with_less_slack() {
-    let mut steward = ReplicaSteward::new(instance("steward"), backend(), 1, 100);
+    let mut steward = BatchController::new(instance("steward"), backend(), 1, 100);
     let mut now = START;
     steward.asked(ask("late", 0, 100, 7_200, 0), now);
     steward.reported(&report(0, 0), now);
@@ -160,23 +164,23 @@
     assert_eq!(soon, Some(0), "the freed places may still be in use");
 }
 
-fn grant(steward: &str, number: u64, keep: u32) -> PlaceGrant {
-    PlaceGrant {
-        steward: instance(steward),
+fn grant(steward: &str, number: u64, keep: u32) -> BatchSlotGrant {
+    BatchSlotGrant {
+        controller: instance(steward),
         backend: backend(),
         term: 1,
         number,
-        keep,
-        start: keep,
+        cancel_above: keep,
+        start_below: keep,
     }
 }
 
-fn desk(items: u64) -> Desk {
-    let mut desk = Desk::new(instance("owner"));
-    let replica = DeskReplica {
+fn desk(items: u64) -> BatchScheduler {
+    let mut desk = BatchScheduler::new(instance("owner"));
+    let replica = SchedulerReplica {
         backend: backend(),
         targets: vec!["ranger".try_into().unwrap()],
-        steward: Some(instance("steward")),
+        controller: Some(instance("steward")),
     };
     desk.set_replicas(vec![replica], START);
     for item in 0..items {
@@ -195,13 +199,13 @@
 fn desk_starts_least_slack_first_and_cuts_the_newest() {
     let mut desk = desk(3);
     let started = desk.answered(&grant("steward", 1, 2), START, START);
-    let start = |item| DeskAction::Start {
+    let start = |item| SchedulerAction::Start {
         item,
         backend: backend(),
     };
     assert_eq!(started, [start(2), start(1)]);
     let cut = desk.pushed(&grant("steward", 2, 1), START);
-    let expected = DeskAction::Cut {
+    let expected = SchedulerAction::Preempt {
         item: 1,
         backend: backend(),
     };
