--- a/crates/foxtailhold/tests/batch_control_world/mod.rs
+++ b/crates/foxtailhold/tests/batch_control_world/mod.rs
@@ -5,10 +5,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use foxtailhold::batch_control::controller::ReplicaSteward;
-use foxtailhold::batch_control::scheduler::{Desk, DeskAction, DeskReplica, ItemKey, WaitingItem};
-use foxtailhold::batch_control::window::Mark;
-use foxtailhold::batch_control::{GRANT_MS, OnlineNotice, PlaceGrant};
+use foxtailhold::batch_control::controller::BatchController;
+use foxtailhold::batch_control::scheduler::{
+    BatchScheduler, ItemKey, SchedulerAction, SchedulerReplica, WaitingItem,
+};
+use foxtailhold::batch_control::window::CongestionWindow;
+use foxtailhold::batch_control::{BatchSlotGrant, GRANT_MS, OnlineLoadNotice};
 use foxtailhold::ids::{BackendId, InstanceId, TargetName};
 use foxtailhold::replicas::LoadReport;
 use foxtailhold::time::{MonoMs, WallMs};
@@ -38,7 +40,7 @@
 }
 
 struct OwnerSide {
-    desk: Desk,
+    desk: BatchScheduler,
     steward: usize,
     /// Every item that has not ended, with the places it runs at.
     live: BTreeMap<ItemKey, u32>,
@@ -46,7 +48,7 @@
 
 pub struct World {
     now: MonoMs,
-    stewards: Vec<ReplicaSteward>,
+    stewards: Vec<BatchController>,
     owners: Vec<OwnerSide>,
     messages: Vec<Message>,
     online: u32,
@@ -58,11 +60,11 @@
     next_notice: u64,
 }
 
-fn entry(steward: usize) -> DeskReplica {
-    DeskReplica {
+fn entry(steward: usize) -> SchedulerReplica {
+    SchedulerReplica {
         backend: backend(),
         targets: vec![target()],
-        steward: Some(steward_id(steward)),
+        controller: Some(steward_id(steward)),
     }
 }
 
@@ -71,7 +73,7 @@
         let now = MonoMs(10_000);
         let mut owners = Vec::new();
         for index in 0..OWNERS {
-            let mut desk = Desk::new(owner_id(index));
+            let mut desk = BatchScheduler::new(owner_id(index));
             desk.set_replicas(vec![entry(0)], now);
             owners.push(OwnerSide {
                 desk,
@@ -80,7 +82,7 @@
             });
         }
         let stewards = (0..STEWARDS)
-            .map(|index| ReplicaSteward::new(steward_id(index), backend(), 1, 100))
+            .map(|index| BatchController::new(steward_id(index), backend(), 1, 100))
             .collect();
         World {
             now,
@@ -105,18 +107,18 @@
     }
 
     /// Carries out what a desk says; every cut item waits again in the same step.
-    fn act(&mut self, owner: usize, actions: Vec<DeskAction>) {
+    fn act(&mut self, owner: usize, actions: Vec<SchedulerAction>) {
         let now = self.now;
         let side = &mut self.owners[owner];
         let mut left = VecDeque::from(actions);
         while let Some(action) = left.pop_front() {
             match action {
-                DeskAction::Start { item, .. } => {
+                SchedulerAction::Start { item, .. } => {
                     let places = side.live.get_mut(&item).expect("a started item is live");
                     assert_eq!(*places, 0, "an item runs twice at once");
                     *places = 1;
                 }
-                DeskAction::Cut { item, .. } => {
+                SchedulerAction::Preempt { item, .. } => {
                     let places = side.live.get_mut(&item).expect("a cut item is live");
                     assert_eq!(*places, 1, "an item that does not run was cut");
                     *places = 0;
@@ -126,7 +128,7 @@
         }
     }
 
-    fn push(&mut self, steward: usize, grants: Vec<(InstanceId, PlaceGrant)>) {
+    fn push(&mut self, steward: usize, grants: Vec<(InstanceId, BatchSlotGrant)>) {
         for (id, grant) in grants {
             let Some(owner) = (0..OWNERS).find(|index| owner_id(*index) == id) else {
                 panic!("a grant for an unknown owner");
@@ -142,20 +144,20 @@
     /// Runs one input of a steward and checks what must hold of every input.
     fn input<F>(&mut self, steward: usize, input: F)
     where
-        F: FnOnce(&mut ReplicaSteward, MonoMs) -> Vec<(InstanceId, PlaceGrant)>,
+        F: FnOnce(&mut BatchController, MonoMs) -> Vec<(InstanceId, BatchSlotGrant)>,
     {
         let before: BTreeMap<InstanceId, u32> = self.keeps(steward);
         let grants = input(&mut self.stewards[steward], self.now);
         let machine = &self.stewards[steward];
         let kept: u32 = machine.grants().map(|(_, keep, _)| keep).sum();
         assert!(
-            kept <= machine.mark().value(),
+            kept <= machine.window().value(),
             "{kept} places stay granted above the mark {}",
-            machine.mark().value()
+            machine.window().value()
         );
         for (id, keep, start) in machine.grants() {
             assert!(start <= keep);
-            if machine.mark().is_held() {
+            if machine.window().is_held() {
                 assert_eq!(start, 0, "{id} may start batch while pressure holds");
             }
             let told = grants.iter().any(|(owner, _)| owner == id);
@@ -163,7 +165,7 @@
             assert!(!lower || told, "{id} was not told of its lower grant");
         }
         self.push(steward, grants);
-        let mark = self.stewards[steward].mark().value();
+        let mark = self.stewards[steward].window().value();
         self.marks[steward].push((self.now, mark));
     }
 
@@ -219,9 +221,9 @@
             }
             Message::Told { steward, ask } => self.stewards[steward].told(ask, now),
             Message::Notice { steward, notice } => {
-                let batch_before = self.stewards[steward].mark().value();
+                let batch_before = self.stewards[steward].window().value();
                 self.input(steward, |machine, now| machine.noticed(&notice, now));
-                let mark = self.stewards[steward].mark();
+                let mark = self.stewards[steward].window();
                 let fell = mark.is_held() && mark.value() <= batch_before;
                 assert!(!notice.pressed || fell, "pressure did not hold the mark");
             }
@@ -276,7 +278,7 @@
             Step::End { owner, nth } => self.end(owner, nth, true),
             Step::Stop { owner, nth } => self.end(owner, nth, false),
             Step::OwnerTick { owner } => self.tick(owner),
-            Step::StewardTick { steward } => self.input(steward, ReplicaSteward::tick),
+            Step::StewardTick { steward } => self.input(steward, BatchController::tick),
             Step::Report { steward, lag_ms } => self.report(steward, lag_ms),
             Step::Burst {
                 requests,
@@ -285,7 +287,7 @@
             } => {
                 self.online += u32::from(requests);
                 self.next_notice += 1;
-                let notice = OnlineNotice {
+                let notice = OnlineLoadNotice {
                     from: owner_id(told),
                     backend: backend(),
                     number: self.next_notice,
@@ -318,7 +320,7 @@
             Step::Kill { steward } => {
                 let (id, term) = (steward_id(steward), self.next_term);
                 self.next_term += 1;
-                self.stewards[steward] = ReplicaSteward::new(id, backend(), term, 100);
+                self.stewards[steward] = BatchController::new(id, backend(), term, 100);
                 self.disturbed_at = Some(self.now);
             }
         }
@@ -360,7 +362,7 @@
     }
 
     pub fn check(&self) {
-        let most = SLOTS - Mark::least_headroom(SLOTS);
+        let most = SLOTS - CongestionWindow::least_headroom(SLOTS);
         for side in &self.owners {
             let running = side.live.values().filter(|places| **places == 1).count();
             assert_eq!(running, side.desk.running(), "places and items differ");
@@ -417,7 +419,7 @@
             if round % 5 == 0 {
                 self.report(0, 20);
             }
-            self.input(0, ReplicaSteward::tick);
+            self.input(0, BatchController::tick);
             while let Some(message) = self.take(0) {
                 self.deliver(message);
             }
--- a/crates/foxtailhold/tests/batch_control_world/step.rs
+++ b/crates/foxtailhold/tests/batch_control_world/step.rs
@@ -1,6 +1,6 @@
 //! What happens in the world, and what is under way between its processes.
 
-use foxtailhold::batch_control::{OnlineNotice, PlaceAsk, PlaceGrant};
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest, OnlineLoadNotice};
 use foxtailhold::time::MonoMs;
 
 #[derive(Debug, Clone)]
@@ -61,25 +61,25 @@
 pub enum Message {
     Ask {
         steward: usize,
-        ask: PlaceAsk,
+        ask: BatchSlotRequest,
         sent_at: MonoMs,
     },
     Answer {
         owner: usize,
-        grant: PlaceGrant,
+        grant: BatchSlotGrant,
         asked_at: MonoMs,
     },
     Push {
         owner: usize,
         steward: usize,
-        grant: PlaceGrant,
+        grant: BatchSlotGrant,
     },
     Told {
         steward: usize,
-        ask: PlaceAsk,
+        ask: BatchSlotRequest,
     },
     Notice {
         steward: usize,
-        notice: OnlineNotice,
+        notice: OnlineLoadNotice,
     },
 }
--- a/crates/foxtailhold/tests/common/gossip.rs
+++ b/crates/foxtailhold/tests/common/gossip.rs
@@ -6,7 +6,9 @@
 
 use foxtailhold::contract_sync::{Advert, Listing};
 use foxtailhold::ids::InstanceId;
-use foxtailhold::membership::{Carried, Gossip, Member, MemberState, Membership, PROBE_PERIOD_MS};
+use foxtailhold::membership::{
+    Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS,
+};
 use foxtailhold::time::MonoMs;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -101,8 +103,8 @@
         MonoMs(self.now_ms - self.nodes[index].started_ms)
     }
 
-    pub fn carried(&self) -> Carried {
-        Carried {
+    pub fn carried(&self) -> GossipPayload {
+        GossipPayload {
             contracts: Advert {
                 number: 100_000,
                 confirmed_age_ms: Some(1_000),
@@ -136,7 +138,7 @@
         }
         let now = self.clock(from);
         let node = &mut self.nodes[from].membership;
-        node.on_answer(&answer, gossip.want_all, now);
+        node.on_probe_response(&answer, gossip.want_all, now);
         true
     }
 
@@ -156,7 +158,7 @@
                 self.ask_others(index, to);
             }
         }
-        if let Some(dead) = self.nodes[index].membership.dead_target() {
+        if let Some(dead) = self.nodes[index].membership.dead_probe_target() {
             let node = &mut self.nodes[index].membership;
             let gossip = node.probe(Some(&dead.id), carried.clone());
             let to = self.index_of(&dead.id);
@@ -173,7 +175,7 @@
 
     fn ask_others(&mut self, index: usize, target: usize) {
         let mut answered = false;
-        for helper in self.nodes[index].membership.indirect(&id(target)) {
+        for helper in self.nodes[index].membership.indirect_probers(&id(target)) {
             let helper = self.index_of(&helper.id);
             let way = self.passes(index, helper) && self.passes(helper, target);
             answered |= way && self.passes(target, helper) && self.passes(helper, index);
@@ -181,8 +183,8 @@
         let now = self.clock(index);
         let node = &mut self.nodes[index].membership;
         match answered {
-            true => node.on_indirect_answer(),
-            false => node.on_no_answer(&id(target), now),
+            true => node.on_indirect_response(),
+            false => node.on_probe_failure(&id(target), now),
         }
     }
 
--- a/crates/foxtailhold/tests/common/shares.rs
+++ b/crates/foxtailhold/tests/common/shares.rs
@@ -4,12 +4,15 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use foxtailhold::ids::{CustomerId, InstanceId};
-use foxtailhold::limits::{Ask, Grant, Holder, LEASE_MS, LimitHome, Terms, Verdict, Views};
+use foxtailhold::limits::{
+    CustomerLimits, LEASE_MS, LimitCoordinator, LimitDecision, MembershipViews, ShareGrant,
+    ShareHolder, ShareRequest,
+};
 use foxtailhold::time::MonoMs;
 
 pub const STEP_MS: u64 = 20;
 pub const INSTANCES: usize = 4;
-pub const TERMS: Terms = Terms {
+pub const TERMS: CustomerLimits = CustomerLimits {
     requests_per_s: 100.0,
     burst_requests: 40.0,
     tokens_per_s: 1e9,
@@ -27,17 +30,17 @@
 
 #[derive(Debug)]
 pub struct Node {
-    views: Views,
-    pub home: LimitHome,
-    holder: Holder,
+    views: MembershipViews,
+    pub home: LimitCoordinator,
+    holder: ShareHolder,
     running: bool,
     waiting_since: Option<MonoMs>,
 }
 
 #[derive(Debug)]
 enum Message {
-    Ask(Ask),
-    Grant(Grant),
+    Ask(ShareRequest),
+    Grant(ShareGrant),
     Recall,
 }
 
@@ -75,13 +78,13 @@
         let now = MonoMs(10_000);
         let mut nodes = Vec::new();
         for index in 0..INSTANCES {
-            let mut views = Views::new(instance(index), MonoMs(0));
+            let mut views = MembershipViews::new(instance(index), MonoMs(0));
             let all = (0..INSTANCES).map(instance).collect();
             views.set(all, INSTANCES as u32, MonoMs(1));
             let node = Node {
                 views,
-                home: LimitHome::default(),
-                holder: Holder::new(now),
+                home: LimitCoordinator::default(),
+                holder: ShareHolder::new(now),
                 running: true,
                 waiting_since: None,
             };
@@ -111,7 +114,7 @@
     }
 
     pub fn home_of(&self, index: usize) -> usize {
-        let home = self.nodes[index].views.home(&customer()).unwrap();
+        let home = self.nodes[index].views.coordinator(&customer()).unwrap();
         (0..INSTANCES)
             .find(|other| instance(*other) == *home)
             .unwrap()
@@ -186,7 +189,7 @@
                 self.post(index, home, Message::Ask(ask));
             }
             if self.nodes[index].holder.is_forgettable(now) {
-                self.nodes[index].holder = Holder::new(now);
+                self.nodes[index].holder = ShareHolder::new(now);
             }
         }
     }
@@ -215,12 +218,12 @@
                 _ => node.holder.admit_again(&TERMS, listed, 0.0, now),
             };
             match verdict {
-                Verdict::Admitted => {
+                LimitDecision::Admitted => {
                     node.holder.finish(0.0);
                     return true;
                 }
-                Verdict::Over { .. } => return false,
-                Verdict::Wait => self.held_back += 1,
+                LimitDecision::Over { .. } => return false,
+                LimitDecision::Wait => self.held_back += 1,
             }
             self.send_asks();
             self.deliver();
@@ -257,7 +260,7 @@
         let mut homes = 0.0;
         for index in 0..INSTANCES {
             let node = &self.nodes[index];
-            let is_home = node.running && node.views.is_home(&customer());
+            let is_home = node.running && node.views.is_coordinator(&customer());
             if is_home {
                 homes += f64::from(node.views.live()) / f64::from(node.views.listed());
             }
@@ -349,10 +352,10 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         node.running = true;
-        node.home = LimitHome::default();
-        node.holder = Holder::new(now);
+        node.home = LimitCoordinator::default();
+        node.holder = ShareHolder::new(now);
         node.waiting_since = None;
-        let mut views = Views::new(instance(index), now);
+        let mut views = MembershipViews::new(instance(index), now);
         views.set(
             (0..INSTANCES).map(instance).collect(),
             INSTANCES as u32,
--- a/crates/foxtailhold/tests/crashes.rs
+++ b/crates/foxtailhold/tests/crashes.rs
@@ -1,10 +1,11 @@
 //! Evidence against requests that crash backend servers.
 
 use foxtailhold::crashes::{
-    CrashBook, Evidence, ItemRest, LATE_RUNS, MOST_CRASHES, REFUSED_MS, Standing, item_rest,
+    CrashEvidence, CrashRegistry, CrashStatus, ItemBackoff, MAX_CRASHES, MAX_PROBES, REFUSED_MS,
+    item_backoff,
 };
 use foxtailhold::ids::BackendId;
-use foxtailhold::quarantine::{CrashId, Fingerprint, SUSPECT_MS};
+use foxtailhold::quarantine::{CrashId, Fingerprint, SUSPECT_TTL_MS};
 use foxtailhold::time::WallMs;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -19,8 +20,8 @@
     }
 }
 
-fn book(crashes: &[CrashId]) -> CrashBook {
-    let mut book = CrashBook::default();
+fn book(crashes: &[CrashId]) -> CrashRegistry {
+    let mut book = CrashRegistry::default();
     for crash in crashes {
         book.crashed(REQUEST, crash.clone(), NOW);
     }
@@ -42,9 +43,9 @@
     let crashes: Vec<CrashId> = crashes.iter().map(|(id, at)| crash(id, *at)).collect();
     let book = book(&crashes);
     assert_eq!(book.crashes(REQUEST), expected);
-    let is_refused = matches!(book.standing(REQUEST, NOW), Standing::Refused { .. });
-    assert_eq!(is_refused, expected >= MOST_CRASHES);
-    assert_eq!(book.standing(Fingerprint(8), NOW), Standing::Free);
+    let is_refused = matches!(book.status(REQUEST, NOW), CrashStatus::Refused { .. });
+    assert_eq!(is_refused, expected >= MAX_CRASHES);
+    assert_eq!(book.status(Fingerprint(8), NOW), CrashStatus::Free);
 }
 
 #[test]
@@ -53,16 +54,16 @@
     let mut now = NOW;
     for (late, refused_ms) in REFUSED_MS.iter().enumerate() {
         let left_ms = *refused_ms;
-        assert_eq!(book.standing(REQUEST, now), Standing::Refused { left_ms });
+        assert_eq!(book.status(REQUEST, now), CrashStatus::Refused { left_ms });
         now = WallMs(now.0 + refused_ms - 1);
-        let last = Standing::Refused { left_ms: 1 };
-        assert_eq!(book.standing(REQUEST, now), last);
+        let last = CrashStatus::Refused { left_ms: 1 };
+        assert_eq!(book.status(REQUEST, now), last);
         now = WallMs(now.0 + 1);
-        assert_eq!(book.standing(REQUEST, now), Standing::OnProbation);
+        assert_eq!(book.status(REQUEST, now), CrashStatus::OnProbation);
         book.crashed(REQUEST, crash("late", late as u64), now);
     }
-    let left_ms = REFUSED_MS[LATE_RUNS];
-    assert_eq!(book.standing(REQUEST, now), Standing::Refused { left_ms });
+    let left_ms = REFUSED_MS[MAX_PROBES];
+    assert_eq!(book.status(REQUEST, now), CrashStatus::Refused { left_ms });
 }
 
 /// A request that is sent every four seconds and crashes whatever runs it, and a crash that is not noted,
@@ -75,11 +76,11 @@
     const PAUSE_MS: u64 = 4_000;
     const DAY_MS: u64 = 86_400_000;
     const LATE_RUNS_ALLOWED: usize = 3;
-    let mut book = CrashBook::default();
+    let mut book = CrashRegistry::default();
     let mut runs = 0;
     for at in (0..DAY_MS).step_by(PAUSE_MS as usize) {
         let now = later(at);
-        if let Standing::Refused { .. } = book.standing(REQUEST, now) {
+        if let CrashStatus::Refused { .. } = book.status(REQUEST, now) {
             continue;
         }
         if runs != lost {
@@ -87,7 +88,7 @@
         }
         runs += 1;
     }
-    assert!(runs <= MOST_CRASHES + LATE_RUNS_ALLOWED, "{runs} runs");
+    assert!(runs <= MAX_CRASHES + LATE_RUNS_ALLOWED, "{runs} runs");
 }
 
 #[test]
@@ -96,33 +97,33 @@
     assert!(book.clear(REQUEST));
     assert!(!book.clear(REQUEST));
     book.crashed(REQUEST, crash("c", 1), NOW);
-    assert_eq!(book.standing(REQUEST, NOW), Standing::Free);
+    assert_eq!(book.status(REQUEST, NOW), CrashStatus::Free);
 }
 
 #[test]
 fn evidence_expires_unless_the_request_is_refused() {
     let mut few = book(&[crash("a", 1), crash("b", 1)]);
-    assert!(few.expire(later(SUSPECT_MS - 1)).is_empty());
-    assert_eq!(few.expire(later(SUSPECT_MS)), [REQUEST]);
+    assert!(few.expire(later(SUSPECT_TTL_MS - 1)).is_empty());
+    assert_eq!(few.expire(later(SUSPECT_TTL_MS)), [REQUEST]);
     assert!(few.is_empty());
     let mut enough = book(&[crash("a", 1), crash("b", 1), crash("c", 1)]);
-    assert!(enough.expire(later(SUSPECT_MS)).is_empty());
+    assert!(enough.expire(later(SUSPECT_TTL_MS)).is_empty());
 }
 
-#[test_case(1, ItemRest::None; "not enough")]
-#[test_case(2, ItemRest::Pause { pause_ms: 1_000 }; "one more would be too many")]
-#[test_case(3, ItemRest::Pause { pause_ms: 2_500 }; "the first late run comes soon")]
-#[test_case(4, ItemRest::Pause { pause_ms: 10_000 }; "the second one later")]
-#[test_case(5, ItemRest::Pause { pause_ms: 20_000 }; "the last")]
-#[test_case(6, ItemRest::UntilGivenUp; "none left")]
-#[test_case(60, ItemRest::UntilGivenUp; "far too many")]
-fn the_runs_of_an_item_are_spread_over_its_time(crashes: usize, expected: ItemRest) {
-    assert_eq!(item_rest(crashes, 60_000), expected);
+#[test_case(1, ItemBackoff::None; "not enough")]
+#[test_case(2, ItemBackoff::Delay { pause_ms: 1_000 }; "one more would be too many")]
+#[test_case(3, ItemBackoff::Delay { pause_ms: 2_500 }; "the first late run comes soon")]
+#[test_case(4, ItemBackoff::Delay { pause_ms: 10_000 }; "the second one later")]
+#[test_case(5, ItemBackoff::Delay { pause_ms: 20_000 }; "the last")]
+#[test_case(6, ItemBackoff::NoMoreAttempts; "none left")]
+#[test_case(60, ItemBackoff::NoMoreAttempts; "far too many")]
+fn the_runs_of_an_item_are_spread_over_its_time(crashes: usize, expected: ItemBackoff) {
+    assert_eq!(item_backoff(crashes, 60_000), expected);
 }
 
-fn evidence() -> impl Strategy<Value = Evidence> {
+fn evidence() -> impl Strategy<Value = CrashEvidence> {
     let crashes = prop::collection::btree_set((0_u8..4, 1_u64..4), 0..5);
-    (crashes, 0_u64..100).prop_map(|(crashes, last_unix_ms)| Evidence {
+    (crashes, 0_u64..100).prop_map(|(crashes, last_unix_ms)| CrashEvidence {
         crashes: crashes
             .into_iter()
             .map(|(backend, started)| crash(&format!("b{backend}"), started))
@@ -137,9 +138,9 @@
         told in prop::collection::vec(evidence(), 1..6),
         again in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
-        let mut first = Evidence::default();
+        let mut first = CrashEvidence::default();
         told.iter().for_each(|one| { first.join(one); });
-        let mut second = Evidence::default();
+        let mut second = CrashEvidence::default();
         told.iter().rev().for_each(|one| { second.join(one); });
         for index in again {
             prop_assert!(!second.join(index.get(&told)));
--- a/crates/foxtailhold/tests/leaving.rs
+++ b/crates/foxtailhold/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Marks of leaving backend servers reach all instances and end everywhere.
 
 use foxtailhold::ids::BackendId;
-use foxtailhold::leaving::{LeavingMark, LeavingMarks, MARK_TTL_MS};
+use foxtailhold::leaving::{LeavingBackends, LeavingNotice, MARK_TTL_MS};
 use foxtailhold::membership::PROBE_PERIOD_MS;
 use foxtailhold::time::{MonoMs, WallMs};
 use rand::rngs::SmallRng;
@@ -15,8 +15,8 @@
 const SPREAD_MS: u64 = 10_000;
 
 struct Instances {
-    marks: Vec<LeavingMarks>,
-    on_the_way: Vec<(u64, usize, Vec<LeavingMark>)>,
+    marks: Vec<LeavingBackends>,
+    on_the_way: Vec<(u64, usize, Vec<LeavingNotice>)>,
     rng: SmallRng,
     now_ms: u64,
 }
@@ -24,7 +24,7 @@
 impl Instances {
     fn new(count: usize, seed: u64) -> Self {
         Instances {
-            marks: vec![LeavingMarks::default(); count],
+            marks: vec![LeavingBackends::default(); count],
             on_the_way: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             now_ms: 60_000,
@@ -36,10 +36,10 @@
         self.now_ms += PROBE_PERIOD_MS;
         let now = MonoMs(self.now_ms);
         if let Some(backend) = witness {
-            self.marks[0].witness(backend, WallMs(self.now_ms), now);
+            self.marks[0].observe(backend, WallMs(self.now_ms), now);
         }
         for from in 0..self.marks.len() {
-            let told = self.marks[from].told(now);
+            let told = self.marks[from].outgoing(now);
             for _ in 0..self.rng.random_range(0..5) {
                 let to = self.rng.random_range(0..self.marks.len());
                 let due_ms = self.now_ms + self.rng.random_range(0..MAX_WAY_MS);
@@ -51,9 +51,9 @@
             .drain(..)
             .partition(|(due_ms, _, _)| *due_ms <= self.now_ms);
         self.on_the_way = later;
-        let due: Vec<(u64, usize, Vec<LeavingMark>)> = due;
+        let due: Vec<(u64, usize, Vec<LeavingNotice>)> = due;
         for (_, to, told) in due {
-            self.marks[to].hear(&told, now);
+            self.marks[to].merge(&told, now);
         }
         for marks in &mut self.marks {
             marks.tick(now);
@@ -62,7 +62,7 @@
 
     fn marked(&self, backend: &BackendId) -> usize {
         let now = MonoMs(self.now_ms);
-        let marked = self.marks.iter().filter(|m| m.is_marked(backend, now));
+        let marked = self.marks.iter().filter(|m| m.is_leaving(backend, now));
         marked.count()
     }
 }
@@ -93,13 +93,13 @@
 #[test]
 fn late_message_revives_no_mark_and_a_witness_on_a_clock_that_went_back_is_heard() {
     let backend = BackendId::try_from("engine-0").unwrap();
-    let mut marks = LeavingMarks::default();
-    assert!(marks.witness(&backend, WallMs(9_000), MonoMs(1_000)));
-    let late = marks.told(MonoMs(1_000));
+    let mut marks = LeavingBackends::default();
+    assert!(marks.observe(&backend, WallMs(9_000), MonoMs(1_000)));
+    let late = marks.outgoing(MonoMs(1_000));
     let after = MonoMs(1_000 + MARK_TTL_MS);
-    assert!(!marks.is_marked(&backend, after));
-    assert!(!marks.hear(&late, after));
-    assert!(!marks.is_marked(&backend, after));
-    assert!(marks.witness(&backend, WallMs(100), after));
-    assert!(marks.told(after)[0].number > late[0].number);
+    assert!(!marks.is_leaving(&backend, after));
+    assert!(!marks.merge(&late, after));
+    assert!(!marks.is_leaving(&backend, after));
+    assert!(marks.observe(&backend, WallMs(100), after));
+    assert!(marks.outgoing(after)[0].number > late[0].number);
 }
--- a/crates/foxtailhold/tests/limits_coordinator.rs
+++ b/crates/foxtailhold/tests/limits_coordinator.rs
@@ -5,7 +5,8 @@
 
 use common::shares::{INSTANCES, TERMS, customer, instance};
 use foxtailhold::limits::{
-    Ask, Credit, Demand, Grant, Holder, LEASE_MS, LimitHome, Share, Verdict, Views, WHOLE_PPM,
+    Credit, Demand, FULL_SHARE_PPM, LEASE_MS, LimitCoordinator, LimitDecision, MembershipViews,
+    Share, ShareGrant, ShareHolder, ShareRequest,
 };
 use foxtailhold::time::MonoMs;
 use test_case::test_case;
@@ -13,8 +14,8 @@
 const NOW: MonoMs = MonoMs(100_000);
 
 struct Home {
-    home: LimitHome,
-    views: Views,
+    home: LimitCoordinator,
+    views: MembershipViews,
     number: u64,
 }
 
@@ -23,21 +24,21 @@
     fn new() -> Self {
         let mut views = None;
         for index in 0..INSTANCES {
-            let mut view = Views::new(instance(index), MonoMs(0));
+            let mut view = MembershipViews::new(instance(index), MonoMs(0));
             view.set((0..INSTANCES).map(instance).collect(), 0, MonoMs(0));
-            if view.is_home(&customer()) {
+            if view.is_coordinator(&customer()) {
                 views = Some(view);
             }
         }
         Home {
-            home: LimitHome::default(),
+            home: LimitCoordinator::default(),
             views: views.unwrap(),
             number: 0,
         }
     }
 
     /// An ask of an instance that could use all, held at `held`; `None` gives back.
-    fn ask(&mut self, from: usize, held: Option<Share>, at: MonoMs) -> Option<Grant> {
+    fn ask(&mut self, from: usize, held: Option<Share>, at: MonoMs) -> Option<ShareGrant> {
         self.number += 1;
         let demand = Demand {
             requests_per_s: TERMS.requests_per_s,
@@ -45,7 +46,7 @@
             slots: TERMS.slots,
             in_flight: 0,
         };
-        let ask = Ask {
+        let ask = ShareRequest {
             customer: customer(),
             number: self.number,
             held: held.unwrap_or_default(),
@@ -70,11 +71,11 @@
     let shrunk = home.share(0, large, NOW + 1_000);
     assert!(shrunk.requests_ppm < large.requests_ppm);
     let held = home.share(1, small, NOW + 1_001);
-    assert!(held.requests_ppm <= WHOLE_PPM - large.requests_ppm);
+    assert!(held.requests_ppm <= FULL_SHARE_PPM - large.requests_ppm);
     home.share(0, shrunk, NOW + 1_002);
     let grown = home.share(1, held, NOW + 1_003);
     assert!(grown.requests_ppm > held.requests_ppm);
-    assert!(grown.requests_ppm <= WHOLE_PPM - shrunk.requests_ppm);
+    assert!(grown.requests_ppm <= FULL_SHARE_PPM - shrunk.requests_ppm);
 }
 
 #[test_case(LEASE_MS - 1, false; "before the lease ends")]
@@ -83,7 +84,10 @@
     let mut home = Home::new();
     let large = home.share(0, Share::default(), NOW);
     let share = home.share(1, Share::default(), NOW + after_ms);
-    assert_eq!(share.requests_ppm > WHOLE_PPM - large.requests_ppm, free);
+    assert_eq!(
+        share.requests_ppm > FULL_SHARE_PPM - large.requests_ppm,
+        free
+    );
 }
 
 #[test]
@@ -110,9 +114,9 @@
 fn while_an_earlier_home_may_have_granted_newcomers_get_only_their_part() {
     let mut home = Home::new();
     let me = (0..INSTANCES).find(|index| {
-        let mut views = Views::new(instance(*index), MonoMs(0));
+        let mut views = MembershipViews::new(instance(*index), MonoMs(0));
         views.set((0..INSTANCES).map(instance).collect(), 0, MonoMs(0));
-        views.is_home(&customer())
+        views.is_coordinator(&customer())
     });
     let me = me.unwrap();
     let others: Vec<usize> = (0..INSTANCES).filter(|index| *index != me).collect();
@@ -122,11 +126,11 @@
     let all = (0..INSTANCES).map(instance).collect();
     home.views.set(all, INSTANCES as u32, NOW + 1);
 
-    let part = WHOLE_PPM / INSTANCES as u32;
+    let part = FULL_SHARE_PPM / INSTANCES as u32;
     let newcomer = home.share(others[0], Share::default(), NOW + 2);
     assert_eq!(newcomer.requests_ppm, part);
     let claimed = Share {
-        requests_ppm: WHOLE_PPM / 2,
+        requests_ppm: FULL_SHARE_PPM / 2,
         tokens_ppm: part + 1,
         slots: TERMS.slots / 2,
     };
@@ -140,11 +144,11 @@
 
 #[test]
 fn a_first_request_is_admitted_on_a_share_without_credit() {
-    let mut holder = Holder::new(NOW);
+    let mut holder = ShareHolder::new(NOW);
     let count = INSTANCES as u32;
-    assert_eq!(holder.admit(&TERMS, count, 1.0, NOW), Verdict::Wait);
+    assert_eq!(holder.admit(&TERMS, count, 1.0, NOW), LimitDecision::Wait);
     let ask = holder.ask(&customer(), &TERMS, 1, NOW).unwrap();
-    let grant = Grant {
+    let grant = ShareGrant {
         customer: customer(),
         number: ask.number,
         share: Share::part(&TERMS, 1, 16),
@@ -152,13 +156,16 @@
             requests: 0.0,
             tokens: 1.0,
         },
-        hurry: true,
+        renew_soon: true,
         rising: false,
     };
     holder.granted(&TERMS, &grant, NOW);
-    assert_eq!(holder.admit(&TERMS, count, 1.0, NOW), Verdict::Admitted);
+    assert_eq!(
+        holder.admit(&TERMS, count, 1.0, NOW),
+        LimitDecision::Admitted
+    );
     let second = holder.admit(&TERMS, count, 1.0, NOW);
-    assert!(matches!(second, Verdict::Over { .. }), "{second:?}");
+    assert!(matches!(second, LimitDecision::Over { .. }), "{second:?}");
 }
 
 #[test]
@@ -172,5 +179,5 @@
     assert_eq!(kept, small);
     let cut = home.share(0, large, NOW + 3);
     assert!(cut.requests_ppm < large.requests_ppm);
-    assert!(cut.requests_ppm + kept.requests_ppm <= WHOLE_PPM / 2);
+    assert!(cut.requests_ppm + kept.requests_ppm <= FULL_SHARE_PPM / 2);
 }
--- a/crates/foxtailhold/tests/limits_newcomers.rs
+++ b/crates/foxtailhold/tests/limits_newcomers.rs
@@ -4,13 +4,14 @@
 
 use common::shares::{INSTANCES, World, customer, instance};
 use foxtailhold::limits::{
-    Ask, Credit, Demand, Grant, Holder, LimitHome, Share, Terms, Verdict, Views, WHOLE_PPM,
+    Credit, CustomerLimits, Demand, FULL_SHARE_PPM, LimitCoordinator, LimitDecision,
+    MembershipViews, Share, ShareGrant, ShareHolder, ShareRequest,
 };
 use foxtailhold::time::MonoMs;
 use test_case::test_case;
 
 const NOW: MonoMs = MonoMs(100_000);
-const TERMS: Terms = Terms {
+const TERMS: CustomerLimits = CustomerLimits {
     requests_per_s: 10_000.0,
     burst_requests: 10_000.0,
     tokens_per_s: 1e6,
@@ -29,20 +30,20 @@
 };
 
 /// The view of the customer's home among `COUNT` instances, which started then.
-fn home_views(started_at: MonoMs) -> Views {
+fn home_views(started_at: MonoMs) -> MembershipViews {
     let all = || (0..COUNT as usize).map(instance).collect::<Vec<_>>();
     for id in all() {
-        let mut views = Views::new(id, started_at);
+        let mut views = MembershipViews::new(id, started_at);
         views.set(all(), COUNT, started_at);
-        if views.is_home(&customer()) {
+        if views.is_coordinator(&customer()) {
             return views;
         }
     }
     panic!("one of them is the home");
 }
 
-fn ask(number: u64, held: Share) -> Ask {
-    Ask {
+fn ask(number: u64, held: Share) -> ShareRequest {
+    ShareRequest {
         customer: customer(),
         number,
         held,
@@ -51,8 +52,8 @@
     }
 }
 
-fn answer(share: Share) -> Grant {
-    Grant {
+fn answer(share: Share) -> ShareGrant {
+    ShareGrant {
         customer: customer(),
         number: 1,
         share,
@@ -60,22 +61,22 @@
             requests: 100.0,
             tokens: 100.0,
         },
-        hurry: false,
+        renew_soon: false,
         rising: false,
     }
 }
 
 /// A holder that has asked for its first share.
-fn asking() -> Holder {
-    let mut holder = Holder::new(NOW);
-    assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), Verdict::Wait);
+fn asking() -> ShareHolder {
+    let mut holder = ShareHolder::new(NOW);
+    assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), LimitDecision::Wait);
     assert!(holder.ask(&customer(), &TERMS, 1, NOW).is_some());
     holder
 }
 
 #[test]
 fn each_newcomer_finds_room_beside_those_that_came_before() {
-    let (mut home, views) = (LimitHome::default(), home_views(MonoMs(0)));
+    let (mut home, views) = (LimitCoordinator::default(), home_views(MonoMs(0)));
     let mut sum = Share::default();
     for index in 0..COUNT {
         let from = instance(index as usize);
@@ -83,7 +84,7 @@
         let grant = home.ask(&from, &asked, &TERMS, &views, NOW).unwrap();
         let share = grant.share;
         assert!(share.slots > 0, "instance {index}: {share:?}");
-        let least_ppm = WHOLE_PPM / 1_000;
+        let least_ppm = FULL_SHARE_PPM / 1_000;
         assert!(
             share.requests_ppm > least_ppm,
             "instance {index}: {share:?}"
@@ -91,14 +92,17 @@
         assert!(share.tokens_ppm > least_ppm, "instance {index}: {share:?}");
         sum = sum.plus(share);
     }
-    assert!(sum.requests_ppm <= WHOLE_PPM && sum.slots <= TERMS.slots);
+    assert!(sum.requests_ppm <= FULL_SHARE_PPM && sum.slots <= TERMS.slots);
 }
 
 #[test]
 fn a_home_that_knew_only_itself_lets_holders_give_room_to_newcomers() {
-    let mut home = LimitHome::default();
-    let me = home_views(MonoMs(0)).home(&customer()).unwrap().clone();
-    let mut views = Views::new(me.clone(), NOW);
+    let mut home = LimitCoordinator::default();
+    let me = home_views(MonoMs(0))
+        .coordinator(&customer())
+        .unwrap()
+        .clone();
+    let mut views = MembershipViews::new(me.clone(), NOW);
     let first = home.ask(&me, &ask(1, Share::default()), &TERMS, &views, NOW);
     let first = first.unwrap().share;
     assert_eq!(first, Share::part(&TERMS, 1, 1));
@@ -119,9 +123,12 @@
 
 #[test]
 fn a_home_that_knows_only_itself_leaves_room_beside_one_that_asks_and_is_lost() {
-    let mut home = LimitHome::default();
-    let me = home_views(MonoMs(0)).home(&customer()).unwrap().clone();
-    let views = Views::new(me.clone(), NOW);
+    let mut home = LimitCoordinator::default();
+    let me = home_views(MonoMs(0))
+        .coordinator(&customer())
+        .unwrap()
+        .clone();
+    let views = MembershipViews::new(me.clone(), NOW);
     let other = (0..COUNT as usize).map(instance).find(|id| *id != me);
     let first = home.ask(
         &other.unwrap(),
@@ -137,15 +144,15 @@
 
 #[test]
 fn a_new_home_raises_a_small_share_to_the_part_of_one_instance() {
-    let (mut home, views) = (LimitHome::default(), home_views(NOW));
+    let (mut home, views) = (LimitCoordinator::default(), home_views(NOW));
     let small = Share {
-        requests_ppm: WHOLE_PPM / 2,
+        requests_ppm: FULL_SHARE_PPM / 2,
         tokens_ppm: 40,
         slots: 1,
     };
     let other = (0..COUNT as usize)
         .map(instance)
-        .find(|id| views.home(&customer()) != Some(id));
+        .find(|id| views.coordinator(&customer()) != Some(id));
     let grant = home.ask(&other.unwrap(), &ask(1, small), &TERMS, &views, NOW + 1);
     let part = Share::part(&TERMS, 1, COUNT);
     assert_eq!(grant.unwrap().share, small.max(part));
@@ -158,7 +165,7 @@
 fn first_requests_wait_while_all_is_granted_elsewhere(share: Share) {
     let mut holder = asking();
     holder.granted(&TERMS, &answer(share), NOW);
-    assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), Verdict::Wait);
+    assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), LimitDecision::Wait);
 }
 
 #[test]
@@ -166,34 +173,37 @@
     let mut holder = asking();
     holder.fall_back(&TERMS, COUNT, NOW + 50);
     let first = holder.admit(&TERMS, COUNT, 10.0, NOW + 50);
-    assert_eq!(first, Verdict::Admitted);
+    assert_eq!(first, LimitDecision::Admitted);
     holder.granted(&TERMS, &answer(Share::default()), NOW + 60);
     let second = holder.admit(&TERMS, COUNT, 10.0, NOW + 60);
-    assert_eq!(second, Verdict::Wait);
+    assert_eq!(second, LimitDecision::Wait);
 }
 
-#[test_case(true, Verdict::Wait; "that is being raised")]
-#[test_case(false, Verdict::Admitted; "that is all there is")]
-fn a_second_request_on_a_small_share(rising: bool, other: Verdict) {
+#[test_case(true, LimitDecision::Wait; "that is being raised")]
+#[test_case(false, LimitDecision::Admitted; "that is all there is")]
+fn a_second_request_on_a_small_share(rising: bool, other: LimitDecision) {
     let mut holder = asking();
     let share = Share {
         requests_ppm: 900_000,
         tokens_ppm: 900_000,
         slots: 1,
     };
-    let grant = Grant {
+    let grant = ShareGrant {
         rising,
         ..answer(share)
     };
     holder.granted(&TERMS, &grant, NOW);
-    assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), Verdict::Admitted);
+    assert_eq!(
+        holder.admit(&TERMS, COUNT, 10.0, NOW),
+        LimitDecision::Admitted
+    );
     let second = holder.admit(&TERMS, COUNT, 10.0, NOW);
     match other {
-        Verdict::Wait => assert_eq!(second, Verdict::Wait),
-        _ => assert!(matches!(second, Verdict::Over { .. }), "{second:?}"),
+        LimitDecision::Wait => assert_eq!(second, LimitDecision::Wait),
+        _ => assert!(matches!(second, LimitDecision::Over { .. }), "{second:?}"),
     }
     let late = holder.admit(&TERMS, COUNT, 10.0, NOW + 2_000);
-    assert!(matches!(late, Verdict::Over { .. }), "{late:?}");
+    assert!(matches!(late, LimitDecision::Over { .. }), "{late:?}");
 }
 
 #[test]
--- a/crates/foxtailhold/tests/membership.rs
+++ b/crates/foxtailhold/tests/membership.rs
@@ -73,17 +73,17 @@
 fn instance_cut_off_knows_it_and_comes_back() {
     let mut nodes = settled(11, 11);
     nodes.nodes[5].cut = true;
-    nodes.periods_until(10, |nodes| nodes.nodes[5].membership.is_cut_off());
+    nodes.periods_until(10, |nodes| nodes.nodes[5].membership.is_isolated());
     for _ in 0..40 {
         nodes.period();
         for (index, node) in nodes.nodes.iter().enumerate() {
-            assert_eq!(node.membership.is_cut_off(), index == 5);
+            assert_eq!(node.membership.is_isolated(), index == 5);
         }
     }
     nodes.nodes[5].cut = false;
     nodes.periods_until(40, |nodes| {
         let others = (0..11).all(|index| nodes.agreed(index, MemberState::Alive));
-        others && !nodes.nodes[5].membership.is_cut_off()
+        others && !nodes.nodes[5].membership.is_isolated()
     });
 }
 
--- a/crates/foxtailhold/tests/quarantine.rs
+++ b/crates/foxtailhold/tests/quarantine.rs
@@ -2,8 +2,8 @@
 
 use foxtailhold::ids::{BackendId, CustomerId};
 use foxtailhold::quarantine::{
-    CONVICTED_MS, CrashId, Fingerprint, Flight, GATHER_MS, Notice, QUIET_MS, Quarantine, Standing,
-    TrialAnswer, TrialEnd,
+    CONVICTED_MS, CrashId, Fingerprint, GATHER_MS, InFlightRequest, PROBE_DELAY_MS, ProbeOutcome,
+    ProbeResponse, Quarantine, QuarantineNotice, QuarantineStatus,
 };
 use foxtailhold::time::MonoMs;
 use test_case::test_case;
@@ -15,12 +15,12 @@
     BackendId::try_from(name).unwrap()
 }
 
-fn crash(backend: &str, number: u64, flights: &[(Fingerprint, u64)]) -> Notice {
-    let flight = |&(fingerprint, age_ms)| Flight {
+fn crash(backend: &str, number: u64, flights: &[(Fingerprint, u64)]) -> QuarantineNotice {
+    let flight = |&(fingerprint, age_ms)| InFlightRequest {
         fingerprint,
         age_ms,
     };
-    Notice::Crashed {
+    QuarantineNotice::Crashed {
         crash: CrashId {
             backend: id(backend),
             started_unix_ms: number,
@@ -34,19 +34,25 @@
     let mut quarantine = Quarantine::default();
     let flights = [(SUSPECT, 30), (OTHER, 50)];
     quarantine.on_notice(&crash("engine-0", 1, &flights), MonoMs(900));
-    quarantine.on_notice(&Notice::Cleared { fingerprint: OTHER }, MonoMs(950));
+    quarantine.on_notice(
+        &QuarantineNotice::Cleared { fingerprint: OTHER },
+        MonoMs(950),
+    );
     let answer = quarantine.ask(SUSPECT, &[id("engine-1")], MonoMs(1_000));
-    assert!(matches!(answer, TrialAnswer::Granted { .. }), "{answer:?}");
+    assert!(
+        matches!(answer, ProbeResponse::Granted { .. }),
+        "{answer:?}"
+    );
     quarantine
 }
 
 /// The verdict on a trial that crashed at 1,500 ms with other requests of these ages there.
-fn verdict(quarantine: &mut Quarantine, others: &[(Fingerprint, u64)]) -> Vec<Notice> {
+fn verdict(quarantine: &mut Quarantine, others: &[(Fingerprint, u64)]) -> Vec<QuarantineNotice> {
     let now = MonoMs(1_500);
     let mut flights = vec![(SUSPECT, 100)];
     flights.extend(others);
     quarantine.on_notice(&crash("engine-1", 1, &flights), now);
-    quarantine.trial_ended(SUSPECT, &id("engine-1"), TrialEnd::Crashed, now);
+    quarantine.probe_ended(SUSPECT, &id("engine-1"), ProbeOutcome::Crashed, now);
     assert_eq!(quarantine.tick(now), []);
     quarantine.tick(now + GATHER_MS)
 }
@@ -62,17 +68,17 @@
     let mut quarantine = on_trial();
     let notices = verdict(&mut quarantine, others);
     let expected = match convicted {
-        true => Notice::Convicted {
+        true => QuarantineNotice::Convicted {
             fingerprint: SUSPECT,
             left_ms: CONVICTED_MS,
         },
-        false => Notice::Inconclusive {
+        false => QuarantineNotice::Inconclusive {
             fingerprint: SUSPECT,
         },
     };
     assert_eq!(notices, [expected]);
-    let standing = quarantine.standing(SUSPECT, MonoMs(1_900));
-    assert_eq!(standing != Standing::Suspect, convicted);
+    let standing = quarantine.status(SUSPECT, MonoMs(1_900));
+    assert_eq!(standing != QuarantineStatus::Suspect, convicted);
 }
 
 #[test]
@@ -80,14 +86,17 @@
     let mut quarantine = on_trial();
     verdict(&mut quarantine, &[(OTHER, 100)]);
     let answer = quarantine.ask(SUSPECT, &[id("engine-2")], MonoMs(2_000));
-    assert!(matches!(answer, TrialAnswer::Granted { .. }), "{answer:?}");
+    assert!(
+        matches!(answer, ProbeResponse::Granted { .. }),
+        "{answer:?}"
+    );
     let now = MonoMs(2_300);
     let flights = [(SUSPECT, 50), (Fingerprint(9), 50)];
     quarantine.on_notice(&crash("engine-2", 1, &flights), now);
-    quarantine.trial_ended(SUSPECT, &id("engine-2"), TrialEnd::Crashed, now);
+    quarantine.probe_ended(SUSPECT, &id("engine-2"), ProbeOutcome::Crashed, now);
     let notices = quarantine.tick(now + GATHER_MS);
     assert!(
-        matches!(notices[..], [Notice::Convicted { .. }]),
+        matches!(notices[..], [QuarantineNotice::Convicted { .. }]),
         "{notices:?}"
     );
 }
@@ -98,14 +107,14 @@
     let flights = [(OTHER, 50)];
     quarantine.on_notice(&crash("engine-3", 1, &flights), MonoMs(1_000));
     let wait = quarantine.ask(OTHER, &[id("engine-1")], MonoMs(1_000));
-    assert!(matches!(wait, TrialAnswer::Wait { .. }), "{wait:?}");
+    assert!(matches!(wait, ProbeResponse::Wait { .. }), "{wait:?}");
     let same = quarantine.ask(SUSPECT, &[id("engine-2")], MonoMs(1_000));
-    assert!(matches!(same, TrialAnswer::Wait { .. }), "{same:?}");
+    assert!(matches!(same, ProbeResponse::Wait { .. }), "{same:?}");
     let elsewhere = quarantine.ask(OTHER, &[id("engine-1"), id("engine-2")], MonoMs(1_000));
-    let granted = TrialAnswer::Granted {
+    let granted = ProbeResponse::Granted {
         backend: id("engine-2"),
         strict: true,
-        quiet_ms: QUIET_MS,
+        quiet_ms: PROBE_DELAY_MS,
     };
     assert_eq!(
         elsewhere, granted,
@@ -116,21 +125,29 @@
 #[test]
 fn survivor_is_cleared_and_convict_is_tried_again_after_its_time() {
     let mut quarantine = on_trial();
-    let end = quarantine.trial_ended(SUSPECT, &id("engine-1"), TrialEnd::Survived, MonoMs(1_300));
+    let end = quarantine.probe_ended(
+        SUSPECT,
+        &id("engine-1"),
+        ProbeOutcome::Survived,
+        MonoMs(1_300),
+    );
     assert_eq!(
         end,
-        Some(Notice::Cleared {
+        Some(QuarantineNotice::Cleared {
             fingerprint: SUSPECT
         })
     );
-    assert_eq!(quarantine.standing(SUSPECT, MonoMs(1_300)), Standing::Clear);
+    assert_eq!(
+        quarantine.status(SUSPECT, MonoMs(1_300)),
+        QuarantineStatus::Clear
+    );
 
     let mut quarantine = on_trial();
     verdict(&mut quarantine, &[]);
     let until = MonoMs(1_500) + GATHER_MS + CONVICTED_MS;
-    let left = quarantine.standing(SUSPECT, MonoMs(until.0 - 1));
-    assert_eq!(left, Standing::Convicted { left_ms: 1 });
-    assert_eq!(quarantine.standing(SUSPECT, until), Standing::Suspect);
+    let left = quarantine.status(SUSPECT, MonoMs(until.0 - 1));
+    assert_eq!(left, QuarantineStatus::Convicted { left_ms: 1 });
+    assert_eq!(quarantine.status(SUSPECT, until), QuarantineStatus::Suspect);
 }
 
 #[test]
@@ -141,9 +158,9 @@
     for notice in quarantine.snapshot(MonoMs(2_000)) {
         started.on_notice(&notice, MonoMs(5));
     }
-    let standing = started.standing(SUSPECT, MonoMs(5));
+    let standing = started.status(SUSPECT, MonoMs(5));
     assert!(
-        matches!(standing, Standing::Convicted { .. }),
+        matches!(standing, QuarantineStatus::Convicted { .. }),
         "{standing:?}"
     );
 }
--- a/crates/foxtailhold/tests/quarantine_fuzz/world.rs
+++ b/crates/foxtailhold/tests/quarantine_fuzz/world.rs
@@ -2,9 +2,10 @@
 
 use foxtailhold::ids::BackendId;
 use foxtailhold::quarantine::{
-    CrashId, Fingerprint, Flight, Notice, Quarantine, Standing, TrialEnd,
+    CrashId, Fingerprint, InFlightRequest, ProbeOutcome, Quarantine, QuarantineNotice,
+    QuarantineStatus,
 };
-use foxtailhold::suspect::{Asking, NextStep};
+use foxtailhold::suspect::{ProbeNegotiation, SuspectAction};
 use foxtailhold::time::MonoMs;
 
 pub const INSTANCES: usize = 4;
@@ -53,13 +54,13 @@
     instance: usize,
     request: u128,
     stage: Stage,
-    asking: Asking,
+    asking: ProbeNegotiation,
     runs: u32,
 }
 
 enum Message {
-    Notice(usize, Notice),
-    Ended(Fingerprint, BackendId, TrialEnd),
+    Notice(usize, QuarantineNotice),
+    Ended(Fingerprint, BackendId, ProbeOutcome),
 }
 
 /// What was done, printed at the end of each case where `FOXTAILHOLD_FUZZ_CASES` is set.
@@ -125,14 +126,15 @@
     }
 
     /// Sends a notice to all other instances, to some of them twice. Some do not hear of trials.
-    fn tell(&mut self, from: usize, notice: &Notice) {
+    fn tell(&mut self, from: usize, notice: &QuarantineNotice) {
         self.counts.notices += 1;
-        self.counts.convictions += u64::from(matches!(notice, Notice::Convicted { .. }));
+        self.counts.convictions += u64::from(matches!(notice, QuarantineNotice::Convicted { .. }));
         for to in 0..INSTANCES {
             if to == from {
                 continue;
             }
-            let is_lost = matches!(notice, Notice::Trial { .. }) && self.draw(3) == 0;
+            let is_lost =
+                matches!(notice, QuarantineNotice::ProbeStarted { .. }) && self.draw(3) == 0;
             let copies = match is_lost {
                 true => 0,
                 false => 1 + self.draw(2),
@@ -146,7 +148,7 @@
         }
     }
 
-    fn own(&mut self, instance: usize, notice: &Notice) {
+    fn own(&mut self, instance: usize, notice: &QuarantineNotice) {
         let now = self.mono();
         if self.tables[instance].on_notice(notice, now) {
             self.tell(instance, notice);
@@ -165,7 +167,7 @@
                     self.tables[to].on_notice(&notice, now);
                 }
                 Message::Ended(fingerprint, backend, end) => {
-                    let told = self.tables[HOME].trial_ended(fingerprint, &backend, end, now);
+                    let told = self.tables[HOME].probe_ended(fingerprint, &backend, end, now);
                     if let Some(notice) = told {
                         self.tell(HOME, &notice);
                     }
@@ -174,7 +176,7 @@
         }
     }
 
-    fn ended(&mut self, request: u128, backend: usize, end: TrialEnd) {
+    fn ended(&mut self, request: u128, backend: usize, end: ProbeOutcome) {
         let at = self.now + 1 + self.draw(MAX_DELAY_MS);
         let message = Message::Ended(Fingerprint(request), id(backend), end);
         self.network.push((at, message));
@@ -209,7 +211,7 @@
             if at != backend {
                 continue;
             }
-            flights[attempt.instance].push(Flight {
+            flights[attempt.instance].push(InFlightRequest {
                 fingerprint: Fingerprint(attempt.request),
                 age_ms: now - since,
             });
@@ -225,11 +227,11 @@
         for (instance, flights) in flights.into_iter().enumerate() {
             if !flights.is_empty() {
                 let crash = crash.clone();
-                self.own(instance, &Notice::Crashed { crash, flights });
+                self.own(instance, &QuarantineNotice::Crashed { crash, flights });
             }
         }
         for request in ended {
-            self.ended(request, backend, TrialEnd::Crashed);
+            self.ended(request, backend, ProbeOutcome::Crashed);
         }
     }
 
@@ -250,7 +252,7 @@
 
     fn plain(&mut self, instance: usize, request: u128) -> Stage {
         let table = &self.tables[instance];
-        let on_trial: Vec<_> = table.trial_backends().cloned().collect();
+        let on_trial: Vec<_> = table.probed_backends().cloned().collect();
         let mut free = self.live();
         free.retain(|backend| !on_trial.contains(&id(*backend)));
         if free.is_empty() {
@@ -269,7 +271,7 @@
         let (now, fingerprint) = (self.mono(), Fingerprint(request));
         let answer = self.tables[HOME].ask(fingerprint, &ids, now);
         match self.attempts[index].asking.answered(answer, now) {
-            NextStep::Try {
+            SuspectAction::Probe {
                 backend,
                 strict,
                 quiet_ms,
@@ -278,7 +280,7 @@
                 let place = ids.iter().position(|id| *id == backend).unwrap();
                 self.tell(
                     HOME,
-                    &Notice::Trial {
+                    &QuarantineNotice::ProbeStarted {
                         fingerprint,
                         backend,
                     },
@@ -289,9 +291,9 @@
                     strict,
                 }
             }
-            NextStep::Refuse { .. } => Stage::Refused,
-            NextStep::Send => self.plain(instance, request),
-            NextStep::AskAgain { after_ms } => Stage::Routing {
+            SuspectAction::Refuse { .. } => Stage::Refused,
+            SuspectAction::Send => self.plain(instance, request),
+            SuspectAction::Retry { after_ms } => Stage::Routing {
                 at: self.now + after_ms,
             },
         }
@@ -301,11 +303,11 @@
         let Attempt {
             instance, request, ..
         } = self.attempts[index];
-        let standing = self.tables[instance].standing(Fingerprint(request), self.mono());
+        let standing = self.tables[instance].status(Fingerprint(request), self.mono());
         self.attempts[index].stage = match standing {
-            Standing::Convicted { .. } => Stage::Refused,
-            Standing::Clear => self.plain(instance, request),
-            Standing::Suspect => self.ask(index),
+            QuarantineStatus::Convicted { .. } => Stage::Refused,
+            QuarantineStatus::Clear => self.plain(instance, request),
+            QuarantineStatus::Suspect => self.ask(index),
         };
     }
 
@@ -319,7 +321,7 @@
                 strict,
             } if until <= self.now => {
                 if self.down_until[backend] > self.now {
-                    self.ended(request, backend, TrialEnd::Unknown);
+                    self.ended(request, backend, ProbeOutcome::Unknown);
                     self.attempts[index].stage = Stage::Routing { at: self.now + 20 };
                     return;
                 }
@@ -341,7 +343,7 @@
                 }
                 self.attempts[index].stage = Stage::Answered;
                 if trial.is_some() {
-                    self.ended(request, backend, TrialEnd::Survived);
+                    self.ended(request, backend, ProbeOutcome::Survived);
                 }
             }
             _ => {}
@@ -370,7 +372,7 @@
             instance,
             request,
             stage: Stage::Routing { at: self.now },
-            asking: Asking::default(),
+            asking: ProbeNegotiation::default(),
             runs: 0,
         });
     }
--- a/crates/foxtailhold/tests/routing.rs
+++ b/crates/foxtailhold/tests/routing.rs
@@ -44,8 +44,8 @@
                 },
                 ..ReplicaLoad::default()
             },
-            availability: Availability::Open,
-            on_trial: false,
+            availability: Availability::Available,
+            under_probe: false,
             gap_us: 5_000,
         };
         (0..9).map(candidate).collect()
@@ -121,8 +121,8 @@
 }
 
 #[test_case(|candidate| candidate.state = FleetState::Leaving ; "leaving")]
-#[test_case(|candidate| candidate.availability = Availability::SetAside ; "set aside")]
-#[test_case(|candidate| candidate.on_trial = true ; "on trial")]
+#[test_case(|candidate| candidate.availability = Availability::Ejected ; "set aside")]
+#[test_case(|candidate| candidate.under_probe = true ; "on trial")]
 fn unfit_replica_gets_nothing(spoil: fn(&mut Candidate<'_>)) {
     let fleet = Fleet::new();
     let mut candidates = fleet.candidates([1; 9]);
@@ -155,7 +155,7 @@
     let fleet = Fleet::new();
     let mut candidates = fleet.candidates([30; 9]);
     for candidate in &mut candidates {
-        candidate.availability = Availability::SetAside;
+        candidate.availability = Availability::Ejected;
     }
     candidates[3].load.report.running = 2;
     let chosen = BoundedAffinity.choose(&fleet.query(0, 7, 7), &candidates);
@@ -193,17 +193,17 @@
         let set_aside_ms = breaker.blocked_until().since_ms(now);
         let range = base_ms / 2..base_ms * 3 / 2;
         assert!(range.contains(&set_aside_ms), "{set_aside_ms} of {base_ms}");
-        assert_eq!(breaker.availability(now), Availability::SetAside);
+        assert_eq!(breaker.availability(now), Availability::Ejected);
         now = breaker.blocked_until();
         assert_eq!(breaker.availability(now), Availability::HalfOpen);
         breaker.sent(now);
-        assert_eq!(breaker.availability(now), Availability::SetAside);
+        assert_eq!(breaker.availability(now), Availability::Ejected);
         assert_eq!(breaker.availability(now + TRIAL_MS), Availability::HalfOpen);
         now = now + TRIAL_MS;
         base_ms = (base_ms * 2).min(MAX_MS);
     }
     breaker.succeeded();
-    assert_eq!(breaker.availability(now), Availability::Open);
+    assert_eq!(breaker.availability(now), Availability::Available);
 }
 
 #[test]
@@ -248,9 +248,9 @@
     let queued = stall::first_event_bound_ms(&load(64), pace(5_000, 1_000), 100);
     let long = stall::first_event_bound_ms(&load(0), pace(5_000, 1_000), 400_000);
     assert!(queued >= idle + 4_000 && long >= idle + 10_000 - 10);
-    let short = stall::whole_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(10));
-    let many = stall::whole_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(1_000));
+    let short = stall::full_response_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(10));
+    let many = stall::full_response_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(1_000));
     assert!(many >= short + 14_000);
-    let huge = stall::whole_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(u64::MAX));
+    let huge = stall::full_response_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(u64::MAX));
     assert_eq!(huge, MAX_BOUND_MS);
 }
--- a/crates/foxtailhold/tests/slots.rs
+++ b/crates/foxtailhold/tests/slots.rs
@@ -2,7 +2,8 @@
 
 use foxtailhold::ids::{AvailabilityZone, BackendId, InstanceId, TargetName};
 use foxtailhold::slots::{
-    Allocator, Ask, AskId, Decision, Held, Outcome, Places, Urgency, Verdict,
+    Allocator, BackendSlots, HeldSlot, SlotDecision, SlotNotice, SlotOutcome, SlotRequest,
+    SlotRequestId, Urgency,
 };
 use foxtailhold::time::MonoMs;
 use test_case::test_case;
@@ -33,9 +34,9 @@
     allocator
 }
 
-fn places(slots: &[u32]) -> Vec<Places> {
+fn places(slots: &[u32]) -> Vec<BackendSlots> {
     let zones = ["a", "b", "c"];
-    let engines = slots.iter().enumerate().map(|(index, slots)| Places {
+    let engines = slots.iter().enumerate().map(|(index, slots)| BackendSlots {
         backend: backend(&format!("engine-{index}")),
         zone: zone(zones[index % zones.len()]),
         slots: *slots,
@@ -43,9 +44,9 @@
     engines.collect()
 }
 
-fn ask_of(instance_name: &str, number: u64, urgency: Urgency, slack_ms: u64) -> Ask {
-    Ask {
-        id: AskId {
+fn ask_of(instance_name: &str, number: u64, urgency: Urgency, slack_ms: u64) -> SlotRequest {
+    SlotRequest {
+        id: SlotRequestId {
             instance: instance(instance_name),
             number,
         },
@@ -57,31 +58,36 @@
     }
 }
 
-fn ask(number: u64, urgency: Urgency) -> Ask {
+fn ask(number: u64, urgency: Urgency) -> SlotRequest {
     ask_of("entry-1", number, urgency, OBJECTIVE_MS)
 }
 
-fn put(allocator: &mut Allocator, at_ms: u64, ask: Ask) -> (Verdict, Vec<Decision>) {
+fn put(allocator: &mut Allocator, at_ms: u64, ask: SlotRequest) -> (SlotDecision, Vec<SlotNotice>) {
     let mut decisions = Vec::new();
     let verdict = allocator.ask(MonoMs(at_ms), ask, &mut decisions);
     (verdict, decisions)
 }
 
-fn granted(allocator: &mut Allocator, at_ms: u64, ask: Ask) -> BackendId {
+fn granted(allocator: &mut Allocator, at_ms: u64, ask: SlotRequest) -> BackendId {
     match put(allocator, at_ms, ask).0 {
-        Verdict::Granted(backend) => backend,
+        SlotDecision::Granted(backend) => backend,
         other => panic!("not granted: {other:?}"),
     }
 }
 
-fn release(allocator: &mut Allocator, at_ms: u64, number: u64, outcome: Outcome) -> Vec<Decision> {
+fn release(
+    allocator: &mut Allocator,
+    at_ms: u64,
+    number: u64,
+    outcome: SlotOutcome,
+) -> Vec<SlotNotice> {
     let mut decisions = Vec::new();
     let id = ask(number, ONLINE).id;
     allocator.release(MonoMs(at_ms), &pool(), &id, outcome, &mut decisions);
     decisions
 }
 
-const DONE: Outcome = Outcome::Done { held_ms: 800 };
+const DONE: SlotOutcome = SlotOutcome::Done { held_ms: 800 };
 
 #[test]
 fn requests_spread_over_engines_but_for_one_more_in_the_own_zone() {
@@ -100,7 +106,7 @@
 #[test]
 fn an_idle_engine_in_the_own_zone_goes_first() {
     let mut allocator = allocator(&[8, 8, 8]);
-    let in_c = Ask {
+    let in_c = SlotRequest {
         zone: zone("c"),
         ..ask(1, ONLINE)
     };
@@ -124,20 +130,20 @@
     granted(&mut allocator, 0, ask(1, ONLINE));
     granted(&mut allocator, 0, ask(2, ONLINE));
     let patient = ask_of("entry-1", 3, ONLINE, 5_000);
-    assert_eq!(put(&mut allocator, 0, patient).0, Verdict::Queued);
+    assert_eq!(put(&mut allocator, 0, patient).0, SlotDecision::Queued);
     let decisions = release(&mut allocator, 10, 1, DONE);
     assert_eq!(decisions.len(), 1);
-    assert_eq!(decisions[0].ask.number, 3);
+    assert_eq!(decisions[0].request.number, 3);
     assert_eq!(
-        decisions[0].verdict,
-        Some(Verdict::Granted(backend("engine-0")))
+        decisions[0].decision,
+        Some(SlotDecision::Granted(backend("engine-0")))
     );
 }
 
 #[test]
 fn a_tried_engine_is_not_chosen_again() {
     let mut allocator = allocator(&[8, 8]);
-    let again = Ask {
+    let again = SlotRequest {
         avoid: vec![backend("engine-0")],
         ..ask(1, ONLINE)
     };
@@ -151,7 +157,7 @@
     for number in 0..8 {
         let at_ease = ask_of("entry-1", number, Urgency::Batch, 9_000);
         let verdict = put(&mut allocator, 0, at_ease).0;
-        given += u32::from(verdict != Verdict::Queued);
+        given += u32::from(verdict != SlotDecision::Queued);
     }
     assert!((4..8).contains(&given), "{given} of 8 places went to batch");
     granted(&mut allocator, 1, ask(100, ONLINE));
@@ -173,7 +179,7 @@
         ask_of("entry-1", 8, Urgency::Batch, 1_000),
     );
     let too_late = ask_of("entry-1", 9, Urgency::Batch, 0);
-    assert_eq!(put(&mut allocator, 2, too_late).0, Verdict::Queued);
+    assert_eq!(put(&mut allocator, 2, too_late).0, SlotDecision::Queued);
 }
 
 #[test]
@@ -187,7 +193,7 @@
         ask_of("entry-1", 3, Urgency::Batch, 9_000),
     );
     let decisions = release(&mut allocator, 100, 1, DONE);
-    assert_eq!(decisions[0].ask.number, 3);
+    assert_eq!(decisions[0].request.number, 3);
 }
 
 #[test]
@@ -206,8 +212,8 @@
         let decisions = put(&mut allocator, 1, ask(number, ONLINE)).1;
         cut.extend(decisions);
     }
-    let numbers: Vec<u64> = cut.iter().map(|decision| decision.ask.number).collect();
-    assert!(cut.iter().all(|decision| decision.verdict.is_none()));
+    let numbers: Vec<u64> = cut.iter().map(|decision| decision.request.number).collect();
+    assert!(cut.iter().all(|decision| decision.decision.is_none()));
     assert_eq!(numbers, [5], "the item with the most slack, once");
 }
 
@@ -217,10 +223,10 @@
     granted(&mut allocator, 0, ask(1, ONLINE));
     let late = ask_of("entry-1", 2, Urgency::Online { priority: 2 }, 5_000);
     let urgent = ask_of("entry-1", 3, ONLINE, 5_000);
-    assert_eq!(put(&mut allocator, 0, late).0, Verdict::Queued);
-    assert_eq!(put(&mut allocator, 1, urgent).0, Verdict::Queued);
+    assert_eq!(put(&mut allocator, 0, late).0, SlotDecision::Queued);
+    assert_eq!(put(&mut allocator, 1, urgent).0, SlotDecision::Queued);
     let decisions = release(&mut allocator, 10, 1, DONE);
-    assert_eq!(decisions[0].ask.number, 3);
+    assert_eq!(decisions[0].request.number, 3);
 }
 
 #[test]
@@ -228,7 +234,7 @@
     let mut allocator = allocator(&[1]);
     granted(&mut allocator, 0, ask(1, ONLINE));
     let verdict = put(&mut allocator, 0, ask(2, ONLINE)).0;
-    let Verdict::Refused { retry_after_ms } = verdict else {
+    let SlotDecision::Refused { retry_after_ms } = verdict else {
         panic!("not refused: {verdict:?}");
     };
     assert!((150..=1_500).contains(&retry_after_ms));
@@ -241,7 +247,7 @@
     granted(&mut allocator, 0, ask(1, ONLINE));
     assert!(matches!(
         put(&mut allocator, 0, ask(2, ONLINE)).0,
-        Verdict::Refused { .. }
+        SlotDecision::Refused { .. }
     ));
     assert_eq!(release(&mut allocator, 10, 1, DONE), []);
     let loads: Vec<(u64, u64)> = allocator.loads().map(|(_, u, w)| (u, w)).collect();
@@ -274,13 +280,16 @@
     let lives = |instance: &InstanceId| instance.as_str() == "entry-1";
     allocator.keep_only(MonoMs(1_000), lives, &mut decisions);
     assert_eq!(decisions.len(), 1);
-    assert!(matches!(decisions[0].verdict, Some(Verdict::Granted(_))));
+    assert!(matches!(
+        decisions[0].decision,
+        Some(SlotDecision::Granted(_))
+    ));
 }
 
 #[test]
 fn a_report_brings_what_another_allocator_granted() {
     let mut allocator = allocator(&[1]);
-    let held = [Held {
+    let held = [HeldSlot {
         number: 7,
         pool: pool(),
         backend: backend("engine-0"),
@@ -289,7 +298,7 @@
     }];
     allocator.report(MonoMs(0), &instance("entry-2"), &held);
     let patient = ask_of("entry-1", 1, ONLINE, 5_000);
-    assert_eq!(put(&mut allocator, 1, patient).0, Verdict::Queued);
+    assert_eq!(put(&mut allocator, 1, patient).0, SlotDecision::Queued);
 }
 
 #[test]
@@ -303,17 +312,17 @@
     allocator.report(MonoMs(250), &instance("entry-2"), &[]);
     assert_eq!(
         put(&mut allocator, 260, ask_of("entry-1", 1, ONLINE, 5_000)).0,
-        Verdict::Queued,
+        SlotDecision::Queued,
         "the grant may still be on its way"
     );
     allocator.report(MonoMs(1_250), &instance("entry-2"), &[]);
     granted(&mut allocator, 1_251, ask_of("entry-1", 2, ONLINE, 5_000));
 }
 
-#[test_case(Outcome::Unreachable, 1 ; "one that cannot be reached")]
-#[test_case(Outcome::Silent, 1 ; "one that says nothing")]
-#[test_case(Outcome::Broken, 3 ; "one whose answers break off again and again")]
-fn an_engine_in_trouble_gets_nothing_new(outcome: Outcome, times: u64) {
+#[test_case(SlotOutcome::Unreachable, 1 ; "one that cannot be reached")]
+#[test_case(SlotOutcome::Silent, 1 ; "one that says nothing")]
+#[test_case(SlotOutcome::Broken, 3 ; "one whose answers break off again and again")]
+fn an_engine_in_trouble_gets_nothing_new(outcome: SlotOutcome, times: u64) {
     let mut allocator = allocator(&[8, 8]);
     let mut number = 0;
     let mut failed = 0;
@@ -339,14 +348,14 @@
 fn one_broken_answer_alone_costs_no_places() {
     let mut allocator = allocator(&[8]);
     granted(&mut allocator, 0, ask(1, ONLINE));
-    release(&mut allocator, 1, 1, Outcome::Broken);
+    release(&mut allocator, 1, 1, SlotOutcome::Broken);
     granted(&mut allocator, 2, ask(2, ONLINE));
 }
 
 #[test]
 fn a_silent_engine_is_known_by_the_reports_of_its_holders() {
     let mut allocator = allocator(&[8, 8]);
-    let held = [Held {
+    let held = [HeldSlot {
         number: 7,
         pool: pool(),
         backend: backend("engine-0"),
@@ -364,11 +373,11 @@
 fn an_engine_set_aside_is_tried_again_by_one_request() {
     let mut allocator = allocator(&[8]);
     granted(&mut allocator, 0, ask(1, ONLINE));
-    release(&mut allocator, 1, 1, Outcome::Unreachable);
+    release(&mut allocator, 1, 1, SlotOutcome::Unreachable);
     let at_ms = 4_500;
     granted(&mut allocator, at_ms, ask(2, ONLINE));
     let patient = ask_of("entry-1", 3, ONLINE, 5_000);
-    assert_eq!(put(&mut allocator, at_ms, patient).0, Verdict::Queued);
+    assert_eq!(put(&mut allocator, at_ms, patient).0, SlotDecision::Queued);
     let decisions = release(&mut allocator, at_ms + 100, 2, DONE);
     assert_eq!(decisions.len(), 1, "a sound answer opens all its places");
 }
@@ -390,7 +399,7 @@
         granted(&mut allocator, 0, ask(number, Urgency::Batch));
     }
     for number in [1, 2] {
-        release(&mut allocator, 900, number, Outcome::Silent);
+        release(&mut allocator, 900, number, SlotOutcome::Silent);
     }
     let at_ms = 5_000;
     granted(
@@ -416,7 +425,7 @@
         let is_first = engine == backend("engine-0");
         on_first += u64::from(is_first);
         let outcome = match is_first && on_first % 2 == 0 {
-            true => Outcome::Broken,
+            true => SlotOutcome::Broken,
             false => DONE,
         };
         release(&mut allocator, at_ms + 50, number, outcome);
@@ -435,7 +444,7 @@
     for number in 0..200 {
         granted(&mut allocator, number * 10, ask(number, ONLINE));
         let outcome = if number % 40 == 20 {
-            Outcome::Broken
+            SlotOutcome::Broken
         } else {
             DONE
         };
