--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -1,16 +1,16 @@
 //! Steers batch at the engines whose steward this instance is, and gives the items of jobs owned
-//! here their places. The decisions are those of [`foxtailhold::steward`].
+//! here their places. The decisions are those of [`foxtailhold::batch_control`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use foxtailhold::rendezvous;
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest};
+use foxtailhold::batch_control::controller::BatchController;
+use foxtailhold::batch_control::scheduler::{BatchScheduler, ItemKey, SchedulerAction, SchedulerReplica};
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::membership::Member;
 use foxtailhold::replicas::{BackendKind, FleetState};
-use foxtailhold::steward::{PlaceAsk, PlaceGrant};
-use foxtailhold::steward::desk::{Desk, DeskAction, DeskReplica, ItemKey};
-use foxtailhold::steward::replica::ReplicaSteward;
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -40,7 +40,7 @@
 
 #[derive(Debug)]
 struct Stewarded {
-    machine: ReplicaSteward,
+    machine: BatchController,
     polled_at: MonoMs,
 }
 
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct StewardState {
     term: u64,
-    desk: Desk,
+    desk: BatchScheduler,
     signals: HashMap<ItemKey, UnboundedSender<SlotSignal>>,
     replicas: HashMap<BackendId, Stewarded>,
     members: Option<Arc<Vec<Member>>>,
@@ -68,7 +68,7 @@
         tick(&myself, || BatchControllerMessage::Tick, TICK_MS);
         Ok(StewardState {
             term: self.0.clock.wall().0,
-            desk: Desk::new(self.0.settings.instance.clone()),
+            desk: BatchScheduler::new(self.0.settings.instance.clone()),
             signals: HashMap::new(),
             replicas: HashMap::new(),
             members: None,
@@ -190,10 +190,10 @@
             }
             let backend = &server.backend.id;
             let steward = steward_of(&live, backend);
-            replicas.push(DeskReplica {
+            replicas.push(SchedulerReplica {
                 backend: backend.clone(),
                 targets: server.backend.targets.clone(),
-                steward: steward.map(|member| member.id.clone()),
+                controller: steward.map(|member| member.id.clone()),
             });
             let Some(steward) = steward else {
                 continue;
@@ -242,9 +242,9 @@
         &self,
         myself: &ActorRef<BatchControllerMessage>,
         state: &mut StewardState,
-        ask: PlaceAsk,
+        ask: BatchSlotRequest,
         now: MonoMs,
-    ) -> PlaceGrant {
+    ) -> BatchSlotGrant {
         let backend = ask.backend.clone();
         let (me, term) = (self.0.settings.instance.clone(), state.term);
         let share = self.0.settings.batch_share_percent;
@@ -252,7 +252,7 @@
         let stewarded = entry.or_insert_with(|| {
             self.poll(myself, &backend);
             Stewarded {
-                machine: ReplicaSteward::new(me, backend, term, share),
+                machine: BatchController::new(me, backend, term, share),
                 polled_at: now,
             }
         });
@@ -261,7 +261,12 @@
         grant
     }
 
-    fn granted(&self, state: &mut StewardState, grant: &PlaceGrant, now: MonoMs) -> PlaceAsk {
+    fn granted(
+        &self,
+        state: &mut StewardState,
+        grant: &BatchSlotGrant,
+        now: MonoMs,
+    ) -> BatchSlotRequest {
         let actions = state.desk.pushed(grant, now);
         self.perform(state, actions);
         state.desk.ask(&grant.backend, self.0.clock.wall())
@@ -272,7 +277,7 @@
         &self,
         myself: &ActorRef<BatchControllerMessage>,
         state: &mut StewardState,
-        grants: Vec<(InstanceId, PlaceGrant)>,
+        grants: Vec<(InstanceId, BatchSlotGrant)>,
         now: MonoMs,
     ) {
         for (owner, grant) in grants {
@@ -340,12 +345,12 @@
         }
     }
 
-    fn perform(&self, state: &mut StewardState, actions: Vec<DeskAction>) {
+    fn perform(&self, state: &mut StewardState, actions: Vec<SchedulerAction>) {
         let mut cuts: HashMap<BackendId, u32> = HashMap::new();
         for action in actions {
             let (item, signal) = match action {
-                DeskAction::Start { item, backend } => (item, SlotSignal::Start(backend)),
-                DeskAction::Cut { item, backend } => {
+                SchedulerAction::Start { item, backend } => (item, SlotSignal::Start(backend)),
+                SchedulerAction::Preempt { item, backend } => {
                     *cuts.entry(backend).or_default() += 1;
                     (item, SlotSignal::Preempt)
                 }
--- a/crates/foxtailhold-entry/src/admission.rs
+++ b/crates/foxtailhold-entry/src/admission.rs
@@ -4,9 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::admission::{
-    AdmissionQueue, Arrival, Capacity, Entered, Released, WaiterId, Window,
-};
+use foxtailhold::admission::{AdmissionQueue, Arrival, Capacity, ConcurrencyWindow, DequeueOutcome, EnqueueOutcome, WaiterId};
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{CustomerId, TargetName};
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
@@ -24,7 +22,7 @@
 #[derive(Debug)]
 struct QueueState {
     queue: AdmissionQueue,
-    window: Window,
+    window: ConcurrencyWindow,
     wakes: HashMap<WaiterId, Wake>,
 }
 
@@ -81,8 +79,8 @@
         let mut state = self.state.lock();
         while let Some(released) = state.queue.next(now) {
             let (id, slot) = match released {
-                Released::Expired(id) => (id, None),
-                Released::Admitted(id) => (id, Some(self.slot(now))),
+                DequeueOutcome::Expired(id) => (id, None),
+                DequeueOutcome::Admitted(id) => (id, Some(self.slot(now))),
             };
             match state.wakes.remove(&id) {
                 Some(wake) => told.push((Some(wake), slot)),
@@ -150,9 +148,9 @@
         let (woken, wait_ms, _guard) = {
             let mut state = queue.state.lock();
             match state.queue.enter(&arrival, now) {
-                Entered::Admitted => return Ok(queue.slot(now)),
-                Entered::Refused { after_ms } => return Err(queue.overloaded(after_ms)),
-                Entered::Waiting {
+                EnqueueOutcome::Admitted => return Ok(queue.slot(now)),
+                EnqueueOutcome::Refused { after_ms } => return Err(queue.overloaded(after_ms)),
+                EnqueueOutcome::Waiting {
                     id,
                     give_up_at,
                     evicted,
@@ -222,7 +220,7 @@
         drop(queues);
         let mut queues = self.queues.write();
         let new = || {
-            let window = Window::new();
+            let window = ConcurrencyWindow::new();
             Arc::new(ModelQueue {
                 model: model.clone(),
                 clock: self.clock,
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -8,10 +8,10 @@
 use arc_swap::ArcSwapOption;
 use foxtailhold::breaker::{Availability, Breaker};
 use foxtailhold::ids::{BackendId, TargetName};
-use foxtailhold::quarantine::{CrashId, Fingerprint, Flight};
+use foxtailhold::quarantine::{CrashId, Fingerprint, InFlightRequest};
 use foxtailhold::replicas::{Backend, BackendKind, FleetState, LoadReport, ReplicaLoad};
 use foxtailhold::routing::{Candidate, Candidates, affinity_seed};
-use foxtailhold::stall::{self, Pace};
+use foxtailhold::stall::{Pace, self};
 use foxtailhold::time::MonoMs;
 use parking_lot::Mutex;
 use tokio::time::Instant;
@@ -191,17 +191,17 @@
     /// Whether it may be used.
     pub fn availability(&self, now: MonoMs) -> Availability {
         if !self.counters.failures.load(Ordering::Relaxed) {
-            return Availability::Open;
+            return Availability::Available;
         }
         if self.counters.set_aside_until.load(Ordering::Relaxed) > now.0 {
-            return Availability::SetAside;
+            return Availability::Ejected;
         }
         Availability::HalfOpen
     }
 
     /// Whether it is set aside.
     pub fn is_ejected(&self, now: MonoMs) -> bool {
-        self.availability(now) == Availability::SetAside
+        self.availability(now) == Availability::Ejected
     }
 
     /// Whether a request suspected of crashes is tried there.
@@ -220,14 +220,14 @@
     /// Notes the time between two events of a stream.
     pub fn record_token_gap(&self, gap: Duration) {
         let mean_us = self.counters.gap_us.load(Ordering::Relaxed);
-        let moved = stall::moved_mean(mean_us, gap.as_micros() as u64);
+        let moved = stall::moving_average(mean_us, gap.as_micros() as u64);
         self.counters.gap_us.store(moved, Ordering::Relaxed);
     }
 
     /// Notes the time of a whole request.
     pub fn record_service_time(&self, time: Duration) {
         let mean_ms = self.counters.service_ms.load(Ordering::Relaxed);
-        let moved = stall::moved_mean(mean_ms, time.as_millis() as u64);
+        let moved = stall::moving_average(mean_ms, time.as_millis() as u64);
         self.counters.service_ms.store(moved, Ordering::Relaxed);
     }
 
@@ -259,13 +259,13 @@
     }
 
     /// Requests now in flight there.
-    pub fn tracked_requests(&self) -> Vec<Flight> {
+    pub fn tracked_requests(&self) -> Vec<InFlightRequest> {
         let mut flights = Vec::new();
         for sent in &self.counters.flights.lock().sent {
             let Some(fingerprint) = sent.fingerprint else {
                 continue;
             };
-            flights.push(Flight {
+            flights.push(InFlightRequest {
                 fingerprint,
                 age_ms: sent.at.elapsed().as_millis() as u64,
             });
@@ -385,7 +385,7 @@
             state: server.state(),
             load: server.load(),
             availability: server.availability(self.now),
-            on_trial: server.counters.on_trial.load(Ordering::Relaxed),
+            under_probe: server.counters.on_trial.load(Ordering::Relaxed),
             gap_us: server.counters.gap_us.load(Ordering::Relaxed),
         }
     }
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -7,7 +7,7 @@
 
 use foxtailhold::rendezvous;
 use foxtailhold::ids::BackendId;
-use foxtailhold::quarantine::{CrashId, Fingerprint, Notice, Standing, TRIALS_KEY, TrialAnswer, TrialEnd};
+use foxtailhold::quarantine::{CrashId, Fingerprint, PROBES_KEY, ProbeOutcome, ProbeResponse, QuarantineNotice, QuarantineStatus};
 use foxtailhold_engine::EngineError;
 use foxtailhold_http::client::SendError;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -30,10 +30,10 @@
 
 impl<P: Platform> Shared<P> {
     /// How a request stands.
-    pub fn crash_status(&self, fingerprint: Fingerprint) -> Standing {
+    pub fn crash_status(&self, fingerprint: Fingerprint) -> QuarantineStatus {
         let standings = self.crash_statuses.load();
         let standing = standings.get(&fingerprint);
-        standing.copied().unwrap_or(Standing::Clear)
+        standing.copied().unwrap_or(QuarantineStatus::Clear)
     }
 }
 
@@ -88,13 +88,13 @@
     server: &BackendState,
     in_flight: &InFlightGuard,
     error: &EngineError,
-) -> TrialEnd {
+) -> ProbeOutcome {
     let started = in_flight.started_unix_ms();
     if !may_be_crash(error) || !has_ended(shared, server.backend.address, started).await {
-        return TrialEnd::Unknown;
+        return ProbeOutcome::Unknown;
     }
     shared.metrics.crashes.inc();
-    let notice = Notice::Crashed {
+    let notice = QuarantineNotice::Crashed {
         crash: CrashId {
             backend: server.backend.id.clone(),
             started_unix_ms: started,
@@ -109,14 +109,14 @@
             log::warn!("a crash could not be noted");
         }
     }
-    TrialEnd::Crashed
+    ProbeOutcome::Crashed
 }
 
 /// The address of the instance that grants trials, `None` where it is this one.
 fn home<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let home = rendezvous::select(ids, TRIALS_KEY)?;
+    let home = rendezvous::select(ids, PROBES_KEY)?;
     if *home == shared.settings.instance {
         return None;
     }
@@ -131,7 +131,7 @@
     shared: &Shared<P>,
     fingerprint: Fingerprint,
     backends: Vec<BackendId>,
-) -> Option<TrialAnswer> {
+) -> Option<ProbeResponse> {
     if let Some(address) = home(shared) {
         let request = PeerRequest::TrialAsked {
             fingerprint,
@@ -157,7 +157,7 @@
     fingerprint: Fingerprint,
     server: Arc<BackendState>,
     strict: bool,
-    end: TrialEnd,
+    end: ProbeOutcome,
 }
 
 impl<P: Platform> ProbeGuard<P> {
@@ -173,7 +173,7 @@
             fingerprint,
             server: server.clone(),
             strict,
-            end: TrialEnd::Unknown,
+            end: ProbeOutcome::Unknown,
         }
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Ends the trial.
-    pub fn close(mut self, end: TrialEnd) {
+    pub fn close(mut self, end: ProbeOutcome) {
         self.end = end;
     }
 }
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use foxtailhold::stall;
 use foxtailhold::ids::{BackendId, RequestId, TargetName};
-use foxtailhold::quarantine::{Fingerprint, Standing, TrialEnd};
+use foxtailhold::quarantine::{Fingerprint, ProbeOutcome, QuarantineStatus};
 use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::routing::{BoundedAffinity, LeastLoaded, RoutePolicy, RouteQuery};
-use foxtailhold::suspect::{Asking, NextStep};
+use foxtailhold::suspect::{ProbeNegotiation, SuspectAction};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, Resume};
@@ -206,7 +206,7 @@
     let bytes = outgoing.body.len() as u64;
     match outgoing.streamed {
         true => stall::first_event_bound_ms(&load, pace, bytes),
-        false => stall::whole_bound_ms(&load, pace, bytes, outgoing.max_tokens),
+        false => stall::full_response_bound_ms(&load, pace, bytes, outgoing.max_tokens),
     }
 }
 
@@ -263,13 +263,13 @@
 ) -> Result<Route<P>> {
     let fingerprint = outgoing.fingerprint;
     let begun = shared.clock.mono();
-    let mut asking = Asking::default();
+    let mut asking = ProbeNegotiation::default();
     loop {
         time_left_ms(shared, outgoing, attempts)?;
         match shared.crash_status(fingerprint) {
-            Standing::Clear => return plain_route(shared, outgoing, attempts),
-            Standing::Convicted { left_ms } => return Err(attempts.quarantined(left_ms)),
-            Standing::Suspect => {}
+            QuarantineStatus::Clear => return plain_route(shared, outgoing, attempts),
+            QuarantineStatus::Convicted { left_ms } => return Err(attempts.quarantined(left_ms)),
+            QuarantineStatus::Suspect => {}
         }
         if shared.clock.mono().since_ms(begun) >= TRIAL_WAIT_MS {
             return Err(attempts.refusal(&outgoing.model));
@@ -287,7 +287,7 @@
             continue;
         };
         match asking.answered(answer, shared.clock.mono()) {
-            NextStep::Try {
+            SuspectAction::Probe {
                 backend,
                 strict,
                 quiet_ms,
@@ -301,9 +301,9 @@
                 let server = server.clone();
                 return Ok(Route { server, probe });
             }
-            NextStep::Refuse { left_ms } => return Err(attempts.quarantined(left_ms)),
-            NextStep::Send => return plain_route(shared, outgoing, attempts),
-            NextStep::AskAgain { after_ms } => pause(after_ms).await,
+            SuspectAction::Refuse { left_ms } => return Err(attempts.quarantined(left_ms)),
+            SuspectAction::Send => return plain_route(shared, outgoing, attempts),
+            SuspectAction::Retry { after_ms } => pause(after_ms).await,
         }
     }
 }
@@ -410,7 +410,7 @@
     server.record_success();
     server.record_service_time(begun.elapsed());
     if let Some(probe) = probe {
-        probe.close(TrialEnd::Survived);
+        probe.close(ProbeOutcome::Survived);
     }
     None
 }
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use foxtailhold::stall;
-use foxtailhold::quarantine::TrialEnd;
+use foxtailhold::quarantine::ProbeOutcome;
 use foxtailhold::refusal::{ExecutionStatus, Refusal, Result};
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::EventSource;
@@ -84,7 +84,7 @@
             self.server.record_success();
         }
         if let Some(probe) = self.probe.take_if(|probe| !probe.is_strict()) {
-            probe.close(TrialEnd::Survived);
+            probe.close(ProbeOutcome::Survived);
         }
     }
 
@@ -93,7 +93,7 @@
         self.server.record_success();
         self.server.record_service_time(self.begun.elapsed());
         if let Some(probe) = self.probe {
-            probe.close(TrialEnd::Survived);
+            probe.close(ProbeOutcome::Survived);
         }
         self.stream.close();
     }
--- a/crates/foxtailhold-entry/src/jobs/item_attempt.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use foxtailhold::stall;
-use foxtailhold::quarantine::TrialEnd;
+use foxtailhold::quarantine::ProbeOutcome;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer};
 use foxtailhold_platform::Platform;
@@ -137,14 +137,14 @@
                         server.record_token_gap(now - last);
                     }
                     if let Some(trial) = trial.take_if(|trial| !trial.is_strict()) {
-                        trial.close(TrialEnd::Survived);
+                        trial.close(ProbeOutcome::Survived);
                     }
                     continue;
                 }
                 Ok(TokenEvent::Done { .. }) => {
                     server.record_success();
                     if let Some(trial) = trial {
-                        trial.close(TrialEnd::Survived);
+                        trial.close(ProbeOutcome::Survived);
                     }
                     stream.close();
                     return LegEnd::Finished;
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -3,15 +3,15 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest, OnlineLoadNotice};
+use foxtailhold::batch_control::scheduler::{ItemKey, WaitingItem};
 use foxtailhold::contract_registry::{ContractChange, ContractSyncData};
 use foxtailhold::contract_sync::{ContractStatus, ContractStoreSnapshot, SyncStep};
 use foxtailhold::ids::{BackendId, InstanceId, JobId};
-use foxtailhold::leaving::LeavingMark;
+use foxtailhold::leaving::LeavingNotice;
 use foxtailhold::membership::Gossip;
-use foxtailhold::quarantine::{Fingerprint, Notice, TrialAnswer, TrialEnd};
+use foxtailhold::quarantine::{Fingerprint, ProbeOutcome, ProbeResponse, QuarantineNotice};
 use foxtailhold::replicas::LoadReport;
-use foxtailhold::steward::desk::{ItemKey, WaitingItem};
-use foxtailhold::steward::{OnlineNotice, PlaceAsk, PlaceGrant};
 use foxtailhold::time::MonoMs;
 use foxtailhold_platform::{Fleet, FleetInstance};
 use ractor::RpcReplyPort;
@@ -63,17 +63,17 @@
     /// Time for verdicts.
     Tick,
     /// Seen here, to be told to all; answered when the table holds it.
-    Observed(Notice, RpcReplyPort<()>),
+    Observed(QuarantineNotice, RpcReplyPort<()>),
     /// Told by a peer.
-    FromPeer(Vec<Notice>),
+    FromPeer(Vec<QuarantineNotice>),
     /// At the home: an instance asks for a trial.
-    RequestProbe(Fingerprint, Vec<BackendId>, RpcReplyPort<TrialAnswer>),
+    RequestProbe(Fingerprint, Vec<BackendId>, RpcReplyPort<ProbeResponse>),
     /// At the home: a trial ended.
-    ProbeEnded(Fingerprint, BackendId, TrialEnd),
+    ProbeEnded(Fingerprint, BackendId, ProbeOutcome),
     /// A starting instance asks for the table.
-    Snapshot(RpcReplyPort<Vec<Notice>>),
+    Snapshot(RpcReplyPort<Vec<QuarantineNotice>>),
     /// A peer answered with its table.
-    SnapshotReceived(Vec<Notice>),
+    SnapshotReceived(Vec<QuarantineNotice>),
 }
 
 /// Messages to the reader of the fleet list and of load reports.
@@ -86,7 +86,7 @@
     /// Time to read load reports.
     ReadLoads,
     /// Backend servers that are leaving, as a peer tells.
-    LeavingNotices(Vec<LeavingMark>),
+    LeavingNotices(Vec<LeavingNotice>),
 }
 
 /// Messages to the keeper of batch jobs owned here.
@@ -166,15 +166,15 @@
     /// Time to look.
     Tick,
     /// An owner asks for places at an engine.
-    SlotsRequested(PlaceAsk, RpcReplyPort<PlaceGrant>),
+    SlotsRequested(BatchSlotRequest, RpcReplyPort<BatchSlotGrant>),
     /// A steward allows this owner another number of places; answered with what it has then.
-    SlotsGranted(PlaceGrant, RpcReplyPort<PlaceAsk>),
+    SlotsGranted(BatchSlotGrant, RpcReplyPort<BatchSlotRequest>),
     /// An owner's answer to a grant.
-    SlotsInUse(PlaceAsk),
+    SlotsInUse(BatchSlotRequest),
     /// The answer to a question that was sent at this time.
-    RequestAnswered(PlaceGrant, MonoMs),
+    RequestAnswered(BatchSlotGrant, MonoMs),
     /// Online work at an engine; answered with whether batch is steered there.
-    OnlineWork(OnlineNotice, RpcReplyPort<bool>),
+    OnlineWork(OnlineLoadNotice, RpcReplyPort<bool>),
     /// A load report read by this steward.
     LoadReported(BackendId, LoadReport),
     /// An item waits for a place.
--- a/crates/foxtailhold-entry/src/online_load.rs
+++ b/crates/foxtailhold-entry/src/online_load.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use foxtailhold::batch_control::{NOTICE_GAP_MS, NOTICE_PERIOD_MS, OnlineLoadNotice, is_queued};
 use foxtailhold::ids::BackendId;
-use foxtailhold::steward::{NOTICE_GAP_MS, NOTICE_PERIOD_MS, OnlineNotice, is_queued};
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 use ractor::rpc::CallResult;
@@ -100,7 +100,7 @@
     gauge.telling.store(false, Ordering::Release);
     let online = in_flight(server, gauge);
     gauge.told.store(online, Ordering::Relaxed);
-    let notice = OnlineNotice {
+    let notice = OnlineLoadNotice {
         from: shared.settings.instance.clone(),
         backend: server.backend.id.clone(),
         number: gauge.number.fetch_add(1, Ordering::Relaxed) + 1,
@@ -117,7 +117,7 @@
 async fn deliver<P: Platform>(
     shared: &Shared<P>,
     entry: &BatchControllerEntry,
-    notice: OnlineNotice,
+    notice: OnlineLoadNotice,
 ) -> bool {
     if entry.batch_controller == shared.settings.instance {
         return deliver_here(shared, notice).await;
@@ -137,7 +137,7 @@
 }
 
 /// Gives a notice to this instance's steward. Returns whether it has batch there.
-pub async fn deliver_here<P: Platform>(shared: &Shared<P>, notice: OnlineNotice) -> bool {
+pub async fn deliver_here<P: Platform>(shared: &Shared<P>, notice: OnlineLoadNotice) -> bool {
     let Some(actors) = shared.actors() else {
         return false;
     };
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -7,14 +7,14 @@
 
 use arc_swap::ArcSwap;
 use foxtailhold::rendezvous;
+use foxtailhold::batch_control::scheduler::ItemKey;
 use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::contract_sync::ContractSync;
 use foxtailhold::ids::{InstanceId, RequestId};
 use foxtailhold::lease::HeldLease;
-use foxtailhold::leaving::LeavingMarks;
+use foxtailhold::leaving::LeavingBackends;
 use foxtailhold::membership::{Member, MemberState};
-use foxtailhold::quarantine::{Fingerprint, Standing};
-use foxtailhold::steward::desk::ItemKey;
+use foxtailhold::quarantine::{Fingerprint, QuarantineStatus};
 use foxtailhold_engine::EngineClient;
 use foxtailhold_peer::PeerClient;
 use foxtailhold_platform::Platform;
@@ -78,9 +78,9 @@
     /// Backend servers.
     pub backends: ArcSwap<BackendTable>,
     /// Which of them are leaving, by what instances tell each other.
-    pub leaving: ArcSwap<LeavingMarks>,
+    pub leaving: ArcSwap<LeavingBackends>,
     /// Requests that do not stand clear of crashes.
-    pub crash_statuses: ArcSwap<HashMap<Fingerprint, Standing>>,
+    pub crash_statuses: ArcSwap<HashMap<Fingerprint, QuarantineStatus>>,
     /// Retries this instance may make.
     pub retries: RetryGate,
     /// This instance's lease.
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -5,11 +5,11 @@
 
 use bytes::Bytes;
 use foxtailhold::attempt_counts::{AttemptCounts, AttemptDecision};
-use foxtailhold::crashes::EARLY_EVENTS;
+use foxtailhold::crashes::STABLE_AFTER_EVENTS;
 use foxtailhold::ids::{BackendId, JobId};
 use foxtailhold::quarantine::Fingerprint;
 use foxtailhold::routes::Route;
-use foxtailhold::slots::{Outcome, Urgency};
+use foxtailhold::slots::{SlotOutcome, Urgency};
 use foxtailhold_engine::sse::RawEvent;
 use foxtailhold_platform::{ObjectStore, RowStore};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
@@ -365,14 +365,14 @@
         self.jobs
             .pace()
             .record_attempt(self.events() - events, took_ms);
-        if matches!(run, Run::Unfinished) && self.events() - events < EARLY_EVENTS {
+        if matches!(run, Run::Unfinished) && self.events() - events < STABLE_AFTER_EVENTS {
             relay.note_silent_run(self.fingerprint(job), &backend);
         }
         let outcome = match &run {
             Run::Complete => {
                 relay.note_run(|| self.fingerprint(job));
                 self.jobs.pace().record_finished(self.events());
-                Outcome::Done { held_ms: took_ms }
+                SlotOutcome::Done { held_ms: took_ms }
             }
             Run::Lost(miss) => {
                 self.avoid.push(backend.id.clone());
@@ -380,9 +380,9 @@
             }
             Run::Failed => {
                 self.avoid.push(backend.id.clone());
-                Outcome::Abandoned
+                SlotOutcome::Abandoned
             }
-            Run::Impossible | Run::Unfinished => Outcome::Abandoned,
+            Run::Impossible | Run::Unfinished => SlotOutcome::Abandoned,
         };
         place.close(outcome);
         run
@@ -480,7 +480,7 @@
                         account.record_events();
                         self.write_account(account).await;
                     }
-                    if events == EARLY_EVENTS {
+                    if events == STABLE_AFTER_EVENTS {
                         self.jobs.relay.note_run(|| self.fingerprint(job));
                     }
                 }
--- a/crates/foxtailhold/src/lib.rs
+++ b/crates/foxtailhold/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod admission;
 pub mod attempt_counts;
 pub mod batch;
+pub mod batch_control;
 pub mod breaker;
 pub mod contract;
 pub mod contract_registry;
@@ -30,7 +31,6 @@
 pub mod routing;
 pub mod slots;
 pub mod stall;
-pub mod steward;
 pub mod suspect;
 pub mod time;
 pub mod timeline;
