--- a/crates/foxtailhold-entry/src/actors/crashes.rs
+++ b/crates/foxtailhold-entry/src/actors/crashes.rs
@@ -140,8 +140,8 @@
             return;
         };
         for server in &self.0.backends.load().servers {
-            let is_lost =
-                server.is_crashed_process(crash) && server.availability(now) == Availability::Available;
+            let is_lost = server.is_crashed_process(crash)
+                && server.availability(now) == Availability::Available;
             if is_lost {
                 server.record_failure(now);
             }
--- a/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
@@ -8,9 +8,9 @@
 use foxtailhold_platform::{Expect, KeyedRow, Operation, Platform, Result};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 
-use crate::tables;
 use crate::actors::tick;
 use crate::shared::Shared;
+use crate::tables;
 
 /// A page is read this often while this instance is the sweep's home.
 pub const SWEEP_PERIOD_MS: u64 = 5_000;
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -6,7 +6,9 @@
 use foxtailhold::contract_sync::ContractStatus;
 use foxtailhold::ids::InstanceId;
 use foxtailhold::leaving::LeavingNotice;
-use foxtailhold::membership::{Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS};
+use foxtailhold::membership::{
+    Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS,
+};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -78,7 +80,9 @@
             }
             MembershipMessage::NoAnswer(id) => self.ask_others(&myself, state, id),
             MembershipMessage::IndirectProbe(_, true) => state.membership.on_indirect_response(),
-            MembershipMessage::IndirectProbe(id, false) => state.membership.on_probe_failure(&id, now),
+            MembershipMessage::IndirectProbe(id, false) => {
+                state.membership.on_probe_failure(&id, now)
+            }
             MembershipMessage::Seeds(seeds) => state.seeds = seeds,
             MembershipMessage::Leave(reply) => {
                 state.membership.leave();
--- a/crates/foxtailhold-entry/src/jobs/deadline_check.rs
+++ b/crates/foxtailhold-entry/src/jobs/deadline_check.rs
@@ -1,9 +1,9 @@
 //! Refuses a job at the door that cannot be finished by its deadline.
 
-use foxtailhold::rendezvous;
 use foxtailhold::batch::deadline_check::DeadlineCheck;
 use foxtailhold::ids::JobId;
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
+use foxtailhold::rendezvous;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 
@@ -13,7 +13,11 @@
 const JUDGE_TIMEOUT_MS: u64 = 500;
 
 /// Judges a job of `items` due within `window_ms`, by the work and the rate of this instance.
-pub fn estimate_locally<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> DeadlineCheck {
+pub fn estimate_locally<P: Platform>(
+    shared: &Shared<P>,
+    items: u64,
+    window_ms: u64,
+) -> DeadlineCheck {
     let landing = shared.chunk_slots.landing();
     landing.check(items, window_ms, shared.clock.wall())
 }
--- a/crates/foxtailhold-entry/src/jobs/ordinary.rs
+++ b/crates/foxtailhold-entry/src/jobs/ordinary.rs
@@ -7,7 +7,7 @@
 use foxtailhold_engine::EngineAnswer;
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{AttemptHistory, self};
+use crate::gateway::dispatch::{self, AttemptHistory};
 use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
 use crate::jobs::item_body::ItemBody;
 use crate::shared::Shared;
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -15,9 +15,9 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::jobs::{chunk, owner};
 use crate::jobs::chunk_slots::HeldPlace;
-use crate::jobs::store::{Backoff, self};
+use crate::jobs::store::{self, Backoff};
+use crate::jobs::{chunk, owner};
 use crate::shared::Shared;
 
 /// The lease, the deadline and free places are looked at this often.
@@ -229,7 +229,8 @@
             if let Some(attempt) = attempt {
                 let chunk_ms = attempt.started.elapsed().as_millis() as u64;
                 self.shared
-                    .chunk_slots.lock()
+                    .chunk_slots
+                    .lock()
                     .record_chunk_duration(chunk_ms);
             }
         }
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -9,7 +9,10 @@
 use foxtailhold::contract::Contract;
 use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::ids::{CustomerId, InstanceId};
-use foxtailhold::limits::{CustomerLimits, EXCHANGE_MS, LimitCoordinator, LimitDecision, LimitKind, MembershipViews, ShareGrant, ShareHolder, ShareRequest, ShareRequests};
+use foxtailhold::limits::{
+    CustomerLimits, EXCHANGE_MS, LimitCoordinator, LimitDecision, LimitKind, MembershipViews,
+    ShareGrant, ShareHolder, ShareRequest, ShareRequests,
+};
 use foxtailhold::refusal::{Refusal, RefusalReason};
 use foxtailhold::time::{MonoMs, WallMs};
 use parking_lot::{Mutex, MutexGuard};
@@ -208,7 +211,10 @@
     }
 
     /// The asks by the home of their customers; without those of which no home is known.
-    pub fn by_coordinator(&self, asks: Vec<ShareRequest>) -> BTreeMap<InstanceId, Vec<ShareRequest>> {
+    pub fn by_coordinator(
+        &self,
+        asks: Vec<ShareRequest>,
+    ) -> BTreeMap<InstanceId, Vec<ShareRequest>> {
         let views = self.0.views.load();
         let mut by_coordinator: BTreeMap<InstanceId, Vec<ShareRequest>> = BTreeMap::new();
         for ask in asks {
--- a/crates/foxtailhold-relay/src/dispatch.rs
+++ b/crates/foxtailhold-relay/src/dispatch.rs
@@ -23,7 +23,7 @@
 use crate::relay::{FIRST_EVENT_PATIENCE_MS, LostRun, PLAIN_RETRY_AFTER_MS, Relay, exchange};
 use crate::request::{NotRunReason, OpaqueRequest, RelayOutcome, Unserved};
 use crate::stream::{Leg, Pump};
-use crate::upstream::{Miss, self};
+use crate::upstream::{self, Miss};
 
 /// The answer must be on its way this long before the caller gives up.
 const RETURN_MS: u64 = 15;
--- a/crates/foxtailhold-relay/src/jobs/accept.rs
+++ b/crates/foxtailhold-relay/src/jobs/accept.rs
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 use crate::dialect::Dialect;
-use crate::jobs::{Job, JobError, Jobs, NewJob, QuotaRow, Result};
 use crate::jobs::cache::{JOB_PREFIX, KnownJob, QuotaView, quota_view};
+use crate::jobs::{Job, JobError, Jobs, NewJob, QuotaRow, Result};
 
 /// Tries against others that change the same rows.
 const TRIES: u32 = 8;
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -12,19 +12,19 @@
 use foxtailhold::slots::{SlotOutcome, Urgency};
 use foxtailhold_engine::sse::RawEvent;
 use foxtailhold_platform::{ObjectStore, RowStore};
-use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
 use http::uri::PathAndQuery;
+use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
 use tokio::time::Instant;
 
 use crate::connections::InUse;
 use crate::dialect::Dialect;
 use crate::events::{EventReader, Step, push_data};
 use crate::fleet::BackendServer;
-use crate::jobs::{Item, ItemState, Job, Jobs, ListedResult, Partials};
 use crate::jobs::backoff::CrashRest;
+use crate::jobs::{Item, ItemState, Job, Jobs, ListedResult, Partials};
 use crate::metrics::RunEnd;
 use crate::peers::{NoPlace, Place, PlaceQuery};
-use crate::upstream::{Exchange, Miss, self};
+use crate::upstream::{self, Exchange, Miss};
 
 /// Without word for this time an engine counts as silent for an item, and the item goes on elsewhere.
 const PATIENCE_MS: u64 = 900;
--- a/crates/foxtailhold-standin/src/cluster.rs
+++ b/crates/foxtailhold-standin/src/cluster.rs
@@ -4,8 +4,8 @@
 
 use foxtailhold::orders::FencingEngines;
 use foxtailhold::replicas::{BackendKind, FleetState};
-use foxtailhold_entry::{Instance, Settings};
 use foxtailhold_entry::settings::BatchPolicy;
+use foxtailhold_entry::{Instance, Settings};
 use foxtailhold_http::server::Server;
 use foxtailhold_platform::{FleetInstance, HttpPlatform};
 
--- a/crates/foxtailhold-standin/tests/batch_beside_online.rs
+++ b/crates/foxtailhold-standin/tests/batch_beside_online.rs
@@ -9,13 +9,13 @@
 
 use bytes::Bytes;
 use common::{Deployment, until};
-use foxtailhold::rendezvous;
 use foxtailhold::batch_control::GRANT_MS;
 use foxtailhold::ids::InstanceId;
+use foxtailhold::rendezvous;
 use foxtailhold_http::client::{HttpClient, Reuse};
 use foxtailhold_standin::demo::{API_KEY, chat};
-use foxtailhold_standin::engine::text;
 use foxtailhold_standin::engine::faults::Ran;
+use foxtailhold_standin::engine::text;
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full};
 use nix::sys::signal::Signal;
--- a/crates/foxtailhold/src/limits/views.rs
+++ b/crates/foxtailhold/src/limits/views.rs
@@ -1,8 +1,8 @@
 //! The instances among which homes are chosen, and how the choice changed lately.
 
-use crate::rendezvous;
 use crate::ids::{CustomerId, InstanceId};
 use crate::limits::LEASE_MS;
+use crate::rendezvous;
 use crate::time::MonoMs;
 
 #[derive(Debug, Clone)]
