--- a/crates/foxtailhold-entry/src/admission.rs
+++ b/crates/foxtailhold-entry/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of online requests in front of the engines, on this instance.
+//! Admission control for online requests: one queue per model on each instance, in front of the
+//! backend servers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,14 +19,15 @@
 use crate::backends::BackendTable;
 use foxtailhold_http::clock::Clock;
 
-/// A request that waits hears by this.
-type Wake = oneshot::Sender<Option<Slot>>;
+/// Delivers the slot to a waiting request; `None` means that the wait expired or that the request
+/// was evicted.
+type SlotSender = oneshot::Sender<Option<Slot>>;
 
 #[derive(Debug)]
 struct QueueState {
     queue: AdmissionQueue,
     window: Window,
-    wakes: HashMap<WaiterId, Wake>,
+    senders: HashMap<WaiterId, SlotSender>,
 }
 
 #[derive(Debug)]
@@ -35,21 +37,21 @@
     state: Mutex<QueueState>,
 }
 
-/// The queues of all models.
+/// Admission queues of this instance, one for each model.
 #[derive(Debug)]
 pub struct Admission {
     clock: Clock,
     queues: RwLock<HashMap<TargetName, Arc<ModelQueue>>>,
 }
 
-/// A place in flight towards a model; dropping it lets the next request go.
+/// The right to have one request in flight to a model. Dropping it admits the next waiting request.
 #[derive(Debug)]
 pub struct Slot {
     queue: Arc<ModelQueue>,
     since: MonoMs,
 }
 
-/// Removes a request that waits when its caller is gone.
+/// Removes a waiting request from its queue when the caller's future is dropped.
 struct WaitGuard<'a> {
     queue: &'a ModelQueue,
     customer: &'a CustomerId,
@@ -59,7 +61,7 @@
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.queue.state.lock();
-        state.wakes.remove(&self.id);
+        state.senders.remove(&self.id);
         state.queue.cancel(self.customer, self.id);
     }
 }
@@ -68,31 +70,32 @@
     fn drop(&mut self) {
         let now = self.queue.clock.mono();
         self.queue.state.lock().queue.leave(self.since, now);
-        self.queue.pump();
+        self.queue.admit_waiting();
     }
 }
 
 impl ModelQueue {
-    /// Lets all go that need not wait any longer. They are told without the lock, as a place whose
-    /// request is gone comes back at once.
-    fn pump(self: &Arc<Self>) {
+    /// Admits or expires all requests that no longer have to wait. They are notified after the lock
+    /// is released: a slot whose receiver is gone is dropped at once, and dropping a slot takes the
+    /// same lock.
+    fn admit_waiting(self: &Arc<Self>) {
         let now = self.clock.mono();
-        let mut told = Vec::new();
+        let mut notifications = Vec::new();
         let mut state = self.state.lock();
         while let Some(released) = state.queue.next(now) {
             let (id, slot) = match released {
                 Released::Expired(id) => (id, None),
                 Released::Admitted(id) => (id, Some(self.slot(now))),
             };
-            match state.wakes.remove(&id) {
-                Some(wake) => told.push((Some(wake), slot)),
-                None => told.push((None, slot)),
+            match state.senders.remove(&id) {
+                Some(sender) => notifications.push((Some(sender), slot)),
+                None => notifications.push((None, slot)),
             }
         }
         drop(state);
-        for (wake, slot) in told {
-            if let Some(wake) = wake {
-                let _ = wake.send(slot);
+        for (sender, slot) in notifications {
+            if let Some(sender) = sender {
+                let _ = sender.send(slot);
             }
         }
     }
@@ -117,13 +120,13 @@
         state.queue.set_window(window);
         drop(state);
         if raised {
-            self.pump();
+            self.admit_waiting();
         }
     }
 }
 
 impl Admission {
-    /// No queues yet.
+    /// Starts without queues; a queue is created by the first request for its model.
     pub fn new(clock: Clock) -> Self {
         Admission {
             clock,
@@ -131,7 +134,9 @@
         }
     }
 
-    /// Takes a place towards `model`, waiting in the customer's queue where there is none.
+    /// Acquires a slot for `model`, waiting in the customer's queue if none is free. Refuses with
+    /// `Overloaded` when the queue is full or the wait expires, and with `DeadlinePassed` when the
+    /// caller's deadline passes first.
     pub async fn acquire(
         &self,
         model: &TargetName,
@@ -147,7 +152,7 @@
             deadline,
             draw: rand::random::<u32>().into(),
         };
-        let (woken, wait_ms, _guard) = {
+        let (receiver, wait_ms, _guard) = {
             let mut state = queue.state.lock();
             match state.queue.enter(&arrival, now) {
                 Entered::Admitted => return Ok(queue.slot(now)),
@@ -157,30 +162,31 @@
                     give_up_at,
                     evicted,
                 } => {
-                    let evicted = evicted.and_then(|evicted| state.wakes.remove(&evicted));
+                    let evicted = evicted.and_then(|evicted| state.senders.remove(&evicted));
                     if let Some(evicted) = evicted {
                         let _ = evicted.send(None);
                     }
-                    let (wake, woken) = oneshot::channel();
-                    state.wakes.insert(id, wake);
+                    let (sender, receiver) = oneshot::channel();
+                    state.senders.insert(id, sender);
                     let queue = &queue;
                     let guard = WaitGuard {
                         queue,
                         customer,
                         id,
                     };
-                    (woken, give_up_at.since_ms(now), guard)
+                    (receiver, give_up_at.since_ms(now), guard)
                 }
             }
         };
         let wait = Duration::from_millis(wait_ms);
-        match tokio::time::timeout(wait, woken).await {
+        match tokio::time::timeout(wait, receiver).await {
             Ok(Ok(Some(slot))) => Ok(slot),
-            _ => Err(self.gave_up(&queue, deadline, now)),
+            _ => Err(self.timeout_refusal(&queue, deadline, now)),
         }
     }
 
-    /// Sets the windows to what the replicas report.
+    /// Recomputes each model's concurrency window from the load reports of its backend servers.
+    /// `instances` is the number of instances that share them.
     pub fn update(&self, backends: &BackendTable, instances: u32) {
         let queues = self.queues.read();
         let queues: Vec<Arc<ModelQueue>> = queues.values().cloned().collect();
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of requests waiting in the queues of all models.
     pub fn waiting(&self) -> usize {
         let queues = self.queues.read();
         queues
@@ -198,7 +204,12 @@
             .sum()
     }
 
-    fn gave_up(&self, queue: &ModelQueue, deadline: Option<MonoMs>, since: MonoMs) -> Refusal {
+    fn timeout_refusal(
+        &self,
+        queue: &ModelQueue,
+        deadline: Option<MonoMs>,
+        since: MonoMs,
+    ) -> Refusal {
         let after_ms = queue
             .state
             .lock()
@@ -229,7 +240,7 @@
                 state: Mutex::new(QueueState {
                     queue: AdmissionQueue::new(window.size()),
                     window,
-                    wakes: HashMap::new(),
+                    senders: HashMap::new(),
                 }),
             })
         };
@@ -237,7 +248,8 @@
     }
 }
 
-/// What the replicas that take new work report.
+/// Sums the load reports of the model's live backend servers. A backend server that has not
+/// reported yet is counted in `unreported`.
 fn capacity(backends: &BackendTable, model: &TargetName) -> Capacity {
     let mut capacity = Capacity::default();
     for server in backends.serving(BackendKind::Engine, model) {
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -1,4 +1,5 @@
-//! Backend servers as the request path sees them: a published table of cells with counters.
+//! Backend servers as the request path sees them: a published table with the fleet list entry, load
+//! report, breaker and in-flight counters of each one.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,26 +17,28 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// Sends this long before a report's own time are counted again, for the way of the report.
+/// Requests sent up to this long before the time at which a load report was taken are counted
+/// again, because the report may have left the backend server before it saw them.
 const REPORT_MARGIN_MS: u64 = 20;
 
 #[derive(Debug)]
-struct Sent {
+struct SentRequest {
     number: u64,
     at: Instant,
     fingerprint: Option<Fingerprint>,
 }
 
-/// Requests in flight, each with its time, and the breaker. Held for a few instructions only.
+/// Requests in flight, each with its start time, and the circuit breaker. The lock is held for a
+/// few instructions only.
 #[derive(Debug, Default)]
-struct Flights {
-    sent: Vec<Sent>,
+struct InFlightRequests {
+    sent: Vec<SentRequest>,
     next: u64,
     reported_until: Option<Instant>,
     breaker: Breaker,
 }
 
-impl Flights {
+impl InFlightRequests {
     fn since_report(&self) -> u32 {
         let Some(until) = self.reported_until else {
             return self.sent.len() as u32;
@@ -44,10 +47,11 @@
     }
 }
 
-/// Counters of one backend server. They outlive changes of its entry in the fleet list.
+/// Counters of one backend server. They are kept when its entry in the fleet list changes, as long
+/// as its address stays the same.
 #[derive(Debug, Default)]
 pub struct Counters {
-    flights: Mutex<Flights>,
+    in_flight_requests: Mutex<InFlightRequests>,
     in_flight: AtomicU32,
     sent_since_report: AtomicU32,
     failures: AtomicBool,
@@ -68,21 +72,21 @@
         self.failures.store(failures, Ordering::Relaxed);
     }
 
-    fn publish_flights(&self, flights: &Flights) {
-        let in_flight = flights.sent.len() as u32;
+    fn publish_in_flight(&self, in_flight_requests: &InFlightRequests) {
+        let in_flight = in_flight_requests.sent.len() as u32;
         self.in_flight.store(in_flight, Ordering::Relaxed);
-        let since_report = flights.since_report();
+        let since_report = in_flight_requests.since_report();
         self.sent_since_report
             .store(since_report, Ordering::Relaxed);
     }
 }
 
-/// One backend server.
+/// What this instance knows of one backend server.
 #[derive(Debug, Clone)]
 pub struct BackendState {
-    /// Its entry in the fleet list.
+    /// Entry in the fleet list.
     pub backend: Backend,
-    /// Its counters.
+    /// Counters, shared with older versions of the table.
     pub counters: Arc<Counters>,
     affinity_seed: u64,
 }
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Its load as estimated here.
+    /// Estimated load: the last report plus the requests sent from here since then.
     pub fn load(&self) -> ReplicaLoad {
         let report = self.counters.report.load();
         let (report, reported_at) = match report.as_deref() {
@@ -111,16 +115,18 @@
         }
     }
 
-    /// Takes a load report in. Own sends after the time of which it speaks go on counting.
+    /// Stores a load report. Requests sent after the report was taken are still counted on top of
+    /// it.
     pub fn record_load_report(&self, report: LoadReport, now: MonoMs) {
         let back = Duration::from_millis(report.age_ms.saturating_add(REPORT_MARGIN_MS));
-        let mut flights = self.counters.flights.lock();
-        flights.reported_until = Instant::now().checked_sub(back);
-        self.counters.publish_flights(&flights);
+        let mut in_flight_requests = self.counters.in_flight_requests.lock();
+        in_flight_requests.reported_until = Instant::now().checked_sub(back);
+        self.counters.publish_in_flight(&in_flight_requests);
         self.counters.report.store(Some(Arc::new((report, now))));
     }
 
-    /// Whether it takes new work by the list, its own report, its refusals and what peers tell.
+    /// State from the fleet list, or `Leaving` if its own report or a marking by
+    /// [`Self::set_marked_leaving`] says so.
     pub fn state(&self) -> FleetState {
         if self.counters.marked_leaving.load(Ordering::Relaxed) || self.reports_leaving() {
             return FleetState::Leaving;
@@ -128,19 +134,20 @@
         self.backend.state
     }
 
-    /// Whether this instance has seen since the last call that it is leaving.
+    /// Whether this instance itself has observed since the last call that the backend server is
+    /// leaving. Clears the observation of a refused request.
     pub fn take_leaving_observation(&self) -> bool {
         let refused = self.counters.refused_leaving.swap(false, Ordering::Relaxed);
         refused || self.reports_leaving() || self.backend.state == FleetState::Leaving
     }
 
-    /// Notes that it refused a request because it is leaving.
+    /// Records that it refused a request because it is leaving.
     pub fn refused_as_leaving(&self) {
         self.counters.refused_leaving.store(true, Ordering::Relaxed);
         self.set_marked_leaving(true);
     }
 
-    /// Sets what instances tell each other.
+    /// Sets whether the instances have told each other that it is leaving.
     pub fn set_marked_leaving(&self, marked: bool) {
         self.counters
             .marked_leaving
@@ -152,7 +159,7 @@
         report.as_deref().is_some_and(|(report, _)| report.leaving)
     }
 
-    /// Whether it is the process that crashed, as far as its load report tells.
+    /// Whether it still runs as the process that crashed, by the start time in its load report.
     pub fn is_crashed_process(&self, crash: &CrashId) -> bool {
         let report = self.counters.report.load();
         let started = report
@@ -161,34 +168,36 @@
         self.backend.id == crash.backend && started == crash.started_unix_ms
     }
 
-    /// Sets it aside after a failure, for longer with each one.
+    /// Records a failed request; the breaker ejects the backend server, for longer with each
+    /// failure.
     pub fn record_failure(&self, now: MonoMs) {
-        let mut flights = self.counters.flights.lock();
-        flights.breaker.failed(now, rand::random());
-        self.counters.publish_breaker(&flights.breaker);
+        let mut in_flight_requests = self.counters.in_flight_requests.lock();
+        in_flight_requests.breaker.failed(now, rand::random());
+        self.counters.publish_breaker(&in_flight_requests.breaker);
     }
 
-    /// Notes that it served a request.
+    /// Records a served request, which closes the breaker.
     pub fn record_success(&self) {
         if !self.counters.failures.load(Ordering::Relaxed) {
             return;
         }
-        let mut flights = self.counters.flights.lock();
-        flights.breaker.succeeded();
-        self.counters.publish_breaker(&flights.breaker);
+        let mut in_flight_requests = self.counters.in_flight_requests.lock();
+        in_flight_requests.breaker.succeeded();
+        self.counters.publish_breaker(&in_flight_requests.breaker);
     }
 
-    /// Notes that it was chosen; after failures that is its trial.
+    /// Records that it was selected. After failures this request is the breaker's trial, and no
+    /// other one is sent until it ends.
     pub fn note_sent_after_failure(&self, now: MonoMs) {
         if !self.counters.failures.load(Ordering::Relaxed) {
             return;
         }
-        let mut flights = self.counters.flights.lock();
-        flights.breaker.sent(now);
-        self.counters.publish_breaker(&flights.breaker);
+        let mut in_flight_requests = self.counters.in_flight_requests.lock();
+        in_flight_requests.breaker.sent(now);
+        self.counters.publish_breaker(&in_flight_requests.breaker);
     }
 
-    /// Whether it may be used.
+    /// Whether the breaker lets requests through.
     pub fn availability(&self, now: MonoMs) -> Availability {
         if !self.counters.failures.load(Ordering::Relaxed) {
             return Availability::Open;
@@ -199,17 +208,17 @@
         Availability::HalfOpen
     }
 
-    /// Whether it is set aside.
+    /// Whether the breaker has ejected it.
     pub fn is_ejected(&self, now: MonoMs) -> bool {
         self.availability(now) == Availability::SetAside
     }
 
-    /// Whether a request suspected of crashes is tried there.
+    /// Sets whether a probe of a suspect request runs there, so that other requests avoid it.
     pub fn set_probing(&self, on_trial: bool) {
         self.counters.on_trial.store(on_trial, Ordering::Relaxed);
     }
 
-    /// Its pace.
+    /// Moving averages of the time between two tokens and of the time of a full response.
     pub fn latency(&self) -> Pace {
         Pace {
             gap_us: self.counters.gap_us.load(Ordering::Relaxed),
@@ -217,37 +226,39 @@
         }
     }
 
-    /// Notes the time between two events of a stream.
+    /// Records the time between two events of a stream.
     pub fn record_token_gap(&self, gap: Duration) {
         let mean_us = self.counters.gap_us.load(Ordering::Relaxed);
         let moved = stall::moved_mean(mean_us, gap.as_micros() as u64);
         self.counters.gap_us.store(moved, Ordering::Relaxed);
     }
 
-    /// Notes the time of a whole request.
+    /// Records the time of a full response.
     pub fn record_service_time(&self, time: Duration) {
         let mean_ms = self.counters.service_ms.load(Ordering::Relaxed);
         let moved = stall::moved_mean(mean_ms, time.as_millis() as u64);
         self.counters.service_ms.store(moved, Ordering::Relaxed);
     }
 
-    /// Counts a request as sent until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped. It is not reported when the
+    /// backend server crashes.
     pub fn start_request(&self) -> InFlightGuard {
         self.start_tracked_request(None)
     }
 
-    /// Counts a request with a fingerprint as sent until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped, and reports its fingerprint if the
+    /// backend server crashes meanwhile.
     pub fn start_tracked_request(&self, fingerprint: Option<Fingerprint>) -> InFlightGuard {
-        let mut flights = self.counters.flights.lock();
-        let number = flights.next;
-        flights.next += 1;
-        flights.sent.push(Sent {
+        let mut in_flight_requests = self.counters.in_flight_requests.lock();
+        let number = in_flight_requests.next;
+        in_flight_requests.next += 1;
+        in_flight_requests.sent.push(SentRequest {
             number,
             at: Instant::now(),
             fingerprint,
         });
-        self.counters.publish_flights(&flights);
-        drop(flights);
+        self.counters.publish_in_flight(&in_flight_requests);
+        drop(in_flight_requests);
         let report = self.counters.report.load();
         InFlightGuard {
             counters: self.counters.clone(),
@@ -258,23 +269,23 @@
         }
     }
 
-    /// Requests now in flight there.
+    /// Requests in flight from this instance whose fingerprints are known.
     pub fn tracked_requests(&self) -> Vec<Flight> {
-        let mut flights = Vec::new();
-        for sent in &self.counters.flights.lock().sent {
+        let mut in_flight_requests = Vec::new();
+        for sent in &self.counters.in_flight_requests.lock().sent {
             let Some(fingerprint) = sent.fingerprint else {
                 continue;
             };
-            flights.push(Flight {
+            in_flight_requests.push(Flight {
                 fingerprint,
                 age_ms: sent.at.elapsed().as_millis() as u64,
             });
         }
-        flights
+        in_flight_requests
     }
 }
 
-/// A request in flight at a backend server.
+/// Counts one request as in flight at a backend server until dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     counters: Arc<Counters>,
@@ -283,8 +294,8 @@
 }
 
 impl InFlightGuard {
-    /// When the process that got it had started, in ms since the Unix epoch by its own clock; 0
-    /// where its load report did not say.
+    /// Start time of the process that received the request, in ms since the Unix epoch by that
+    /// machine's clock; 0 if no load report had told it.
     pub fn started_unix_ms(&self) -> u64 {
         self.started_unix_ms
     }
@@ -292,35 +303,38 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut flights = self.counters.flights.lock();
-        let place = flights.sent.iter().position(|s| s.number == self.number);
-        if let Some(place) = place {
-            flights.sent.swap_remove(place);
+        let mut in_flight_requests = self.counters.in_flight_requests.lock();
+        let index = in_flight_requests
+            .sent
+            .iter()
+            .position(|s| s.number == self.number);
+        if let Some(index) = index {
+            in_flight_requests.sent.swap_remove(index);
         }
-        self.counters.publish_flights(&flights);
+        self.counters.publish_in_flight(&in_flight_requests);
     }
 }
 
-/// All backend servers, by what they serve.
+/// All backend servers, indexed by the models and services that they serve.
 #[derive(Debug, Default)]
 pub struct BackendTable {
-    /// All of them.
+    /// Every backend server of the fleet list.
     pub servers: Vec<Arc<BackendState>>,
     engines: HashMap<TargetName, Vec<Arc<BackendState>>>,
     services: HashMap<TargetName, Vec<Arc<BackendState>>>,
 }
 
 impl BackendTable {
-    /// A table of the list's backend servers that keeps the counters of those known before at the
-    /// same address.
+    /// Builds the table of a new fleet list. A backend server with the same id and address keeps
+    /// its counters.
     pub fn with_fleet_list(&self, backends: &[Backend]) -> Self {
-        let mut known: HashMap<&BackendId, &BackendState> = HashMap::new();
+        let mut previous: HashMap<&BackendId, &BackendState> = HashMap::new();
         for server in &self.servers {
-            known.insert(&server.backend.id, server);
+            previous.insert(&server.backend.id, server);
         }
         let mut table = BackendTable::default();
         for backend in backends {
-            let before = known.get(&backend.id);
+            let before = previous.get(&backend.id);
             let before = before.filter(|server| server.backend.address == backend.address);
             let counters = before.map(|server| server.counters.clone());
             let server = BackendState::new(backend.clone(), counters.unwrap_or_default());
@@ -348,13 +362,13 @@
         }
     }
 
-    /// The backend servers of a model or service.
+    /// Backend servers of a model or service; empty if nothing serves it.
     pub fn serving(&self, kind: BackendKind, target: &TargetName) -> &[Arc<BackendState>] {
         let servers = self.by_target(kind).get(target);
         servers.map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Names served by any backend server of a kind.
+    /// Sorted names of the models or services served by any backend server of the kind.
     pub fn targets(&self, kind: BackendKind) -> Vec<TargetName> {
         let mut names: Vec<TargetName> = self.by_target(kind).keys().cloned().collect();
         names.sort();
@@ -362,12 +376,12 @@
     }
 }
 
-/// The backend servers of one model or service at one moment.
+/// Routing candidates: the backend servers of one model or service at one time.
 #[derive(Debug, Clone, Copy)]
 pub struct Serving<'a> {
-    /// The backend servers.
+    /// Backend servers of the target.
     pub servers: &'a [Arc<BackendState>],
-    /// The moment.
+    /// Time at which the breakers are evaluated.
     pub now: MonoMs,
 }
 
--- a/crates/foxtailhold-entry/src/contract_store.rs
+++ b/crates/foxtailhold-entry/src/contract_store.rs
@@ -8,33 +8,33 @@
 
 use crate::tables;
 
-/// Rows read at once.
+/// Rows requested by one scan of the contract tables.
 pub const PAGE: usize = 500;
 
-/// The head row.
+/// The only row of the head table.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// Number of the last change.
+    /// Number of the last committed contract change.
     pub number: u64,
 }
 
-/// The number of the last change, 0 before the first.
+/// Reads the number of the last committed change; 0 if there is none.
 pub async fn read_head<T: TableService>(table: &T) -> Result<u64> {
     let row = table.get(tables::CONFIG_HEAD, tables::HEAD_KEY).await?;
     let head: Option<HeadRow> = row.map(|row| row.read()).transpose()?;
     Ok(head.map_or(0, |head| head.number))
 }
 
-/// All changes after `number`, in order.
+/// Reads all changes after `number` from the log, in order.
 pub async fn read_after<T: TableService>(table: &T, number: u64) -> Result<Vec<ContractChange>> {
     let mut after = tables::log_key(number);
     let mut changes = Vec::new();
     loop {
         let rows = table.scan(tables::CONFIG_LOG, "", &after, PAGE).await?;
         let last = rows.len() < PAGE;
-        for keyed in rows {
-            changes.push(keyed.row.read()?);
-            after = keyed.key;
+        for entry in rows {
+            changes.push(entry.row.read()?);
+            after = entry.key;
         }
         if last {
             return Ok(changes);
@@ -42,7 +42,8 @@
     }
 }
 
-/// All contract rows, with the end of the log that heals rows read from the past.
+/// Reads all contract rows and the end of the log. A scan may return rows that are older than the
+/// head; replaying the last [`LOG_REPLAY`] changes brings them up to date.
 pub async fn read_snapshot<T: TableService>(table: &T) -> Result<StoreSnapshot> {
     let head = read_head(table).await?;
     let floor = head.saturating_sub(LOG_REPLAY);
@@ -64,15 +65,15 @@
     loop {
         let rows = table.scan(tables::CONTRACT, "", &after, PAGE).await?;
         let last = rows.len() < PAGE;
-        for keyed in rows {
-            let customer = CustomerId::try_from(keyed.key.as_str()).map_err(|error| {
+        for entry in rows {
+            let customer = CustomerId::try_from(entry.key.as_str()).map_err(|error| {
                 PlatformError::Malformed {
                     service: foxtailhold_platform::table::TABLE_SERVICE,
                     detail: error.to_string(),
                 }
             })?;
-            entries.push((customer, keyed.row.read()?));
-            after = keyed.key;
+            entries.push((customer, entry.row.read()?));
+            after = entry.key;
         }
         if last {
             return Ok(entries);
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -1,5 +1,5 @@
-//! What the request path does about crashes: it finds out whether a lost engine crashed, and sends
-//! a suspect only in a trial.
+//! Crash handling of the request path: it checks whether a lost engine has crashed, and sends a
+//! suspect request only as a probe that the coordinator grants.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,15 +23,15 @@
 use crate::messages::CrashesMessage;
 use crate::shared::Shared;
 
-/// Limit for a connection to a backend server that may have crashed.
-const PROBE_TIMEOUT_MS: u64 = 300;
-/// Looks at a backend server that may have crashed: it may take a moment to exit.
-const PROBES: u32 = 4;
-/// Time between looks.
-const PROBE_PAUSE_MS: u64 = 20;
+/// Time limit for one connection or load request to a backend server that may have crashed.
+const CHECK_TIMEOUT_MS: u64 = 300;
+/// How often a backend server that may have crashed is checked; it may take a moment to exit.
+const MAX_CHECKS: u32 = 4;
+/// Pause between two checks.
+const CHECK_INTERVAL_MS: u64 = 20;
 
 impl<P: Platform> Shared<P> {
-    /// How a request stands.
+    /// Whether the request is clear, suspected of crashing backend servers, or convicted.
     pub fn crash_status(&self, fingerprint: Fingerprint) -> Standing {
         let standings = self.crash_statuses.load();
         let standing = standings.get(&fingerprint);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Whether an error may come from a crash of the engine.
+/// Whether the engine's crash can be the cause of the error.
 fn may_be_crash(error: &EngineError) -> bool {
     matches!(
         error,
@@ -57,7 +57,7 @@
 }
 
 async fn process_status<P: Platform>(shared: &Shared<P>, address: SocketAddr) -> ProcessStatus {
-    let wait = Duration::from_millis(PROBE_TIMEOUT_MS);
+    let wait = Duration::from_millis(CHECK_TIMEOUT_MS);
     match tokio::time::timeout(wait, TcpStream::connect(address)).await {
         Err(_) => return ProcessStatus::Unknown,
         Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
@@ -71,20 +71,21 @@
     }
 }
 
-/// Whether the process that got the request has ended: its port refuses connections, or another
-/// process answers there.
+/// Whether the process that received the request has ended: its port refuses connections, or a
+/// process with another start time answers there.
 async fn has_ended<P: Platform>(shared: &Shared<P>, address: SocketAddr, started: u64) -> bool {
-    for _ in 0..PROBES {
+    for _ in 0..MAX_CHECKS {
         match process_status(shared, address).await {
             ProcessStatus::Gone => return true,
             ProcessStatus::Running(now) if started != 0 && now != started => return true,
-            _ => tokio::time::sleep(Duration::from_millis(PROBE_PAUSE_MS)).await,
+            _ => tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await,
         }
     }
     false
 }
 
-/// Finds out whether a failure was a crash, and if so tells all instances what was in flight.
+/// Checks whether a failure was a crash of the backend server. If so, tells all instances which
+/// requests were in flight there.
 pub async fn report_if_crashed<P: Platform>(
     shared: &Shared<P>,
     server: &BackendState,
@@ -104,37 +105,39 @@
         flights: server.tracked_requests(),
     };
     if let Some(actors) = shared.actors() {
-        let told = actors
+        let sent = actors
             .crashes
             .call(|reply| CrashesMessage::Observed(notice, reply), None);
-        if told.await.is_err() {
-            log::warn!("a crash could not be noted");
+        if sent.await.is_err() {
+            log::warn!("crash not recorded: the crashes actor did not answer");
         }
     }
     TrialEnd::Crashed
 }
 
-/// The address of the instance that grants trials, `None` where it is this one.
-fn home<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
+/// Address of the instance that coordinates probes; `None` if it is this one or no instance is
+/// live.
+fn coordinator_address<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let home = rendezvous::home(ids, TRIALS_KEY)?;
-    if *home == shared.settings.instance {
+    let coordinator = rendezvous::home(ids, TRIALS_KEY)?;
+    if *coordinator == shared.settings.instance {
         return None;
     }
     members
         .iter()
-        .find(|member| member.id == *home)
+        .find(|member| member.id == *coordinator)
         .map(|member| member.peer_address)
 }
 
-/// Asks for a trial of a suspect on one of `backends`. `None` where the home does not answer.
+/// Asks the coordinator for a probe of a suspect request on one of `backends`. `None` if the
+/// coordinator does not answer.
 pub async fn request_probe<P: Platform>(
     shared: &Shared<P>,
     fingerprint: Fingerprint,
     backends: Vec<BackendId>,
 ) -> Option<TrialAnswer> {
-    if let Some(address) = home(shared) {
+    if let Some(address) = coordinator_address(shared) {
         let request = PeerRequest::TrialAsked {
             fingerprint,
             backends,
@@ -152,7 +155,7 @@
     }
 }
 
-/// A trial that runs. Dropping it without [`TrialGuard::close`] ends it without a verdict.
+/// A granted probe. Dropping it without [`ProbeGuard::close`] ends the probe without a result.
 #[derive(Debug)]
 pub struct ProbeGuard<P: Platform> {
     shared: Shared<P>,
@@ -163,7 +166,7 @@
 }
 
 impl<P: Platform> ProbeGuard<P> {
-    /// The guard of a trial that was granted.
+    /// Guards a probe that the coordinator granted on `server`.
     pub fn new(
         shared: &Shared<P>,
         fingerprint: Fingerprint,
@@ -179,12 +182,12 @@
         }
     }
 
-    /// Whether it lasts until the request's end.
+    /// Whether the probe lasts until the request ends, and not just until its first event.
     pub fn is_strict(&self) -> bool {
         self.strict
     }
 
-    /// Ends the trial.
+    /// Ends the probe with its result.
     pub fn close(mut self, end: TrialEnd) {
         self.end = end;
     }
@@ -194,7 +197,7 @@
     fn drop(&mut self) {
         let (fingerprint, end) = (self.fingerprint, self.end);
         let backend = self.server.backend.id.clone();
-        let Some(address) = home(&self.shared) else {
+        let Some(address) = coordinator_address(&self.shared) else {
             if let Some(actors) = self.shared.actors() {
                 let message = CrashesMessage::ProbeEnded(fingerprint, backend, end);
                 note_undelivered(actors.crashes.send_message(message));
@@ -209,12 +212,12 @@
                 end,
             };
             for _ in 0..3 {
-                let told = peers.ask(address, &request, NOTICE_TIMEOUT_MS).await;
-                if told.is_ok() {
+                let sent = peers.ask(address, &request, NOTICE_TIMEOUT_MS).await;
+                if sent.is_ok() {
                     return;
                 }
             }
-            log::warn!("the end of a trial did not reach its home");
+            log::warn!("end of a probe not reported: its coordinator did not answer");
         });
     }
 }
--- a/crates/foxtailhold-entry/src/error.rs
+++ b/crates/foxtailhold-entry/src/error.rs
@@ -19,17 +19,18 @@
     #[error(transparent)]
     #[diagnostic(help("is another process on that port?"))]
     Peer(#[from] PeerError),
-    /// An actor could not be started.
+    /// An actor did not start.
     #[error("an actor could not be started: {0}")]
     Spawn(#[from] ractor::SpawnErr),
-    /// Signals cannot be received.
+    /// A socket or signal handler could not be set up.
     #[error("signals cannot be received: {0}")]
     Signal(#[from] std::io::Error),
-    /// Requests were still in flight when the stop's limit passed.
+    /// Requests were still in flight when the planned stop reached its time limit; they were cut
+    /// off.
     #[error("requests were still in flight {stop_wait_ms} ms after the stop began")]
     #[diagnostic(help("raise --stop-wait-ms above the longest answer"))]
     CutRequests {
-        /// The limit.
+        /// Time limit of the planned stop.
         stop_wait_ms: u64,
     },
 }
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as callers offer, watch and cancel them.
+//! Batch jobs for callers: create, describe, list and cancel.
 
 use std::collections::HashSet;
 
@@ -24,14 +24,15 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Limit for telling the home of a job.
+/// Time limit for telling the job's preferred owner of a new job.
 const OFFER_TIMEOUT_MS: u64 = 500;
-/// Attempts to learn what became of a write whose answer was lost.
-const MAX_WRITE_TRIES: u32 = 3;
-/// Characters of the digest in a job's identifier.
+/// Attempts to settle a write whose answer was lost.
+const MAX_WRITE_ATTEMPTS: u32 = 3;
+/// Hex digits of the digest in a job id.
 const JOB_DIGEST_CHARS: usize = 32;
 
-/// The job's identifier follows from customer and key, so that a resend names the same job.
+/// Derives the job id from the customer and the idempotency key, or from the body without one, so
+/// that a resend names the same job.
 fn job_id(customer: &CustomerId, request: &BatchRequest) -> Result<JobId> {
     let key = match &request.context.idempotency_key {
         Some(key) => format!("key {customer} {key}"),
@@ -46,7 +47,7 @@
     Refusal::invalid(format!("the input file is refused: {error}"))
 }
 
-/// Reads every line of the input and counts the items.
+/// Checks every line of the input file and counts the items.
 async fn check_input<P: Platform>(
     shared: &Shared<P>,
     request: &BatchRequest,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Accepts a job, or finds the one accepted before.
+/// Accepts a job, or returns the job that an earlier send of the same request created.
 pub async fn create<P: Platform>(shared: &Shared<P>, request: BatchRequest) -> Result<BatchObject> {
     let contract = &request.context.contract;
     let customer = &contract.customer;
@@ -91,7 +92,7 @@
     let key = tables::job_key(customer, &job);
     let known = shared.platform.get(tables::JOB, &key).await;
     if let Some(row) = known.map_err(|error| store_unavailable(&error))? {
-        return resent(shared, &request, &row).await;
+        return existing_job(shared, &request, &row).await;
     }
     let file = rows::file(shared, customer, &request.input_file).await?;
     let items = check_input(shared, &request, &file).await?;
@@ -129,7 +130,7 @@
             let Some(current) = current else {
                 return Err(conflict("the job was removed while it was offered"));
             };
-            return resent(shared, &request, &current).await;
+            return existing_job(shared, &request, &current).await;
         }
     }
     shared
@@ -144,10 +145,10 @@
     Refusal::not_run(RefusalReason::Conflict { detail })
 }
 
-/// Sends a transaction until its fate is known; it must be safe to send again.
+/// Sends a transaction until its outcome is known. It must be safe to repeat.
 async fn commit<P: Platform>(shared: &Shared<P>, operations: &[Operation]) -> Result<Transacted> {
     let mut last = None;
-    for _ in 0..MAX_WRITE_TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match shared.platform.transact(operations).await {
             Ok(transacted) => return Ok(transacted),
             Err(error) => last = Some(error),
@@ -161,7 +162,7 @@
     Err(refusal)
 }
 
-async fn resent<P: Platform>(
+async fn existing_job<P: Platform>(
     shared: &Shared<P>,
     request: &BatchRequest,
     row: &Row,
@@ -173,7 +174,8 @@
     object(shared, row).await
 }
 
-/// Tells the home of a job that it is there; the periodic scan finds it otherwise.
+/// Tells the job's preferred owner that the job exists. If the message is lost, the periodic scan
+/// finds the job.
 fn offer<P: Platform>(shared: &Shared<P>, customer: &CustomerId, job: &JobId) {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
@@ -194,7 +196,9 @@
     tokio::spawn(async move {
         let request = PeerRequest::JobOffered { customer, job };
         if let Err(error) = shared.peers.ask(address, &request, OFFER_TIMEOUT_MS).await {
-            log::debug!("the home of a job was not told: {error}");
+            log::debug!(
+                "job not offered to its preferred owner, the periodic scan will find it: {error}"
+            );
         }
     });
 }
@@ -223,7 +227,7 @@
     })
 }
 
-/// The counts of a job: from its row once it has ended, from its chunks before.
+/// Completed and failed items: from the job's row once it has ended, from its chunks before.
 pub async fn counts<P: Platform>(shared: &Shared<P>, row: &JobRow) -> Result<JobCounts> {
     if let Some(counts) = row.counts {
         return Ok(counts);
@@ -232,7 +236,7 @@
     found.map_err(|error| store_unavailable(&error))
 }
 
-/// Describes a job.
+/// Describes a job of the customer; refuses with `NotFound` if there is none.
 pub async fn describe<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
@@ -242,7 +246,7 @@
     object(shared, row).await
 }
 
-/// Lists a customer's jobs in the order of their identifiers.
+/// Lists a customer's jobs in the order of their ids.
 pub async fn list<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
@@ -266,8 +270,8 @@
     Ok(batches)
 }
 
-/// Cancels a job. The answer says `cancelled` once no item of it runs or will run, and
-/// `cancelling` where the owner could not be asked in time.
+/// Cancels a job. The status is `cancelled` once no item of it runs or will run, and `cancelling`
+/// while the owner has not confirmed that.
 pub async fn cancel<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
--- a/crates/foxtailhold-entry/src/gateway/contract_change.rs
+++ b/crates/foxtailhold-entry/src/gateway/contract_change.rs
@@ -1,8 +1,8 @@
 //! Contract changes in the platform's table service.
 //!
 //! One transaction writes the head number, the log row, the customer's row and the rows that keep
-//! API keys unique. A lost answer is settled by sending the same transaction again: the log row's
-//! change id tells whether the first one took effect.
+//! API keys unique. After a lost answer the same transaction is sent again: the change id in the
+//! log row tells whether the first one took effect.
 
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
 use crate::contract_store::HeadRow;
 use crate::tables;
 
-/// Attempts against changes of other customers that come in between.
-const MAX_RACES: u32 = 20;
-/// Wait after a lost race, for each race lost so far.
-const RACE_WAIT_MS: u64 = 25;
-/// Longest wait after a lost race.
-const MAX_RACE_WAIT_MS: u64 = 400;
-/// Attempts to learn what became of a transaction whose answer was lost.
-const MAX_READ_BACKS: u32 = 5;
-/// Wait before the first of them, doubled for each.
-const READ_BACK_WAIT_MS: u64 = 100;
-
-/// The row of an API key.
+/// Attempts when other changes commit in between.
+const MAX_ATTEMPTS: u32 = 20;
+/// Backoff after a lost race, multiplied by the number of races lost so far.
+const RACE_BACKOFF_MS: u64 = 25;
+/// Upper limit of the backoff after a lost race.
+const MAX_RACE_BACKOFF_MS: u64 = 400;
+/// Attempts to settle a transaction whose answer was lost.
+const MAX_SETTLE_ATTEMPTS: u32 = 5;
+/// Backoff before the first of these attempts; doubled for each further one.
+const SETTLE_BACKOFF_MS: u64 = 100;
+
+/// Row of an API key; its key in the table is the key's digest.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct KeyRow {
     customer: CustomerId,
 }
 
-/// What the table held before a change.
-struct Before {
+/// Head and contract rows before a change, each with its row version.
+struct CurrentRows {
     head: Option<(HeadRow, u64)>,
     entry: Option<(ContractEntry, u64)>,
 }
 
-impl Before {
+impl CurrentRows {
     fn version(&self) -> u64 {
         self.entry.as_ref().map_or(0, |(entry, _)| entry.version)
     }
@@ -51,7 +51,7 @@
 }
 
 fn unavailable(error: &PlatformError) -> OperatorError {
-    log::warn!("a contract change was not made: {error}");
+    log::warn!("contract change not made: store call failed: {error}");
     OperatorError::StoreUnavailable
 }
 
@@ -67,10 +67,10 @@
 async fn read_before<T: TableService>(
     table: &T,
     customer: &CustomerId,
-) -> foxtailhold_platform::Result<Before> {
+) -> foxtailhold_platform::Result<CurrentRows> {
     let head = table.get(tables::CONFIG_HEAD, tables::HEAD_KEY).await?;
     let entry = table.get(tables::CONTRACT, customer.as_str()).await?;
-    Ok(Before {
+    Ok(CurrentRows {
         head: read_versioned(head)?,
         entry: read_versioned(entry)?,
     })
@@ -80,10 +80,10 @@
     version.map_or(Expect::Absent, Expect::Version)
 }
 
-/// Position of the first API key row in the transaction.
+/// Index of the first API key row in the transaction.
 const FIRST_KEY_OPERATION: usize = 3;
 
-fn operations(before: &Before, change: &ContractChange) -> Vec<Operation> {
+fn operations(current_rows: &CurrentRows, change: &ContractChange) -> Vec<Operation> {
     let head = HeadRow {
         number: change.number,
     };
@@ -92,8 +92,8 @@
         number: change.number,
         contract: change.contract.clone(),
     };
-    let head_expect = expect(before.head.map(|(_, version)| version));
-    let entry_expect = expect(before.entry.as_ref().map(|(_, version)| *version));
+    let head_expect = expect(current_rows.head.map(|(_, version)| version));
+    let entry_expect = expect(current_rows.entry.as_ref().map(|(_, version)| *version));
     let customer = &change.customer;
     let log_key = tables::log_key(change.number);
     let mut operations = vec![
@@ -101,7 +101,7 @@
         Operation::put(tables::CONTRACT, customer.as_str(), entry_expect, &entry),
         Operation::put(tables::CONFIG_HEAD, tables::HEAD_KEY, head_expect, &head),
     ];
-    let old = before.contract().map(|c| c.api_keys.as_slice());
+    let old = current_rows.contract().map(|c| c.api_keys.as_slice());
     let old = old.unwrap_or_default();
     let new = change.contract.as_ref().map(|c| c.api_keys.as_slice());
     let new = new.unwrap_or_default();
@@ -124,29 +124,29 @@
     operations
 }
 
-enum Outcome {
+enum CommitOutcome {
     Committed,
-    Raced,
+    LostRace,
 }
 
-/// Sends the transaction until its fate is known.
+/// Sends the transaction until its outcome is known.
 async fn commit<T: TableService>(
     table: &T,
     change: &ContractChange,
     operations: &[Operation],
-) -> Result<Outcome> {
+) -> Result<CommitOutcome> {
     let mut may_have_taken_effect = false;
-    for attempt in 0..MAX_READ_BACKS {
+    for attempt in 0..MAX_SETTLE_ATTEMPTS {
         if attempt > 0 {
-            wait(READ_BACK_WAIT_MS << (attempt - 1)).await;
+            backoff(SETTLE_BACKOFF_MS << (attempt - 1)).await;
         }
         match table.transact(operations).await {
-            Ok(Transacted::Committed) => return Ok(Outcome::Committed),
+            Ok(Transacted::Committed) => return Ok(CommitOutcome::Committed),
             Ok(Transacted::Conflict { operation, current }) => {
                 return settle(change, operation, current);
             }
             Err(error) => {
-                log::warn!("change {} was not answered: {error}", change.change_id);
+                log::warn!("no answer to contract change {}: {error}", change.change_id);
                 may_have_taken_effect |= error.may_have_taken_effect();
             }
         }
@@ -158,7 +158,11 @@
     Err(OperatorError::StoreUnavailable)
 }
 
-fn settle(change: &ContractChange, operation: usize, current: Option<Row>) -> Result<Outcome> {
+fn settle(
+    change: &ContractChange,
+    operation: usize,
+    current: Option<Row>,
+) -> Result<CommitOutcome> {
     if operation >= FIRST_KEY_OPERATION {
         let owner: Option<KeyRow> = current.and_then(|row| row.read().ok());
         let customer = owner.map_or_else(|| "unknown".into(), |row| row.customer.to_string());
@@ -166,17 +170,17 @@
     }
     let logged: Option<ContractChange> = current.and_then(|row| row.read().ok());
     match logged {
-        Some(logged) if logged.change_id == change.change_id => Ok(Outcome::Committed),
-        _ => Ok(Outcome::Raced),
+        Some(logged) if logged.change_id == change.change_id => Ok(CommitOutcome::Committed),
+        _ => Ok(CommitOutcome::LostRace),
     }
 }
 
-async fn wait(wait_ms: u64) {
+async fn backoff(wait_ms: u64) {
     let jitter_ms = rand::random::<u64>() % wait_ms.max(1);
     tokio::time::sleep(Duration::from_millis(wait_ms / 2 + jitter_ms)).await;
 }
 
-/// The customer's row as a transaction finds it: what was read before may be of the past.
+/// Reads the customer's row through a transaction, because a plain read may return an old version.
 async fn confirmed_entry<T: TableService>(
     table: &T,
     customer: &CustomerId,
@@ -190,44 +194,45 @@
     }
 }
 
-/// Makes a change and returns it once it is known to be committed.
+/// Commits a change and returns it.
 ///
-/// `change_id` must be unique to this call.
+/// `change_id` must be unique to this call. Refuses with `Conflict` if the contract is not at the
+/// expected version, and with `EffectUnknown` if the outcome of the commit stays unknown.
 pub async fn accept<T: TableService>(
     table: &T,
     update: &ContractUpdate,
     change_id: &str,
 ) -> Result<ContractChange> {
-    for race in 0..MAX_RACES {
-        if race > 0 {
-            wait((RACE_WAIT_MS * u64::from(race)).min(MAX_RACE_WAIT_MS)).await;
+    for attempt in 0..MAX_ATTEMPTS {
+        if attempt > 0 {
+            backoff((RACE_BACKOFF_MS * u64::from(attempt)).min(MAX_RACE_BACKOFF_MS)).await;
         }
-        let mut before = read_before(table, &update.customer)
+        let mut current_rows = read_before(table, &update.customer)
             .await
             .map_err(|error| unavailable(&error))?;
-        if before.version() != update.expected_version {
-            before.entry = confirmed_entry(table, &update.customer, before.entry)
+        if current_rows.version() != update.expected_version {
+            current_rows.entry = confirmed_entry(table, &update.customer, current_rows.entry)
                 .await
                 .map_err(|error| unavailable(&error))?;
         }
-        if before.version() != update.expected_version {
+        if current_rows.version() != update.expected_version {
             return Err(OperatorError::Conflict {
                 customer: update.customer.to_string(),
                 expected: update.expected_version,
-                current: before.version(),
+                current: current_rows.version(),
             });
         }
         let change = ContractChange {
-            number: before.head.map_or(0, |(head, _)| head.number) + 1,
+            number: current_rows.head.map_or(0, |(head, _)| head.number) + 1,
             change_id: change_id.to_owned(),
             customer: update.customer.clone(),
-            version: before.version() + 1,
+            version: current_rows.version() + 1,
             contract: update.contract.clone().map(Into::into),
         };
-        let operations = operations(&before, &change);
+        let operations = operations(&current_rows, &change);
         match commit(table, &change, &operations).await? {
-            Outcome::Committed => return Ok(change),
-            Outcome::Raced => continue,
+            CommitOutcome::Committed => return Ok(change),
+            CommitOutcome::LostRace => continue,
         }
     }
     Err(OperatorError::StoreUnavailable)
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends one request to an engine, and to another one where the first did not run it.
+//! Sends one request to an engine, and retries on another one if that is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,102 +24,108 @@
 use crate::online_load;
 use crate::shared::Shared;
 
-/// Backend servers that may have run it, for one request.
-pub const MAX_TRIES: usize = 3;
-/// Backend servers tried in all, those that refused it before they ran it included.
-pub const MAX_TRIES_NOT_RUN: usize = 8;
-/// Wait for an answer where the caller gives no deadline.
+/// Attempts that may have run the request, for one request.
+pub const MAX_ATTEMPTS: usize = 3;
+/// All attempts for one request, including those that a backend server refused before running them.
+pub const MAX_ATTEMPTS_NOT_RUN: usize = 8;
+/// Time limit for an answer if the caller gives no deadline.
 pub const DEFAULT_WAIT_MS: u64 = 300_000;
-/// When to come back after no backend server could serve.
+/// `Retry-After` of a refusal because no backend server could serve the request.
 pub const BACKEND_RETRY_AFTER_MS: u64 = 1_000;
-/// Longest wait for a trial of a request that was in flight at a crash.
-pub const TRIAL_WAIT_MS: u64 = 15_000;
-/// Bytes at the start of the body that name the prefix.
+/// Longest wait for a probe of a request that was in flight at a crash.
+pub const PROBE_WAIT_MS: u64 = 15_000;
+/// Bytes at the start of the body that are hashed for prefix affinity.
 const PREFIX_BYTES: usize = 512;
-/// Backend servers offered for a trial.
-const TRIAL_BACKENDS: usize = 8;
-/// Pause before the home of trials is asked again after it did not answer.
-const HOME_PAUSE_MS: u64 = 100;
+/// Backend servers offered to the coordinator for a probe.
+const MAX_PROBE_BACKENDS: usize = 8;
+/// Pause before the probe coordinator is asked again after it did not answer.
+const COORDINATOR_RETRY_MS: u64 = 100;
 
-/// A request as it is sent to engines.
+/// A request as it is sent to backend servers.
 #[derive(Debug, Clone)]
 pub struct OutgoingRequest {
-    /// Identifier.
+    /// Request id, sent with every attempt.
     pub id: RequestId,
-    /// Path at the engine.
+    /// Path of the request at the engine.
     pub path: &'static str,
-    /// The model.
+    /// Model that must serve it.
     pub model: TargetName,
-    /// Body.
+    /// Request body, sent unchanged.
     pub body: Bytes,
-    /// What tells it from others when backend servers crash.
+    /// Identifies the request in crash records, so that repeats of it are recognized.
     pub fingerprint: Fingerprint,
-    /// Whether a stream is asked for.
+    /// Whether the caller asked for a stream.
     pub streamed: bool,
-    /// Most tokens to generate, where the body says so.
+    /// Upper bound of the tokens to generate; `None` if the body sets none.
     pub max_tokens: Option<u64>,
-    /// When the caller gives up, on this process's clock, with the deadline it gave.
+    /// When the caller gives up, on this process's clock, with the deadline in ms that it gave;
+    /// `None` if it gave none.
     pub deadline: Option<(MonoMs, u64)>,
-    /// Whether it may be sent to a backend server after another one may have run it.
+    /// Whether it may be retried after an attempt that may have run it.
     pub retry_allowed: bool,
-    /// The epoch of this instance's lease under which alone it may be sent, where that is bounded.
+    /// Lease epoch of this instance under which alone it may be sent; `None` for requests that need
+    /// no lease.
     pub lease_epoch: Option<u64>,
 }
 
 impl OutgoingRequest {
-    /// Until when it may be sent, where that is bounded.
+    /// Latest time at which it may be sent; `None` if that is not bounded by a lease.
     pub fn not_after<P: Platform>(&self, shared: &Shared<P>) -> Option<Instant> {
         self.lease_epoch.map(|epoch| shared.acts_until(epoch))
     }
 }
 
-/// An answer that has begun, with the place it takes at its backend server.
+/// An answer that has begun, with its attempt still counted as in flight.
 #[derive(Debug)]
 pub struct StartedAnswer<P: Platform> {
-    /// The backend server.
+    /// Backend server that answers.
     pub server: Arc<BackendState>,
-    /// Frees the place when dropped.
+    /// Counts the attempt as in flight until dropped.
     pub in_flight: InFlightGuard,
-    /// The trial it is, for a stream of a suspect.
+    /// The probe that this attempt is, for a stream of a suspect request.
     pub probe: Option<ProbeGuard<P>>,
-    /// The answer.
+    /// Full response or stream.
     pub answer: EngineAnswer,
 }
 
-/// What is known after some tries.
+/// Attempts of one request so far.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptHistory {
-    /// Backend servers tried.
+    /// Backend servers that are not tried again.
     pub tried: Vec<BackendId>,
-    /// Whether one of them may have run it.
+    /// Whether any attempt may have run the request.
     pub may_have_run: bool,
-    runs: usize,
+    run_attempts: usize,
     last_error: Option<EngineError>,
 }
 
 impl AttemptHistory {
-    /// Notes a failure at a backend server.
+    /// Records a failed attempt, and the failure at its backend server.
     pub fn record_failure(&mut self, server: &BackendState, error: EngineError, now: MonoMs) {
         self.tried.push(server.backend.id.clone());
         if !error.is_not_run() {
             self.may_have_run = true;
-            self.runs += 1;
+            self.run_attempts += 1;
         }
         match error {
             EngineError::Full => {}
             EngineError::Leaving => server.refused_as_leaving(),
             _ => server.record_failure(now),
         }
-        log::warn!("backend server {} failed: {error}", server.backend.id);
+        log::warn!(
+            "attempt at backend server {} failed: {error}",
+            server.backend.id
+        );
         self.last_error = Some(error);
     }
 
-    /// After progress only the last backend server counts as tried.
+    /// Resets the attempts after a stream made progress: only the last backend server stays
+    /// excluded, and it counts as one attempt.
     pub fn progressed(&mut self) {
         let last = self.tried.pop();
         self.tried.clear();
         self.tried.extend(last);
-        self.runs = 1;
+        self.run_attempts = 1;
     }
 
     fn ran(&self) -> Ran {
@@ -135,7 +141,7 @@
             .retry_after_ms(after_ms)
     }
 
-    /// The refusal after the last try.
+    /// Refusal after the last attempt failed or no backend server is left.
     pub fn refusal(&self, target: &TargetName) -> Refusal {
         let target = target.clone();
         let reason = match &self.last_error {
@@ -149,13 +155,13 @@
         self.refused(reason, BACKEND_RETRY_AFTER_MS)
     }
 
-    /// The refusal of a convicted request.
+    /// Refusal of a request convicted of crashing backend servers, for the rest of its quarantine.
     pub fn quarantined(&self, left_ms: u64) -> Refusal {
         self.refused(RefusalReason::Quarantined, left_ms.max(1))
     }
 }
 
-/// Chooses a backend server that was not tried.
+/// Routes a request to a backend server that is not in `tried`; `None` if none is left.
 pub fn choose<P: Platform>(
     shared: &Shared<P>,
     kind: BackendKind,
@@ -182,7 +188,8 @@
     Some(server.clone())
 }
 
-/// Time left to the caller's deadline; a refusal at once where none is left.
+/// Time until the caller's deadline, or [`DEFAULT_WAIT_MS`] without one. Refuses if the deadline
+/// has passed.
 pub fn time_left_ms<P: Platform>(
     shared: &Shared<P>,
     outgoing: &OutgoingRequest,
@@ -200,7 +207,7 @@
     }
 }
 
-/// How long the answer of a backend server may take to come, or to begin for a stream.
+/// Time limit for the full response of a backend server, or for the first event of a stream.
 pub fn answer_timeout_ms(server: &BackendState, outgoing: &OutgoingRequest) -> u64 {
     let (load, pace) = (server.load(), server.latency());
     let bytes = outgoing.body.len() as u64;
@@ -215,7 +222,7 @@
     probe: Option<ProbeGuard<P>>,
 }
 
-fn plain_route<P: Platform>(
+fn route_normally<P: Platform>(
     shared: &Shared<P>,
     outgoing: &OutgoingRequest,
     attempts: &AttemptHistory,
@@ -229,7 +236,7 @@
     })
 }
 
-/// Backend servers for a trial, the least loaded first.
+/// Backend servers that may run a probe, the least loaded first.
 fn probe_servers<P: Platform>(
     shared: &Shared<P>,
     outgoing: &OutgoingRequest,
@@ -246,7 +253,7 @@
         servers.push(server.clone());
     }
     servers.sort_by_key(|server| server.load().estimate());
-    servers.truncate(TRIAL_BACKENDS);
+    servers.truncate(MAX_PROBE_BACKENDS);
     servers
 }
 
@@ -255,23 +262,23 @@
     tokio::time::sleep(Duration::from_millis(after_ms + jitter_ms)).await;
 }
 
-/// Chooses a backend server; a suspect waits for its trial, a convicted request is refused.
+/// Routes an attempt. A suspect request first waits for a probe, and a convicted one is refused.
 async fn route<P: Platform>(
     shared: &Shared<P>,
     outgoing: &OutgoingRequest,
     attempts: &AttemptHistory,
 ) -> Result<Route<P>> {
     let fingerprint = outgoing.fingerprint;
-    let begun = shared.clock.mono();
-    let mut asking = Asking::default();
+    let started_at = shared.clock.mono();
+    let mut negotiation = Asking::default();
     loop {
         time_left_ms(shared, outgoing, attempts)?;
         match shared.crash_status(fingerprint) {
-            Standing::Clear => return plain_route(shared, outgoing, attempts),
+            Standing::Clear => return route_normally(shared, outgoing, attempts),
             Standing::Convicted { left_ms } => return Err(attempts.quarantined(left_ms)),
             Standing::Suspect => {}
         }
-        if shared.clock.mono().since_ms(begun) >= TRIAL_WAIT_MS {
+        if shared.clock.mono().since_ms(started_at) >= PROBE_WAIT_MS {
             return Err(attempts.refusal(&outgoing.model));
         }
         let servers = probe_servers(shared, outgoing, attempts);
@@ -283,10 +290,10 @@
             .map(|server| server.backend.id.clone())
             .collect();
         let Some(answer) = crashes::request_probe(shared, fingerprint, ids).await else {
-            pause(HOME_PAUSE_MS).await;
+            pause(COORDINATOR_RETRY_MS).await;
             continue;
         };
-        match asking.answered(answer, shared.clock.mono()) {
+        match negotiation.answered(answer, shared.clock.mono()) {
             NextStep::Try {
                 backend,
                 strict,
@@ -302,19 +309,19 @@
                 return Ok(Route { server, probe });
             }
             NextStep::Refuse { left_ms } => return Err(attempts.quarantined(left_ms)),
-            NextStep::Send => return plain_route(shared, outgoing, attempts),
+            NextStep::Send => return route_normally(shared, outgoing, attempts),
             NextStep::AskAgain { after_ms } => pause(after_ms).await,
         }
     }
 }
 
-/// Whether another try is allowed; takes it out of the retry budget.
-fn may_try<P: Platform>(
+/// Whether another attempt is allowed; a retry is taken from the retry budget.
+fn may_attempt<P: Platform>(
     shared: &Shared<P>,
     outgoing: &OutgoingRequest,
     attempts: &AttemptHistory,
 ) -> bool {
-    if attempts.runs >= MAX_TRIES || attempts.tried.len() >= MAX_TRIES_NOT_RUN {
+    if attempts.run_attempts >= MAX_ATTEMPTS || attempts.tried.len() >= MAX_ATTEMPTS_NOT_RUN {
         return false;
     }
     if attempts.may_have_run && !outgoing.retry_allowed {
@@ -361,14 +368,15 @@
     }
 }
 
-/// Sends the request until an answer begins, no try is left, or repeating it is not allowed.
+/// Sends the request until an answer begins. Refuses when no attempt is left or a retry is not
+/// allowed.
 pub async fn open<P: Platform>(
     shared: &Shared<P>,
     outgoing: &OutgoingRequest,
     resume: Option<Resume<'_>>,
     attempts: &mut AttemptHistory,
 ) -> Result<StartedAnswer<P>> {
-    while may_try(shared, outgoing, attempts) {
+    while may_attempt(shared, outgoing, attempts) {
         let Route { server, probe } = route(shared, outgoing, attempts).await?;
         let left_ms = time_left_ms(shared, outgoing, attempts)?;
         let timeout_ms = left_ms.min(answer_timeout_ms(&server, outgoing));
@@ -378,10 +386,10 @@
             request: outgoing.id.clone(),
             backend: server.backend.id.clone(),
         });
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let error = match send(shared, outgoing, resume, &server, timeout_ms).await {
             Ok(answer) => {
-                let probe = answered(&server, &answer, probe, begun);
+                let probe = answered(&server, &answer, probe, started_at);
                 return Ok(StartedAnswer {
                     server,
                     in_flight,
@@ -397,25 +405,25 @@
     Err(attempts.refusal(&outgoing.model))
 }
 
-/// A whole answer ends its trial; a stream goes on with it.
+/// Records a full response as a success and ends its probe. For a stream the probe goes on.
 fn answered<P: Platform>(
     server: &BackendState,
     answer: &EngineAnswer,
     probe: Option<ProbeGuard<P>>,
-    begun: Instant,
+    started_at: Instant,
 ) -> Option<ProbeGuard<P>> {
     if matches!(answer, EngineAnswer::Stream(_)) {
         return probe;
     }
     server.record_success();
-    server.record_service_time(begun.elapsed());
+    server.record_service_time(started_at.elapsed());
     if let Some(probe) = probe {
         probe.close(TrialEnd::Survived);
     }
     None
 }
 
-/// Finds out whether a failure was a crash and ends the trial, if it was one.
+/// Checks whether a failure was a crash, and ends the attempt's probe with that result.
 pub async fn failed<P: Platform>(
     shared: &Shared<P>,
     server: &BackendState,
--- a/crates/foxtailhold-entry/src/gateway/idempotency.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency.rs
@@ -17,7 +17,7 @@
 use foxtailhold_service::{ServiceAnswer, ServiceCall, ServiceError};
 use http::HeaderValue;
 
-use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_TRIES};
+use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_ATTEMPTS};
 use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest};
 use crate::shared::Shared;
 use crate::tables;
@@ -133,7 +133,7 @@
         target: target.clone(),
     };
     let mut call = attempt.call.clone();
-    while tried.len() < MAX_TRIES {
+    while tried.len() < MAX_ATTEMPTS {
         let Some(server) = dispatch::choose(shared, attempt.kind, target, &call.body, &tried)
         else {
             break;
--- a/crates/foxtailhold-entry/src/gateway/infer.rs
+++ b/crates/foxtailhold-entry/src/gateway/infer.rs
@@ -1,4 +1,4 @@
-//! Requests to models.
+//! Inference requests: admission, dispatch and the form of the answer.
 
 use foxtailhold::contract::Contract;
 use foxtailhold::quarantine::{Fingerprint, Standing};
@@ -14,7 +14,7 @@
 use crate::gateway::{EntryGateway, idempotency};
 use crate::shared::Shared;
 
-/// The answer in the form the caller side wants.
+/// Converts an engine's full response for the caller side.
 pub(crate) fn whole(answer: WholeAnswer) -> Whole {
     Whole {
         status: answer.status,
@@ -52,7 +52,8 @@
     }
 }
 
-/// Runs a request.
+/// Admits an inference request and dispatches it. Returns a full response or a stream that has
+/// begun.
 pub async fn run<P: Platform>(
     gateway: &EntryGateway<P>,
     request: Inference,
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! What this instance does with requests of callers and operators.
+//! Request handling of one instance, for callers and operators.
 
 pub mod batches;
 pub mod contract_change;
@@ -38,14 +38,14 @@
 use crate::metrics::{AnswerLabels, CodeLabel, KindLabel};
 use crate::shared::Shared;
 
-/// When to come back after the platform's store did not answer.
+/// `Retry-After` of a refusal because the platform's store did not answer.
 pub const STORE_RETRY_AFTER_MS: u64 = 2_000;
-/// A customer's first request here waits this long for a share of its limits.
+/// How long a customer's first request on this instance waits for a share of the customer's limits.
 pub const FIRST_SHARE_WAIT_MS: u64 = 50;
-/// Tokens charged to a request that names no maximum.
+/// Tokens charged to a request that sets no maximum.
 pub const DEFAULT_CHARGED_TOKENS: u64 = 256;
 
-/// The gateway of one instance, for callers and operators.
+/// Implements the caller and operator gateways on the state of one instance.
 #[derive(Debug)]
 pub struct EntryGateway<P>(pub Shared<P>);
 
@@ -55,19 +55,20 @@
     }
 }
 
-/// The refusal for a store that did not answer a read, or a write that had no effect.
+/// Logs a failed store call and returns the refusal for it: a read without an answer, or a write
+/// that had no effect.
 pub(crate) fn store_unavailable(error: &PlatformError) -> Refusal {
-    log::warn!("a request was refused: {error}");
+    log::warn!("request refused: store call failed: {error}");
     Refusal::not_run(RefusalReason::StoreUnavailable).retry_after_ms(STORE_RETRY_AFTER_MS)
 }
 
-/// A digest as hex.
+/// SHA-256 digest in lower-case hex.
 pub(crate) fn hex_digest(bytes: &[u8]) -> String {
     format!("{:x}", Sha256::digest(bytes))
 }
 
-/// What the members given to callers have in common: they are current, or where none is, at least
-/// connected.
+/// The best listing state among the live members; only members in that state are listed to callers.
+/// `None` if no live member is at least connected to the store or to most other instances.
 fn best_listing(members: &[Member]) -> Option<Listing> {
     let alive = members.iter().filter(|m| m.state == MemberState::Alive);
     let best = alive.map(|member| member.listing).max()?;
@@ -75,9 +76,9 @@
 }
 
 impl<P: Platform> EntryGateway<P> {
-    /// Takes a request in under its contract's limits.
+    /// Admits a request under its customer's limits.
     ///
-    /// `tokens` are charged now and settled when the answer has ended.
+    /// `tokens` are charged now and corrected when the answer has ended.
     pub(crate) async fn admit(
         &self,
         context: &RequestContext,
@@ -92,7 +93,8 @@
         Ok(admitted)
     }
 
-    /// Takes a request to a model in under its contract's limits, when there is a place for it.
+    /// Admits a request to a model under its customer's limits, and waits until the model has a
+    /// slot for it.
     pub(crate) async fn admit_inference(
         &self,
         request: &Inference,
@@ -107,7 +109,8 @@
         Ok(admitted)
     }
 
-    /// Asks the customer's home first where this instance holds no share yet.
+    /// Checks the customer's limits. If this instance holds no share yet, it first asks the
+    /// customer's limit coordinator.
     async fn within_limits(&self, contract: &Contract, tokens: f64) -> Result<AdmittedRequest> {
         let shared = &self.0;
         let customer = &contract.customer;
--- a/crates/foxtailhold-entry/src/gateway/service_call.rs
+++ b/crates/foxtailhold-entry/src/gateway/service_call.rs
@@ -12,7 +12,7 @@
 use http::Method;
 use tokio::time::Instant;
 
-use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_TRIES};
+use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_ATTEMPTS};
 use crate::gateway::{EntryGateway, idempotency};
 use crate::shared::Shared;
 
@@ -71,7 +71,7 @@
         shared.retries.first_try();
         return true;
     }
-    let spent = attempts.tried.len() >= MAX_TRIES;
+    let spent = attempts.tried.len() >= MAX_ATTEMPTS;
     if spent || (attempts.ran == Ran::MayHaveRun && !method.is_idempotent()) {
         return false;
     }
