--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::actors::note_undelivered;
-use crate::gateway::results::{Outcome, ResultFile};
+use crate::gateway::results::{ItemFilter, ResultFile};
 use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest, rows, store_unavailable};
 use crate::jobs::landing;
 use crate::jobs::owner::{self, CancelEnd};
@@ -205,14 +205,14 @@
 
 async fn object<P: Platform>(shared: &Shared<P>, row: JobRow) -> Result<BatchObject> {
     let counts = counts(shared, &row).await?;
-    let file = |outcome, items: u64| {
+    let file = |filter, items: u64| {
         let job = row.job.clone();
         let ended = row.ended_wall_ms.is_some() && items > 0;
-        ended.then(|| ResultFile { job, outcome }.id()).flatten()
+        ended.then(|| ResultFile { job, filter }.id()).flatten()
     };
     Ok(BatchObject {
-        output_file: file(Outcome::Answered, counts.completed),
-        error_file: file(Outcome::Failed, counts.failed),
+        output_file: file(ItemFilter::Answered, counts.completed),
+        error_file: file(ItemFilter::Failed, counts.failed),
         job: row.job,
         endpoint: row.endpoint,
         status: row.status,
--- a/crates/foxtailhold-entry/src/gateway/files.rs
+++ b/crates/foxtailhold-entry/src/gateway/files.rs
@@ -1,4 +1,4 @@
-//! Files in the platform's object store.
+//! Files of customers in the platform's object store: upload, download, list and delete.
 
 use std::collections::VecDeque;
 
@@ -15,22 +15,23 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Largest file taken in.
+/// Size limit of an uploaded file.
 pub const MAX_FILE_BYTES: u64 = 512 << 20;
 
-/// A file being uploaded.
+/// An upload in progress. Parts are stored as they arrive; the file exists once its row is written
+/// at the end.
 #[derive(Debug)]
 pub struct EntryUpload<P> {
     shared: Shared<P>,
     customer: CustomerId,
     file: FileId,
-    cutter: PartCutter,
+    splitter: PartCutter,
     part_lines: Vec<u32>,
     bytes: u64,
 }
 
 impl<P: Platform> EntryUpload<P> {
-    /// Begins an upload of a customer.
+    /// Starts an upload of a customer under a new file id.
     pub fn new(shared: &Shared<P>, customer: &CustomerId) -> Result<Self> {
         let name = format!("file-{}", shared.unique());
         let file = FileId::try_from(name.as_str()).map_err(|e| Refusal::invalid(e.to_string()))?;
@@ -38,7 +39,7 @@
             shared: shared.clone(),
             customer: customer.clone(),
             file,
-            cutter: PartCutter::default(),
+            splitter: PartCutter::default(),
             part_lines: Vec::new(),
             bytes: 0,
         })
@@ -66,15 +67,15 @@
                 limit_bytes,
             }));
         }
-        for part in self.cutter.push(bytes) {
+        for part in self.splitter.push(bytes) {
             self.store(part).await?;
         }
         Ok(())
     }
 
     async fn close(mut self, filename: String, purpose: String) -> Result<FileObject> {
-        let cutter = std::mem::take(&mut self.cutter);
-        if let Some(part) = cutter.finish() {
+        let splitter = std::mem::take(&mut self.splitter);
+        if let Some(part) = splitter.finish() {
             self.store(part).await?;
         }
         let row = FileRow {
@@ -106,7 +107,7 @@
     }
 }
 
-/// Describes an uploaded file or a result file of a job.
+/// Describes an uploaded file, or a result file of a job.
 pub async fn describe<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
@@ -126,7 +127,7 @@
     })
 }
 
-/// Lists a customer's uploaded files in the order of their identifiers.
+/// Lists a customer's uploaded files in the order of their ids.
 pub async fn list<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
@@ -137,19 +138,20 @@
     let after = format!("{prefix}{after}");
     let platform = &shared.platform;
     let rows = platform.scan(tables::FILE, &prefix, &after, limit).await;
-    let mut found = Vec::new();
+    let mut files = Vec::new();
     for keyed in rows.map_err(|error| store_unavailable(&error))? {
         let id = keyed.key.strip_prefix(&prefix).unwrap_or_default();
         let Ok(id) = FileId::try_from(id) else {
             continue;
         };
         let row = keyed.row.read().map_err(|e| store_unavailable(&e))?;
-        found.push(object(&id, row));
+        files.push(object(&id, row));
     }
-    Ok(found)
+    Ok(files)
 }
 
-/// Removes an uploaded file's row. Its parts stay, because jobs accepted with it read them.
+/// Deletes an uploaded file's row. Its parts stay in the object store, because jobs that were
+/// accepted with it read them.
 pub async fn delete<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
@@ -173,54 +175,54 @@
 }
 
 #[derive(Debug)]
-enum Piece {
+enum FileSegment {
     Object(String),
     Chunk(ChunkRow),
 }
 
-/// A file being read, object by object.
+/// A download in progress, one object at a time.
 #[derive(Debug)]
 pub struct EntryDownload<P> {
     shared: Shared<P>,
     result: Option<ResultFile>,
-    pieces: VecDeque<Piece>,
+    segments: VecDeque<FileSegment>,
 }
 
-/// Opens an uploaded file or a result file of a job.
+/// Opens an uploaded file, or a result file of a job.
 pub async fn open<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
     file: &FileId,
 ) -> Result<EntryDownload<P>> {
-    let mut pieces = VecDeque::new();
+    let mut segments = VecDeque::new();
     let result = ResultFile::of(file);
     match &result {
         None => {
             let row = rows::file(shared, &contract.customer, file).await?;
             for part in 0..row.part_lines.len() {
-                pieces.push_back(Piece::Object(tables::part_object(file, part as u32)));
+                segments.push_back(FileSegment::Object(tables::part_object(file, part as u32)));
             }
         }
         Some(result) => {
             rows::job(shared, &contract.customer, &result.job).await?;
             let chunks = result.chunks(shared).await?;
-            pieces.extend(chunks.into_iter().map(Piece::Chunk));
+            segments.extend(chunks.into_iter().map(FileSegment::Chunk));
         }
     }
     Ok(EntryDownload {
         shared: shared.clone(),
         result,
-        pieces,
+        segments,
     })
 }
 
 impl<P: Platform> Download for EntryDownload<P> {
     async fn next(&mut self) -> Option<Result<Bytes>> {
-        let piece = self.pieces.pop_front()?;
-        Some(match (&piece, &self.result) {
-            (Piece::Chunk(chunk), Some(result)) => result.lines(&self.shared, chunk).await,
-            (Piece::Chunk(chunk), None) => rows::object(&self.shared, &chunk.object).await,
-            (Piece::Object(name), _) => rows::object(&self.shared, name).await,
+        let segment = self.segments.pop_front()?;
+        Some(match (&segment, &self.result) {
+            (FileSegment::Chunk(chunk), Some(result)) => result.lines(&self.shared, chunk).await,
+            (FileSegment::Chunk(chunk), None) => rows::object(&self.shared, &chunk.object).await,
+            (FileSegment::Object(name), _) => rows::object(&self.shared, name).await,
         })
     }
 }
--- a/crates/foxtailhold-entry/src/gateway/idempotency.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be repeated: claim, send once, store the answer.
+//! Requests that must not be repeated: claim the idempotency key, send once, store the answer.
 
 pub mod table;
 
@@ -22,11 +22,11 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// When to ask again for the answer of a request that another attempt started.
+/// `Retry-After` while another send of the same request may be running.
 const ANSWER_RETRY_AFTER_MS: u64 = 1_000;
 
-/// One attempt at a request that must not be repeated.
-struct Attempt {
+/// One send of a request that must not be repeated.
+struct OnceRequest {
     id: RequestId,
     key: String,
     digest: String,
@@ -37,18 +37,18 @@
     deadline_ms: Option<u64>,
 }
 
-fn attempt<P: Platform>(
+fn once_request<P: Platform>(
     shared: &Shared<P>,
     context: &RequestContext,
     kind: BackendKind,
     target: &TargetName,
     call: ServiceCall,
     digest: String,
-) -> Result<Attempt> {
+) -> Result<OnceRequest> {
     let Some(key) = &context.idempotency_key else {
         return Err(Refusal::invalid("an idempotency key is missing"));
     };
-    Ok(Attempt {
+    Ok(OnceRequest {
         id: context.id.clone(),
         key: tables::once_key(&context.contract.customer, key),
         digest,
@@ -60,35 +60,43 @@
     })
 }
 
-/// Runs an attempt to its end, also when the caller goes away: a resend then gets the answer.
-async fn run<P: Platform>(shared: &Shared<P>, attempt: Attempt) -> Result<Whole> {
-    let task = tokio::spawn(claim_and_send(shared.clone(), attempt));
+/// Runs the request in a task of its own, so that it ends even if the caller disconnects: a resend
+/// then gets the stored answer.
+async fn run<P: Platform>(shared: &Shared<P>, once_request: OnceRequest) -> Result<Whole> {
+    let task = tokio::spawn(claim_and_send(shared.clone(), once_request));
     match task.await {
         Ok(answer) => answer,
         Err(error) => {
-            log::error!("an attempt at a request that must not be repeated ended: {error}");
+            log::error!(
+                "task of a request that must not be repeated ended without an answer: {error}"
+            );
             Err(Refusal::not_run(RefusalReason::AlreadyStarted).with_ran(Ran::MayHaveRun))
         }
     }
 }
 
-async fn claim_and_send<P: Platform>(shared: Shared<P>, attempt: Attempt) -> Result<Whole> {
-    let claimer = Claimer::new(shared.unique(), attempt.digest.clone());
-    match table::claim(&shared, &attempt.key, claimer).await {
-        ClaimStep::Held(held) => send_held(&shared, attempt, held).await,
-        ClaimStep::Answer(row, answer) => table::restore(&shared, &attempt.key, &row, answer).await,
-        ClaimStep::Refuse(why, release) => {
+async fn claim_and_send<P: Platform>(
+    shared: Shared<P>,
+    once_request: OnceRequest,
+) -> Result<Whole> {
+    let claimer = Claimer::new(shared.unique(), once_request.digest.clone());
+    match table::claim(&shared, &once_request.key, claimer).await {
+        ClaimStep::Held(claim) => send_claimed(&shared, once_request, claim).await,
+        ClaimStep::Answer(row, answer) => {
+            table::restore(&shared, &once_request.key, &row, answer).await
+        }
+        ClaimStep::Refuse(reason, release) => {
             if let Some(release) = release {
-                table::release_later(&shared, attempt.key, release);
+                table::release_later(&shared, once_request.key, release);
             }
-            Err(refusal(why))
+            Err(refusal(reason))
         }
         ClaimStep::Write(_) => Err(refusal(ClaimRefusal::StoreUnavailable)),
     }
 }
 
-fn refusal(why: ClaimRefusal) -> Refusal {
-    match why {
+fn refusal(reason: ClaimRefusal) -> Refusal {
+    match reason {
         ClaimRefusal::MayHaveRun => Refusal::not_run(RefusalReason::AlreadyStarted)
             .with_ran(Ran::MayHaveRun)
             .retry_after_ms(ANSWER_RETRY_AFTER_MS),
@@ -101,59 +109,59 @@
     }
 }
 
-async fn send_held<P: Platform>(
+async fn send_claimed<P: Platform>(
     shared: &Shared<P>,
-    attempt: Attempt,
-    held: HeldClaim,
+    once_request: OnceRequest,
+    claim: HeldClaim,
 ) -> Result<Whole> {
-    match send_once(shared, &attempt, &held).await {
+    match send_once(shared, &once_request, &claim).await {
         Ok(answer) => {
-            table::store(shared, attempt.key, held, &answer).await;
+            table::store(shared, once_request.key, claim, &answer).await;
             Ok(answer)
         }
         Err(refusal) => {
             if refusal.ran == Ran::NotRun {
-                table::release_later(shared, attempt.key, held.not_sent());
+                table::release_later(shared, once_request.key, claim.not_sent());
             }
             Err(refusal)
         }
     }
 }
 
-/// Sends a call on a connection of its own. Only a refused connection, which proves that no byte
-/// was sent, lets it go to another backend server.
+/// Sends the call on a connection of its own. It goes to another backend server only after a
+/// refused connection, which proves that no byte was sent.
 async fn send_once<P: Platform>(
     shared: &Shared<P>,
-    attempt: &Attempt,
-    held: &HeldClaim,
+    once_request: &OnceRequest,
+    claim: &HeldClaim,
 ) -> Result<Whole> {
-    let target = &attempt.target;
+    let target = &once_request.target;
     let mut tried = Vec::new();
-    let mut last = RefusalReason::NoBackend {
+    let mut last_reason = RefusalReason::NoBackend {
         target: target.clone(),
     };
-    let mut call = attempt.call.clone();
+    let mut call = once_request.call.clone();
     while tried.len() < MAX_ATTEMPTS {
-        let Some(server) = dispatch::choose(shared, attempt.kind, target, &call.body, &tried)
+        let Some(server) = dispatch::choose(shared, once_request.kind, target, &call.body, &tried)
         else {
             break;
         };
-        call.timeout_ms = remaining_ms(attempt, shared.clock.mono())?;
-        if !held.may_send(shared.clock.mono(), shared.clock.wall()) {
-            last = RefusalReason::StoreUnavailable;
+        call.timeout_ms = remaining_ms(once_request, shared.clock.mono())?;
+        if !claim.may_send(shared.clock.mono(), shared.clock.wall()) {
+            last_reason = RefusalReason::StoreUnavailable;
             break;
         }
         let _in_flight = server.start_request();
         shared.timeline.note(Event::Sent {
-            request: attempt.id.clone(),
+            request: once_request.id.clone(),
             backend: server.backend.id.clone(),
         });
         let address = server.backend.address;
-        let failed = match call_fresh(shared, address, &call).await {
+        let error = match call_on_new_connection(shared, address, &call).await {
             Ok(answer) => {
                 server.record_success();
                 shared.timeline.note(Event::Answered {
-                    request: attempt.id.clone(),
+                    request: once_request.id.clone(),
                 });
                 return Ok(Whole {
                     status: answer.status,
@@ -165,16 +173,16 @@
         };
         server.record_failure(shared.clock.mono());
         tried.push(server.backend.id.clone());
-        last = backend_failed(target, &failed);
-        if !failed.is_not_sent() {
-            return Err(Refusal::not_run(last).with_ran(Ran::MayHaveRun));
+        last_reason = backend_failed(target, &error);
+        if !error.is_not_sent() {
+            return Err(Refusal::not_run(last_reason).with_ran(Ran::MayHaveRun));
         }
     }
-    Err(Refusal::not_run(last).retry_after_ms(BACKEND_RETRY_AFTER_MS))
+    Err(Refusal::not_run(last_reason).retry_after_ms(BACKEND_RETRY_AFTER_MS))
 }
 
-/// One call on its own connection; the limit holds for the whole answer.
-async fn call_fresh<P: Platform>(
+/// One call on its own connection; the time limit holds for the full response.
+async fn call_on_new_connection<P: Platform>(
     shared: &Shared<P>,
     address: SocketAddr,
     call: &ServiceCall,
@@ -190,12 +198,13 @@
     }
 }
 
-/// What is left of the caller's deadline.
-fn remaining_ms(attempt: &Attempt, now: MonoMs) -> Result<u64> {
-    let Some(deadline_ms) = attempt.deadline_ms else {
+/// Time until the caller's deadline, or [`DEFAULT_WAIT_MS`] without one. Refuses if the deadline
+/// has passed.
+fn remaining_ms(once_request: &OnceRequest, now: MonoMs) -> Result<u64> {
+    let Some(deadline_ms) = once_request.deadline_ms else {
         return Ok(DEFAULT_WAIT_MS);
     };
-    let left_ms = deadline_ms.saturating_sub(now.since_ms(attempt.started_at));
+    let left_ms = deadline_ms.saturating_sub(now.since_ms(once_request.started_at));
     if left_ms == 0 {
         return Err(Refusal::not_run(RefusalReason::DeadlinePassed {
             deadline_ms,
@@ -204,7 +213,7 @@
     Ok(left_ms)
 }
 
-/// The reason of a refusal after a failed call.
+/// Refusal reason for a failed call.
 pub(crate) fn backend_failed(target: &TargetName, error: &ServiceError) -> RefusalReason {
     RefusalReason::BackendFailed {
         target: target.clone(),
@@ -227,11 +236,11 @@
     };
     let digest = hex_digest(&identity);
     let kind = BackendKind::Service;
-    let attempt = attempt(shared, &call.context, kind, &call.service, outgoing, digest)?;
-    run(shared, attempt).await
+    let once_request = once_request(shared, &call.context, kind, &call.service, outgoing, digest)?;
+    run(shared, once_request).await
 }
 
-/// Runs an unstreamed request to a model at most once.
+/// Runs an inference request that is not streamed at most once.
 pub async fn infer<P: Platform>(shared: &Shared<P>, request: &Inference) -> Result<Whole> {
     let context = &request.context;
     let mut headers = http::HeaderMap::new();
@@ -252,6 +261,6 @@
     identity.extend_from_slice(&request.body);
     let digest = hex_digest(&identity);
     let kind = BackendKind::Engine;
-    let attempt = attempt(shared, context, kind, &request.model, outgoing, digest)?;
-    run(shared, attempt).await
+    let once_request = once_request(shared, context, kind, &request.model, outgoing, digest)?;
+    run(shared, once_request).await
 }
--- a/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
@@ -1,4 +1,4 @@
-//! The claim's row and the stored answer at the platform.
+//! The claim row and the stored answer on the platform.
 
 use std::time::Duration;
 
@@ -16,12 +16,13 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Background writes of this process at most; over it a claim is left, which is always safe.
+/// Upper limit of background writes in this process. Above it a claim is left in the table, which
+/// is always safe.
 const MAX_BACKGROUND_WRITES: usize = 4_096;
-/// Longest pause between two tries of a background write.
-const MAX_PAUSE_S: u64 = 30;
-/// Tries of a background write: about an hour.
-const BACKGROUND_TRIES: u32 = 128;
+/// Upper limit of the backoff between two attempts at a background write.
+const MAX_BACKOFF_S: u64 = 30;
+/// Attempts at a background write, which take about an hour together.
+const MAX_BACKGROUND_ATTEMPTS: u32 = 128;
 
 static BACKGROUND_WRITES: Semaphore = Semaphore::const_new(MAX_BACKGROUND_WRITES);
 
@@ -32,19 +33,20 @@
     }
 }
 
-/// Reads a row; one that cannot be read is reported as a store that gave no answer.
+/// Reads a claim row. `None` if it cannot be read; the caller treats that like a store without an
+/// answer.
 fn found(row: &Row) -> Option<Found> {
     let version = row.version;
     match row.read::<ClaimRow>() {
         Ok(row) => Some(Found { version, row }),
         Err(error) => {
-            log::error!("a row of table {} cannot be read: {error}", tables::ONCE);
+            log::error!("row of table {} cannot be read: {error}", tables::ONCE);
             None
         }
     }
 }
 
-/// Writes a claim's row.
+/// Writes a claim row if the table still holds the expected version.
 pub async fn write<P: Platform>(
     shared: &Shared<P>,
     key: &str,
@@ -63,7 +65,7 @@
             None => Written::NoEffect,
         },
         Err(error) => {
-            log::warn!("a claim could not be written: {error}");
+            log::warn!("claim not written: {error}");
             if error.may_have_taken_effect() {
                 Written::Unknown
             } else {
@@ -73,7 +75,7 @@
     }
 }
 
-/// Writes the claim until it is decided.
+/// Writes the claim until it is held, answered from the store, or refused.
 pub async fn claim<P: Platform>(shared: &Shared<P>, key: &str, claimer: Claimer) -> ClaimStep {
     let mut claimer = claimer;
     loop {
@@ -87,30 +89,30 @@
     }
 }
 
-fn pause(attempt: u32) -> Duration {
-    Duration::from_secs((1 << attempt.min(5)).min(MAX_PAUSE_S))
+fn backoff(attempt: u32) -> Duration {
+    Duration::from_secs((1 << attempt.min(5)).min(MAX_BACKOFF_S))
 }
 
-/// Releases a claim in the background, also through a long outage of the store.
+/// Releases a claim in the background, retrying through a long outage of the store.
 pub fn release_later<P: Platform>(shared: &Shared<P>, key: String, release: Release) {
     let Ok(permit) = BACKGROUND_WRITES.try_acquire() else {
-        log::warn!("too many claims wait to be released; one is left");
+        log::warn!("claim not released: too many background writes; it stays until the sweep");
         return;
     };
     let shared = shared.clone();
     tokio::spawn(async move {
         let _permit = permit;
         let mut step = release.start();
-        for attempt in 0..BACKGROUND_TRIES {
+        for attempt in 0..MAX_BACKGROUND_ATTEMPTS {
             step = release_step(&shared, &key, &release, &step).await;
             if step == ReleaseStep::Done {
                 return;
             }
             if attempt > 1 {
-                tokio::time::sleep(pause(attempt)).await;
+                tokio::time::sleep(backoff(attempt)).await;
             }
         }
-        log::warn!("a claim could not be released and is left");
+        log::warn!("claim not released after all attempts; it stays until the sweep");
     });
 }
 
@@ -124,7 +126,7 @@
         ReleaseStep::Done => ReleaseStep::Done,
         ReleaseStep::Write(expected) => {
             let Some(row) = release.row(shared.clock.mono(), shared.clock.wall()) else {
-                log::warn!("a claim could not be released in time and is left");
+                log::warn!("claim not released in time; it stays until the sweep");
                 return ReleaseStep::Done;
             };
             release.written(write(shared, key, *expected, &row).await)
@@ -150,58 +152,59 @@
     }
 }
 
-/// One answer on its way into the store.
-struct Storing {
+/// An answer that is being stored.
+struct AnswerWrite {
     key: String,
     row: ClaimRow,
     expected: Expected,
-    large: Option<bytes::Bytes>,
+    large_body: Option<bytes::Bytes>,
 }
 
-impl Storing {
-    /// One try. A large body goes first, so that a row never names an object that is not there.
+impl AnswerWrite {
+    /// One attempt. A large body is stored first, so that a row never names an object that does not
+    /// exist.
     async fn write<P: Platform>(&mut self, shared: &Shared<P>) -> Written {
-        if let Some(body) = &self.large {
+        if let Some(body) = &self.large_body {
             let name = tables::once_object(&self.key, &self.row.claim_id);
             if let Err(error) = shared.platform.put_object(&name, body.clone()).await {
-                log::warn!("the body of an answer could not be stored: {error}");
+                log::warn!("body of an answer not stored: {error}");
                 return Written::Unknown;
             }
-            self.large = None;
+            self.large_body = None;
         }
         write(shared, &self.key, self.expected, &self.row).await
     }
 }
 
-/// Stores the whole answer for resends: one try now, more in the background. Until it is stored,
-/// resends are told that the request may have run.
+/// Stores the full response for resends: one attempt now, more in the background. Until it is
+/// stored, resends are refused because the request may have run.
 pub async fn store<P: Platform>(shared: &Shared<P>, key: String, held: HeldClaim, answer: &Whole) {
     let stored = stored(answer);
-    let large = (stored.body == StoredBody::Object).then(|| answer.body.clone());
+    let large_body = (stored.body == StoredBody::Object).then(|| answer.body.clone());
     let (row, expected) = held.answered(stored, shared.clock.wall());
-    let mut storing = Storing {
+    let mut answer_write = AnswerWrite {
         key,
         row,
         expected,
-        large,
+        large_body,
     };
-    if is_final(&storing.write(shared).await) {
+    if is_final(&answer_write.write(shared).await) {
         return;
     }
     let Ok(permit) = BACKGROUND_WRITES.try_acquire() else {
-        log::warn!("too many answers wait to be stored; one is left");
+        log::warn!("answer not stored: too many background writes; resends will be refused");
         return;
     };
     let shared = shared.clone();
     tokio::spawn(async move {
         let _permit = permit;
-        for attempt in 0..BACKGROUND_TRIES {
-            tokio::time::sleep(pause(attempt)).await;
-            if is_final(&storing.write(&shared).await) {
+        for attempt in 0..MAX_BACKGROUND_ATTEMPTS {
+            tokio::time::sleep(backoff(attempt)).await;
+            if is_final(&answer_write.write(&shared).await) {
                 return;
             }
         }
-        log::warn!("the answer of a request that must not be repeated was not stored");
+        log::warn!("answer not stored after all attempts; resends will be refused");
     });
 }
 
@@ -209,7 +212,7 @@
     matches!(written, Written::Committed | Written::Conflict(_))
 }
 
-/// Gives a stored answer again.
+/// Restores a stored answer for a resend.
 pub async fn restore<P: Platform>(
     shared: &Shared<P>,
     key: &str,
@@ -224,7 +227,7 @@
                 Ok(Some(body)) => body,
                 Ok(None) => return Err(ran(RefusalReason::AlreadyStarted)),
                 Err(error) => {
-                    log::warn!("a stored answer could not be read: {error}");
+                    log::warn!("stored answer cannot be read: {error}");
                     let refusal = ran(RefusalReason::StoreUnavailable);
                     return Err(refusal.retry_after_ms(STORE_RETRY_AFTER_MS));
                 }
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -1,4 +1,4 @@
-//! What operators see and change through this instance.
+//! Operator calls: contracts, instances, backend servers, jobs, orders, time line and metrics.
 
 use foxtailhold::batch::{JobRow, OpenRow, OwnerRow};
 use foxtailhold::contract_book::{Catchup, ContractEntry};
@@ -25,10 +25,10 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Limit for telling a peer of a change.
+/// Time limit for sending a contract change to one peer.
 const PUSH_TIMEOUT_MS: u64 = 1_000;
-/// Peers that have a change before it is called accepted, so that it outlives this instance and the
-/// next one while the store is down.
+/// Peers that must have a change before it is reported as accepted, so that it survives the loss of
+/// this instance and of one more while the store is down.
 const PEERS_BEFORE_ACCEPTED: usize = 2;
 
 fn view(customer: &CustomerId, entry: &ContractEntry) -> Option<ContractView> {
@@ -42,40 +42,43 @@
 }
 
 fn unavailable(error: &PlatformError) -> OperatorError {
-    log::warn!("an operator call failed: {error}");
+    log::warn!("operator call failed: store call failed: {error}");
     OperatorError::StoreUnavailable
 }
 
-/// Applies a change here and tells every other instance. Returns when two of them have it, or all
-/// were tried.
-async fn spread<P: Platform>(shared: &Shared<P>, catchup: &Catchup) {
+/// Applies a change here and sends it to every other instance. Returns when
+/// [`PEERS_BEFORE_ACCEPTED`] of them have it, or all were tried.
+async fn replicate<P: Platform>(shared: &Shared<P>, catchup: &Catchup) {
     if let Some(actors) = shared.actors() {
         let message = ContractsMessage::Pushed(catchup.clone(), None);
         note_undelivered(actors.contracts.send_message(message));
     }
-    let (told, mut have_it) = mpsc::unbounded_channel();
+    let (confirmations, mut confirmed) = mpsc::unbounded_channel();
     for member in shared.live_members() {
         if member.id == shared.settings.instance {
             continue;
         }
         let (shared, request) = (shared.clone(), PeerRequest::Contracts(catchup.clone()));
-        let told = told.clone();
+        let confirmations = confirmations.clone();
         tokio::spawn(async move {
             let address = member.peer_address;
             match shared.peers.ask(address, &request, PUSH_TIMEOUT_MS).await {
                 Ok(PeerAnswer::Done) => {
-                    let _ = told.send(());
+                    let _ = confirmations.send(());
                 }
-                Ok(_) => log::debug!("{} refused a contract change", member.id),
+                Ok(_) => log::debug!("peer {} refused a contract change", member.id),
                 Err(error) => {
-                    log::debug!("{} was not told of a contract change: {error}", member.id);
+                    log::debug!(
+                        "contract change not delivered to peer {}: {error}",
+                        member.id
+                    );
                 }
             }
         });
     }
-    drop(told);
+    drop(confirmations);
     for _ in 0..PEERS_BEFORE_ACCEPTED {
-        if have_it.recv().await.is_none() {
+        if confirmed.recv().await.is_none() {
             return;
         }
     }
@@ -131,7 +134,7 @@
         shared.timeline.note(Event::ContractAccepted {
             number: change.number,
         });
-        spread(shared, &Catchup::Changes(vec![change])).await;
+        replicate(shared, &Catchup::Changes(vec![change])).await;
         Ok(accepted)
     }
 
--- a/crates/foxtailhold-entry/src/gateway/orders.rs
+++ b/crates/foxtailhold-entry/src/gateway/orders.rs
@@ -1,4 +1,4 @@
-//! Wanted states of engines in the table service.
+//! Desired setups of engines in the table service.
 
 use foxtailhold::ids::BackendId;
 use foxtailhold::orders::EngineSetup;
@@ -10,11 +10,11 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Tries to write a wanted state while another operator writes the same.
-const MAX_TRIES: u32 = 4;
+/// Attempts to write a desired setup while other operators write the same row.
+const MAX_ATTEMPTS: u32 = 4;
 
 fn unavailable(error: &PlatformError) -> OperatorError {
-    log::warn!("a wanted state could not be read: {error}");
+    log::warn!("desired setup of an engine not read or written: {error}");
     OperatorError::StoreUnavailable
 }
 
@@ -26,15 +26,15 @@
     })
 }
 
-/// Sets a wanted state. Setting what is already wanted changes nothing, so that setting it again
-/// after a lost answer is safe.
+/// Sets an engine's desired setup. If it is already the desired one, nothing is written, so a
+/// repeat after a lost answer is safe.
 pub async fn set<P: Platform>(
     shared: &Shared<P>,
     backend: &BackendId,
     setup: &EngineSetup,
 ) -> Result<OrderView> {
     let (table, key) = (tables::ORDER_WANTED, backend.as_str());
-    for _ in 0..MAX_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let found = shared.platform.get(table, key).await;
         let found = found.map_err(|error| unavailable(&error))?;
         if let Some(row) = &found
@@ -67,7 +67,7 @@
     Err(OperatorError::StoreUnavailable)
 }
 
-/// All wanted states.
+/// Lists all desired setups. Rows whose key is no valid backend id are skipped.
 pub async fn list<P: Platform>(shared: &Shared<P>) -> Result<Vec<OrderView>> {
     let rows = scan_all(&shared.platform, tables::ORDER_WANTED, "").await;
     let mut views = Vec::new();
--- a/crates/foxtailhold-entry/src/gateway/results.rs
+++ b/crates/foxtailhold-entry/src/gateway/results.rs
@@ -1,7 +1,8 @@
 //! The two result files of a batch job: answers and errors.
 //!
-//! A chunk's result object holds one line for each item. The output file is its answered items,
-//! the error file its failed ones; each item stands in one of the two.
+//! A chunk's result object holds one line for each item. The output file consists of the lines of
+//! the answered items, the error file of those of the failed ones; each item is in exactly one of
+//! the two.
 
 use bytes::Bytes;
 use foxtailhold::batch::{ChunkRow, ItemResult};
@@ -13,37 +14,37 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Which items a result file holds.
+/// Selects the items of a result file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ItemFilter {
     /// Items answered with a 2xx status.
     Answered,
-    /// All others.
+    /// All other items.
     Failed,
 }
 
 /// A result file of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResultFile {
-    /// The job.
+    /// Job that the file belongs to.
     pub job: JobId,
-    /// Its items.
-    pub outcome: Outcome,
+    /// Items that the file holds.
+    pub filter: ItemFilter,
 }
 
-impl Outcome {
+impl ItemFilter {
     fn prefix(self) -> &'static str {
         match self {
-            Outcome::Answered => tables::OUTPUT_PREFIX,
-            Outcome::Failed => tables::ERROR_PREFIX,
+            ItemFilter::Answered => tables::OUTPUT_PREFIX,
+            ItemFilter::Failed => tables::ERROR_PREFIX,
         }
     }
 
-    /// How many of a chunk's items the file holds.
+    /// Number of a chunk's items that the file holds.
     fn items(self, chunk: &ChunkRow) -> u64 {
         match self {
-            Outcome::Answered => chunk.completed,
-            Outcome::Failed => chunk.failed,
+            ItemFilter::Answered => chunk.completed,
+            ItemFilter::Failed => chunk.failed,
         }
     }
 
@@ -52,70 +53,70 @@
             let status = item.response.map(|response| response.status_code);
             item.error.is_none() && status.is_some_and(|status| (200..300).contains(&status))
         });
-        answered == (self == Outcome::Answered)
+        answered == (self == ItemFilter::Answered)
     }
 }
 
 impl ResultFile {
-    /// The result file that an identifier names, if it names one.
+    /// Parses the id of a result file. `None` if the id names another file.
     pub fn of(file: &FileId) -> Option<Self> {
-        for outcome in [Outcome::Answered, Outcome::Failed] {
-            let Some(job) = file.as_str().strip_prefix(outcome.prefix()) else {
+        for filter in [ItemFilter::Answered, ItemFilter::Failed] {
+            let Some(job) = file.as_str().strip_prefix(filter.prefix()) else {
                 continue;
             };
             let job = JobId::try_from(job).ok()?;
-            return Some(ResultFile { job, outcome });
+            return Some(ResultFile { job, filter });
         }
         None
     }
 
-    /// Its identifier.
+    /// File id; `None` if the job id is too long to be part of one.
     pub fn id(&self) -> Option<FileId> {
-        let name = format!("{}{}", self.outcome.prefix(), self.job);
+        let name = format!("{}{}", self.filter.prefix(), self.job);
         FileId::try_from(name.as_str()).ok()
     }
 
-    /// Its name as shown to callers.
+    /// File name as shown to callers.
     pub fn filename(&self) -> String {
-        let kind = match self.outcome {
-            Outcome::Answered => "output",
-            Outcome::Failed => "error",
+        let kind = match self.filter {
+            ItemFilter::Answered => "output",
+            ItemFilter::Failed => "error",
         };
         format!("{}_{kind}.jsonl", self.job)
     }
 
     /// Chunks with at least one item of the file, in order.
     pub async fn chunks<P: Platform>(&self, shared: &Shared<P>) -> Result<Vec<ChunkRow>> {
-        let mut held = Vec::new();
+        let mut selected = Vec::new();
         for (_, chunk) in rows::chunks(shared, &self.job).await? {
-            if self.outcome.items(&chunk) > 0 {
-                held.push(chunk);
+            if self.filter.items(&chunk) > 0 {
+                selected.push(chunk);
             }
         }
-        Ok(held)
+        Ok(selected)
     }
 
     /// The lines of one chunk's result object that belong to the file.
     pub async fn lines<P: Platform>(&self, shared: &Shared<P>, chunk: &ChunkRow) -> Result<Bytes> {
         let bytes = rows::object(shared, &chunk.object).await?;
-        let whole = chunk.completed + chunk.failed;
-        if self.outcome.items(chunk) == whole {
+        let chunk_items = chunk.completed + chunk.failed;
+        if self.filter.items(chunk) == chunk_items {
             return Ok(bytes);
         }
         let mut lines = Vec::new();
         for line in bytes.split_inclusive(|byte| *byte == b'\n') {
-            if self.outcome.holds(line) {
+            if self.filter.holds(line) {
                 lines.extend_from_slice(line);
             }
         }
         Ok(lines.into())
     }
 
-    /// Its size. Only chunks with items of both kinds have to be read.
+    /// Size in bytes. Only chunks with both answered and failed items have to be read.
     pub async fn size_bytes<P: Platform>(&self, shared: &Shared<P>) -> Result<u64> {
         let mut size_bytes = 0;
         for chunk in self.chunks(shared).await? {
-            if self.outcome.items(&chunk) == chunk.completed + chunk.failed {
+            if self.filter.items(&chunk) == chunk.completed + chunk.failed {
                 size_bytes += chunk.bytes;
                 continue;
             }
--- a/crates/foxtailhold-entry/src/gateway/rows.rs
+++ b/crates/foxtailhold-entry/src/gateway/rows.rs
@@ -1,5 +1,5 @@
-//! Reads the rows and objects behind files and batches, with the refusals that callers get where they
-//! are not there.
+//! Reads the rows and objects of files and batches; a missing one becomes the refusal that the
+//! caller gets.
 
 use bytes::Bytes;
 use foxtailhold::batch::{ChunkRow, FileRow, JobRow};
@@ -12,7 +12,7 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// A file that does not exist.
+/// Refusal for a file that does not exist.
 pub fn no_file(id: &FileId) -> Refusal {
     Refusal::not_run(RefusalReason::NotFound {
         kind: "file".into(),
@@ -20,7 +20,7 @@
     })
 }
 
-/// The row of an uploaded file.
+/// Reads the row of an uploaded file; refuses with `NotFound` if there is none.
 pub async fn file<P: Platform>(
     shared: &Shared<P>,
     customer: &CustomerId,
@@ -45,7 +45,7 @@
     })
 }
 
-/// A job's row with its version.
+/// Reads a job's row and the row's version; refuses with `NotFound` if there is none.
 pub async fn job<P: Platform>(
     shared: &Shared<P>,
     customer: &CustomerId,
@@ -64,7 +64,7 @@
     Ok((row, found.version))
 }
 
-/// The finished chunks of a job, in order.
+/// Reads the finished chunks of a job, in order.
 pub async fn chunks<P: Platform>(shared: &Shared<P>, job: &JobId) -> Result<Vec<(u32, ChunkRow)>> {
     let found = owner::finished_chunks(&shared.platform, job).await;
     found.map_err(|error| store_unavailable(&error))
--- a/crates/foxtailhold-entry/src/gateway/service_call.rs
+++ b/crates/foxtailhold-entry/src/gateway/service_call.rs
@@ -28,7 +28,7 @@
     Err(Refusal::not_run(RefusalReason::UnknownTarget { name }))
 }
 
-/// Runs a call.
+/// Admits a call under the customer's limits and sends it.
 pub async fn run<P: Platform>(gateway: &EntryGateway<P>, call: PlainCall) -> Result<Whole> {
     let shared = &gateway.0;
     check_service(shared, &call)?;
@@ -40,39 +40,40 @@
     send(shared, call).await
 }
 
-/// What is known after some tries.
+/// Attempts of one call so far.
 struct CallAttempts {
     tried: Vec<BackendId>,
     ran: Ran,
-    last: RefusalReason,
+    last_reason: RefusalReason,
 }
 
 impl CallAttempts {
     fn refusal(self) -> Refusal {
-        Refusal::not_run(self.last)
+        Refusal::not_run(self.last_reason)
             .with_ran(self.ran)
             .retry_after_ms(BACKEND_RETRY_AFTER_MS)
     }
 }
 
-/// Time left to the caller's deadline; `None` where none is left.
-fn time_left_ms(begun: Instant, deadline_ms: Option<u64>) -> Option<u64> {
+/// Time until the caller's deadline, or [`DEFAULT_WAIT_MS`] without one; `None` if the deadline has
+/// passed.
+fn time_left_ms(started_at: Instant, deadline_ms: Option<u64>) -> Option<u64> {
     let Some(deadline_ms) = deadline_ms else {
         return Some(DEFAULT_WAIT_MS);
     };
-    let left_ms = deadline_ms.saturating_sub(begun.elapsed().as_millis() as u64);
+    let left_ms = deadline_ms.saturating_sub(started_at.elapsed().as_millis() as u64);
     (left_ms > 0).then_some(left_ms)
 }
 
-/// Whether another try is allowed; one that the service may have run is tried again only where its
+/// Whether another attempt is allowed. A call that the service may have run is retried only if its
 /// method is safe or idempotent (RFC 9110, section 9.2).
-fn may_try<P: Platform>(shared: &Shared<P>, method: &Method, attempts: &CallAttempts) -> bool {
+fn may_attempt<P: Platform>(shared: &Shared<P>, method: &Method, attempts: &CallAttempts) -> bool {
     if attempts.tried.is_empty() {
         shared.retries.first_try();
         return true;
     }
-    let spent = attempts.tried.len() >= MAX_ATTEMPTS;
-    if spent || (attempts.ran == Ran::MayHaveRun && !method.is_idempotent()) {
+    let exhausted = attempts.tried.len() >= MAX_ATTEMPTS;
+    if exhausted || (attempts.ran == Ran::MayHaveRun && !method.is_idempotent()) {
         return false;
     }
     if !shared.retries.retry(shared.clock.mono()) {
@@ -84,7 +85,8 @@
 }
 
 async fn send<P: Platform>(shared: &Shared<P>, call: PlainCall) -> Result<Whole> {
-    let (service, begun, deadline_ms) = (&call.service, Instant::now(), call.context.deadline_ms);
+    let (service, started_at, deadline_ms) =
+        (&call.service, Instant::now(), call.context.deadline_ms);
     let mut outgoing = ServiceCall {
         method: call.method,
         path_and_query: call.path_and_query,
@@ -95,14 +97,14 @@
     let mut attempts = CallAttempts {
         tried: Vec::new(),
         ran: Ran::NotRun,
-        last: RefusalReason::NoBackend {
+        last_reason: RefusalReason::NoBackend {
             target: service.clone(),
         },
     };
-    while may_try(shared, &outgoing.method, &attempts) {
-        let Some(left_ms) = time_left_ms(begun, deadline_ms) else {
+    while may_attempt(shared, &outgoing.method, &attempts) {
+        let Some(left_ms) = time_left_ms(started_at, deadline_ms) else {
             let deadline_ms = deadline_ms.unwrap_or_default();
-            attempts.last = RefusalReason::DeadlinePassed { deadline_ms };
+            attempts.last_reason = RefusalReason::DeadlinePassed { deadline_ms };
             break;
         };
         outgoing.timeout_ms = left_ms;
@@ -130,7 +132,7 @@
         };
         server.record_failure(shared.clock.mono());
         attempts.tried.push(server.backend.id.clone());
-        attempts.last = idempotency::backend_failed(service, &error);
+        attempts.last_reason = idempotency::backend_failed(service, &error);
         if !error.is_not_sent() {
             attempts.ran = Ran::MayHaveRun;
         }
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer that goes on at another engine when its engine is lost.
+//! A streamed answer that is resumed on another engine when its engine fails.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,23 +21,23 @@
 use crate::online_load;
 use crate::shared::Shared;
 
-/// The part of a stream that comes from one engine.
+/// The part of a stream that one engine sends.
 #[derive(Debug)]
 struct StreamAttempt<P: Platform> {
     server: Arc<BackendState>,
     in_flight: InFlightGuard,
     probe: Option<ProbeGuard<P>>,
     stream: EngineStream,
-    begun: Instant,
+    started_at: Instant,
     last_event: Option<Instant>,
     events: u64,
 }
 
-/// Events after which an engine that failed before is trusted again.
-const PROVEN_EVENTS: u64 = 16;
+/// Events after which a stream counts as a success for the breaker of its engine.
+const SUCCESS_AFTER_EVENTS: u64 = 16;
 
 impl<P: Platform> StreamAttempt<P> {
-    /// The leg that an answer begins, `None` where it came in one piece.
+    /// Starts reading an answer; `None` if it is a full response.
     fn new(opened: StartedAnswer<P>) -> Option<Self> {
         let EngineAnswer::Stream(stream) = opened.answer else {
             return None;
@@ -47,14 +47,14 @@
             in_flight: opened.in_flight,
             probe: opened.probe,
             stream,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             last_event: None,
             events: 0,
         })
     }
 
-    /// How long the engine may be silent.
-    fn bound_ms(&self, prompt_bytes: u64) -> u64 {
+    /// Time limit for the next event.
+    fn event_timeout_ms(&self, prompt_bytes: u64) -> u64 {
         let (load, pace) = (self.server.load(), self.server.latency());
         let first_ms = stall::first_event_bound_ms(&load, pace, prompt_bytes);
         match self.last_event {
@@ -70,17 +70,17 @@
             Err(_) => return Err(EngineError::Stalled { bound_ms }),
         };
         let event = event.ok_or(EngineError::Unfinished)?;
-        self.arrived();
+        self.record_event();
         Ok(event)
     }
 
-    fn arrived(&mut self) {
+    fn record_event(&mut self) {
         let now = Instant::now();
         if let Some(last) = self.last_event.replace(now) {
             self.server.record_token_gap(now - last);
         }
         self.events += 1;
-        if self.events == PROVEN_EVENTS {
+        if self.events == SUCCESS_AFTER_EVENTS {
             self.server.record_success();
         }
         if let Some(probe) = self.probe.take_if(|probe| !probe.is_strict()) {
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Ends the leg after the last event. Closing the stream frees the engine at once.
+    /// Ends the attempt after the last event. Closing the stream frees the engine at once.
     fn close(self) {
         self.server.record_success();
-        self.server.record_service_time(self.begun.elapsed());
+        self.server.record_service_time(self.started_at.elapsed());
         if let Some(probe) = self.probe {
             probe.close(TrialEnd::Survived);
         }
@@ -99,7 +99,7 @@
     }
 }
 
-/// A stream towards a caller.
+/// A stream that is sent to a caller.
 #[derive(Debug)]
 pub struct EntryStream<P: Platform> {
     shared: Shared<P>,
@@ -107,14 +107,14 @@
     attempts: AttemptHistory,
     attempt: Option<StreamAttempt<P>>,
     tokens: u64,
-    tokens_at_loss: u64,
+    tokens_at_last_failure: u64,
     text: String,
     finished: bool,
     admitted: AdmittedRequest,
 }
 
 impl<P: Platform> EntryStream<P> {
-    /// A stream that has begun; an answer in one piece gives an empty one.
+    /// A stream whose answer has begun. A full response gives a stream without events.
     pub fn new(
         shared: Shared<P>,
         outgoing: OutgoingRequest,
@@ -128,14 +128,14 @@
             attempts,
             attempt: StreamAttempt::new(opened),
             tokens: 0,
-            tokens_at_loss: 0,
+            tokens_at_last_failure: 0,
             text: String::new(),
             finished: false,
             admitted,
         }
     }
 
-    /// What is known of the request's effect.
+    /// Whether the request has run, for the refusal that ends the stream.
     fn ran(&self) -> Ran {
         if self.tokens > 0 {
             return Ran::Ran;
@@ -143,17 +143,18 @@
         Ran::MayHaveRun
     }
 
-    /// Silence after which the engine is given up on; before the first event not past the deadline.
-    fn bound_ms(&self, attempt: &StreamAttempt<P>) -> Result<u64> {
-        let bound_ms = attempt.bound_ms(self.outgoing.body.len() as u64);
+    /// Time limit for the next event. Before the first token it ends at the caller's deadline at
+    /// the latest.
+    fn event_timeout_ms(&self, attempt: &StreamAttempt<P>) -> Result<u64> {
+        let event_timeout_ms = attempt.event_timeout_ms(self.outgoing.body.len() as u64);
         if self.tokens > 0 {
-            return Ok(bound_ms);
+            return Ok(event_timeout_ms);
         }
         let left_ms = dispatch::time_left_ms(&self.shared, &self.outgoing, &self.attempts)?;
-        Ok(bound_ms.min(left_ms))
+        Ok(event_timeout_ms.min(left_ms))
     }
 
-    /// Gives the engine up and opens the rest of the stream at another one.
+    /// Gives up the engine and resumes the stream on another one.
     async fn resume(&mut self, error: EngineError) -> Result<()> {
         if let Some(attempt) = self.attempt.take() {
             let StreamAttempt {
@@ -169,10 +170,10 @@
                 .record_failure(&server, error, self.shared.clock.mono());
         }
         self.attempts.may_have_run = true;
-        if self.tokens > self.tokens_at_loss {
+        if self.tokens > self.tokens_at_last_failure {
             self.attempts.progressed();
         }
-        self.tokens_at_loss = self.tokens;
+        self.tokens_at_last_failure = self.tokens;
         self.shared.metrics.resumes.inc();
         let resume = Resume {
             tokens: self.tokens,
@@ -189,7 +190,8 @@
         Ok(())
     }
 
-    /// Ends the stream. An engine that was lost after its last token is no loss.
+    /// Ends the stream. A failure of the engine after its last token also comes here, because
+    /// nothing is missing.
     fn end(&mut self, raw: Bytes) -> Option<Result<Bytes>> {
         if let Some(attempt) = self.attempt.take() {
             attempt.close();
@@ -209,11 +211,11 @@
 impl<P: Platform> EventSource for EntryStream<P> {
     async fn next(&mut self) -> Option<Result<Bytes>> {
         loop {
-            let bound_ms = match self.bound_ms(self.attempt.as_ref()?) {
-                Ok(bound_ms) => bound_ms,
+            let event_timeout_ms = match self.event_timeout_ms(self.attempt.as_ref()?) {
+                Ok(event_timeout_ms) => event_timeout_ms,
                 Err(refusal) => return self.fail(refusal),
             };
-            let error = match self.attempt.as_mut()?.next(bound_ms).await {
+            let error = match self.attempt.as_mut()?.next(event_timeout_ms).await {
                 Ok(TokenEvent::Chunk {
                     raw,
                     text,
@@ -221,7 +223,7 @@
                     ..
                 }) => {
                     if let (0, Some(attempt)) = (self.tokens, &self.attempt) {
-                        let took_ms = attempt.begun.elapsed().as_millis() as u64;
+                        let took_ms = attempt.started_at.elapsed().as_millis() as u64;
                         online_load::first_token(&self.shared, &attempt.server, took_ms);
                     }
                     self.tokens += 1;
@@ -234,7 +236,9 @@
                 Err(error) => error,
             };
             if self.finished {
-                log::info!("an engine was lost after its last token: {error}");
+                log::info!(
+                    "engine failed after the last token of a stream, the stream is complete: {error}"
+                );
                 return self.end(Bytes::from_static(DONE_EVENT));
             }
             if let Err(refusal) = self.resume(error).await {
--- a/crates/foxtailhold-entry/src/gauges.rs
+++ b/crates/foxtailhold-entry/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Gauges that are read from the instance's state when metrics are asked for.
+//! Gauges that are read from the instance's state on each scrape.
 
 use foxtailhold::membership::MemberState;
 use foxtailhold_platform::Platform;
@@ -13,7 +13,7 @@
     (MemberState::Dead, "dead"),
 ];
 
-/// Sets the gauges and returns all metrics in the OpenMetrics text form.
+/// Updates the gauges and returns all metrics in the OpenMetrics text format.
 pub fn encode<P: Platform>(shared: &Shared<P>) -> String {
     set_members(shared);
     set_backends(shared);
--- a/crates/foxtailhold-entry/src/instance.rs
+++ b/crates/foxtailhold-entry/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: start, planned stop.
+//! Start and planned stop of one instance.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -32,20 +32,20 @@
 use crate::settings::Settings;
 use crate::shared::{Actors, Shared};
 
-/// Time for the news of a planned stop to reach all instances by gossip.
-pub const LEAVE_LAG_MS: u64 = 1_500;
-/// A start waits for the contracts at most this long before it takes requests of callers.
+/// Time in which gossip tells all instances of a planned stop.
+pub const LEAVE_PROPAGATION_MS: u64 = 1_500;
+/// Upper limit of the wait for the contracts at start, before requests of callers are taken.
 const LOAD_WAIT_MS: u64 = 5_000;
-/// Time between looks at them.
+/// Interval at which the start checks whether the contracts are loaded.
 const LOAD_CHECK_MS: u64 = 10;
-/// Limit for telling all instances directly.
-const LEAVE_TOLD_MS: u64 = 2_000;
-/// Limit for ending the lease.
-const LEASE_END_MS: u64 = 3_000;
-/// Limit for the jobs to stop in a planned stop.
-const JOBS_STOP_MS: u64 = 10_000;
+/// Time limit for telling all instances directly of a planned stop.
+const LEAVE_TIMEOUT_MS: u64 = 2_000;
+/// Time limit for ending the lease in a planned stop.
+const LEASE_END_TIMEOUT_MS: u64 = 3_000;
+/// Time limit for the batch jobs to stop in a planned stop.
+const JOBS_STOP_TIMEOUT_MS: u64 = 10_000;
 
-/// A running instance.
+/// A running instance with its listeners and actors.
 #[derive(Debug)]
 pub struct Instance<P> {
     shared: Shared<MeteredPlatform<P>>,
@@ -58,13 +58,15 @@
     peers: PeerServer,
 }
 
-/// Each start has a higher incarnation than the one before, on a clock that does not go back.
+/// Start time in ms since the Unix epoch. Each start has a higher incarnation than the one before,
+/// as long as the wall clock is not set back.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(1, |duration| duration.as_millis() as u64)
 }
 
-/// Waits until requests can be told from those of strangers; they wait in the listener's backlog.
+/// Waits until the contracts are loaded, because no API key is known before. Requests wait in the
+/// listener's backlog meanwhile.
 async fn wait_for_contracts<P: Platform>(shared: &Shared<P>) {
     let start = tokio::time::Instant::now();
     let limit = Duration::from_millis(LOAD_WAIT_MS);
@@ -74,7 +76,7 @@
 }
 
 impl<P: Platform> Instance<P> {
-    /// Binds the three addresses, starts the actors and serves.
+    /// Binds the three addresses, starts the actors and begins to serve.
     pub async fn start(mut settings: Settings, platform: P) -> Result<Self> {
         let caller_listener = server::bind(settings.caller_address).await?;
         let operator_listener = server::bind(settings.operator_address).await?;
@@ -126,7 +128,7 @@
         let operators = OperatorHandler::new(gateway, &settings.operator_token);
         let operators = Server::start(operator_listener, settings.operator_address, operators);
         log::info!(
-            "callers on {}, peers on {peer_address}, operators on {}",
+            "listening for callers on {}, for peers on {peer_address}, for operators on {}",
             settings.caller_address,
             settings.operator_address
         );
@@ -142,12 +144,12 @@
         })
     }
 
-    /// What the parts of the instance share.
+    /// State shared by the parts of the instance.
     pub fn shared(&self) -> &Shared<MeteredPlatform<P>> {
         &self.shared
     }
 
-    /// One JSON line with the addresses really bound, for whoever started the process.
+    /// One JSON line with the bound addresses, for the process that started this one.
     pub fn announcement(&self) -> String {
         let settings = &self.shared.settings;
         serde_json::json!({
@@ -159,19 +161,26 @@
         .to_string()
     }
 
-    /// A planned stop: leaves the list of addresses, goes on taking requests while callers may
-    /// keep an old list, gives its jobs up, then lets requests in flight finish.
+    /// Planned stop: the instance leaves the list of addresses, still takes requests for as long as
+    /// callers may keep an old list, gives up its jobs, and then waits for the requests in flight.
+    ///
+    /// Fails with [`EntryError::CutRequests`] if they do not finish within `stop_wait_ms`.
     pub async fn close(self) -> Result<()> {
         let shared = &self.shared;
         shared.stopping.store(true, Ordering::Relaxed);
         shared.timeline.note(Event::Stopping);
-        let told = Some(Duration::from_millis(LEAVE_TOLD_MS));
-        let left = self.actors.membership.call(MembershipMessage::Leave, told);
-        if left.await.is_err() {
-            log::warn!("not all instances were told of the stop");
+        let leave_timeout = Some(Duration::from_millis(LEAVE_TIMEOUT_MS));
+        let announced = self
+            .actors
+            .membership
+            .call(MembershipMessage::Leave, leave_timeout);
+        if announced.await.is_err() {
+            log::warn!(
+                "not all instances were told of the planned stop within {LEAVE_TIMEOUT_MS} ms"
+            );
         }
         self.callers.end_connections();
-        let wait = Some(Duration::from_millis(JOBS_STOP_MS));
+        let wait = Some(Duration::from_millis(JOBS_STOP_TIMEOUT_MS));
         if self
             .actors
             .jobs
@@ -179,16 +188,21 @@
             .await
             .is_err()
         {
-            log::warn!("the jobs could not be stopped");
+            log::warn!("batch jobs did not stop within {JOBS_STOP_TIMEOUT_MS} ms");
         }
-        let keep_ms = shared.settings.keep_for_ms + LEAVE_LAG_MS;
+        let keep_ms = shared.settings.keep_for_ms + LEAVE_PROPAGATION_MS;
         tokio::time::sleep(Duration::from_millis(keep_ms)).await;
         let stop_wait_ms = shared.settings.stop_wait_ms;
         let finished = self.callers.close(stop_wait_ms).await;
         shared.timeline.note(Event::Stopped);
-        let ended = Some(Duration::from_millis(LEASE_END_MS));
-        if self.lease.call(LeaseMessage::End, ended).await.is_err() {
-            log::warn!("the lease was not ended, it runs out");
+        let lease_timeout = Some(Duration::from_millis(LEASE_END_TIMEOUT_MS));
+        if self
+            .lease
+            .call(LeaseMessage::End, lease_timeout)
+            .await
+            .is_err()
+        {
+            log::warn!("lease not ended within {LEASE_END_TIMEOUT_MS} ms, it will expire");
         }
         self.once_sweep.stop(None);
         self.orders.stop(None);
--- a/crates/foxtailhold-entry/src/lib.rs
+++ b/crates/foxtailhold-entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry instance: settings, actors, gateways, planned stop.
+//! The entry instance: settings, actors, gateways and planned stop.
 #![warn(clippy::unwrap_used)]
 
 pub mod actors;
