--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -50,7 +50,7 @@
             Decision::Refused(_) => return Ok(false),
             Decision::Wait(_) | Decision::Pause { .. } => {}
         }
-        let ask = limits.due_ask(&contract.customer, now);
+        let ask = limits.due_request(&contract.customer, now);
         exchange(limits, ask.into_iter().collect(), book, now)?;
     }
     Ok(false)
@@ -120,7 +120,7 @@
     );
     let later = now + (EXCHANGE_MS - 1);
     let start = Instant::now();
-    let asks = limits.due_asks(later);
+    let asks = limits.due_requests(later);
     println!(
         "one pass over {CUSTOMERS} active customers: {} asks in {:?}",
         asks.len(),
@@ -129,7 +129,7 @@
     exchange(&limits, asks, &book, later)?;
     for pass in 1..20 {
         let later = now + pass * (IDLE_MS + EXCHANGE_MS);
-        let asks = limits.due_asks(later);
+        let asks = limits.due_requests(later);
         exchange(&limits, asks, &book, later)?;
         limits.sweep(later);
     }
--- a/crates/foxtailhold-entry/src/actors/limits.rs
+++ b/crates/foxtailhold-entry/src/actors/limits.rs
@@ -91,7 +91,7 @@
         let count = instances.count(&live);
         shared.limits.set_members(live, count, now);
         shared.limits.sweep(now);
-        let asks = shared.limits.due_asks(now);
+        let asks = shared.limits.due_requests(now);
         let instances = members.len() as u32;
         shared.admission.update(&shared.backends.load(), instances);
         let waiting = shared.admission.waiting() as i64;
@@ -104,7 +104,7 @@
 
 /// Asks the home of one customer at once, where no ask is on its way.
 pub fn ask_now<P: Platform>(shared: &Shared<P>, customer: &CustomerId) {
-    let due = shared.limits.due_ask(customer, shared.clock.mono());
+    let due = shared.limits.due_request(customer, shared.clock.mono());
     send(shared, due.into_iter().collect());
 }
 
--- a/crates/foxtailhold-entry/src/batch_controllers.rs
+++ b/crates/foxtailhold-entry/src/batch_controllers.rs
@@ -1,4 +1,5 @@
-//! The stewards of engines, as published for the request path, and what they were told.
+//! The batch controllers of engines, as published for the request path, and the online load that
+//! they were last notified of.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,19 +8,19 @@
 
 use foxtailhold::ids::{BackendId, InstanceId};
 
-/// What the steward of one engine was told of this instance's online work there.
+/// Online work of this instance at one engine, as last sent to the engine's batch controller.
 #[derive(Debug, Default)]
 pub struct OnlineNotification {
     pub(crate) batch: AtomicU32,
     pub(crate) pressed: AtomicBool,
-    pub(crate) telling: AtomicBool,
-    pub(crate) told: AtomicU32,
-    pub(crate) told_ms: AtomicU64,
-    pub(crate) quiet_until_ms: AtomicU64,
-    pub(crate) number: AtomicU64,
+    pub(crate) sending: AtomicBool,
+    pub(crate) notified_in_flight: AtomicU32,
+    pub(crate) notified_ms: AtomicU64,
+    pub(crate) paused_until_ms: AtomicU64,
+    pub(crate) last_number: AtomicU64,
 }
 
-/// A batch item in flight at an engine, counted until dropped, so that it does not pass for online
+/// A batch item in flight at an engine, counted until dropped, so that it is not taken for online
 /// work.
 #[derive(Debug)]
 pub struct BatchItemInFlight(Arc<OnlineNotification>);
@@ -30,23 +31,24 @@
     }
 }
 
-/// The steward of one engine.
+/// The batch controller of one engine.
 #[derive(Debug, Clone)]
 pub struct BatchControllerEntry {
-    /// The instance.
+    /// Instance that controls batch work at the engine.
     pub batch_controller: InstanceId,
-    /// Where it takes messages of peers.
+    /// Peer address of that instance.
     pub address: SocketAddr,
-    /// What it was told.
+    /// Online work that it was last notified of.
     pub gauge: Arc<OnlineNotification>,
 }
 
-/// The stewards of all engines, as published for the request path.
+/// Batch controllers of all engines, by engine.
 #[derive(Debug, Clone, Default)]
 pub struct BatchControllers(pub HashMap<BackendId, BatchControllerEntry>);
 
 impl BatchControllers {
-    /// Counts a batch item that is about to be sent to an engine.
+    /// Counts a batch item that is about to be sent to an engine. `None` if the engine has no batch
+    /// controller.
     pub fn start_batch_item(&self, backend: &BackendId) -> Option<BatchItemInFlight> {
         let gauge = self.0.get(backend)?.gauge.clone();
         gauge.batch.fetch_add(1, Ordering::Relaxed);
--- a/crates/foxtailhold-entry/src/cli.rs
+++ b/crates/foxtailhold-entry/src/cli.rs
@@ -1,4 +1,4 @@
-//! The raw command line of `foxtailhold-entry`.
+//! Command line of `foxtailhold-entry`, before its values are checked.
 
 use argh::FromArgs;
 
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -328,10 +328,10 @@
         return false;
     }
     if attempts.last_error.is_none() {
-        shared.retries.first_try();
+        shared.retries.record_first_attempt();
         return true;
     }
-    if !shared.retries.retry(shared.clock.mono()) {
+    if !shared.retries.try_retry(shared.clock.mono()) {
         shared.metrics.retries_refused.inc();
         return false;
     }
--- a/crates/foxtailhold-entry/src/gateway/infer.rs
+++ b/crates/foxtailhold-entry/src/gateway/infer.rs
@@ -74,13 +74,13 @@
             ));
         }
         let answer = idempotency::infer(shared, &request).await?;
-        admitted.answered(&answer.body);
+        admitted.count_response_tokens(&answer.body);
         return Ok(InferenceAnswer::Whole(answer));
     }
     let mut attempts = AttemptHistory::default();
     let opened = dispatch::open(shared, &outgoing, None, &mut attempts).await?;
     if let EngineAnswer::Whole(answer) = opened.answer {
-        admitted.answered(&answer.body);
+        admitted.count_response_tokens(&answer.body);
         shared.timeline.note(Event::Answered {
             request: outgoing.id.clone(),
         });
--- a/crates/foxtailhold-entry/src/gateway/service_call.rs
+++ b/crates/foxtailhold-entry/src/gateway/service_call.rs
@@ -69,14 +69,14 @@
 /// method is safe or idempotent (RFC 9110, section 9.2).
 fn may_attempt<P: Platform>(shared: &Shared<P>, method: &Method, attempts: &CallAttempts) -> bool {
     if attempts.tried.is_empty() {
-        shared.retries.first_try();
+        shared.retries.record_first_attempt();
         return true;
     }
     let exhausted = attempts.tried.len() >= MAX_ATTEMPTS;
     if exhausted || (attempts.ran == Ran::MayHaveRun && !method.is_idempotent()) {
         return false;
     }
-    if !shared.retries.retry(shared.clock.mono()) {
+    if !shared.retries.try_retry(shared.clock.mono()) {
         shared.metrics.retries_refused.inc();
         return false;
     }
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -227,7 +227,7 @@
                         online_load::first_token(&self.shared, &attempt.server, took_ms);
                     }
                     self.tokens += 1;
-                    self.admitted.generated(1);
+                    self.admitted.count_generated(1);
                     self.text.push_str(&text);
                     self.finished |= finished;
                     return Some(Ok(raw));
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of customers on this instance, and the shares it grants as their home.
+//! Limits of customers on this instance, and the shares that it grants to other instances as limit
+//! coordinator.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasher;
@@ -19,86 +20,91 @@
 
 use crate::admission::Slot;
 
-/// Requests of one customer that wait for its first share.
-const MOST_WAITING: usize = 256;
-/// A request for which there is room within this time waits for it, once. Requests that come at once with a
-/// share that has just begun to flow are far below the limit, and a refusal costs its caller more.
-const PAUSE_MS: u64 = 5;
-/// Locks among which customers are spread.
+/// Upper limit of one customer's requests that wait for its first share.
+const MAX_WAITING: usize = 256;
+/// A request that fits the limits within this time waits for it, once. Requests that arrive
+/// together with a first share are far below the customer's limit, and a refusal would cost their
+/// caller more than this wait.
+const MAX_PAUSE_MS: u64 = 5;
+/// Number of locks over which the customers are spread.
 const SHARDS: usize = 64;
-/// Bits of an ask's number that count within one start of the instance.
+/// Low bits of a share request's number, which count within one start of the instance. The bits
+/// above hold the start time, so that numbers rise over restarts.
 const NUMBER_BITS: u32 = 20;
 
-/// One customer with requests here.
+/// Limits and usage of one customer with requests here.
 #[derive(Debug)]
-struct Usage {
+struct CustomerUsage {
     terms: Terms,
     holder: Holder,
-    /// Dropped when the home has answered.
+    /// Waiting requests subscribe to it; dropped when the coordinator has answered, which wakes
+    /// them.
     answered: Option<watch::Sender<()>>,
 }
 
-impl Usage {
-    fn tell_if_settled(&mut self) {
+impl CustomerUsage {
+    fn notify_if_settled(&mut self) {
         if self.holder.is_settled() {
             self.answered = None;
         }
     }
 }
 
-type Shard = Mutex<HashMap<CustomerId, Usage>>;
+type Shard = Mutex<HashMap<CustomerId, CustomerUsage>>;
 
 #[derive(Debug)]
-struct State {
+struct LimitsState {
     hasher: std::hash::RandomState,
     shards: Vec<Shard>,
-    home: Mutex<LimitHome>,
+    coordinator: Mutex<LimitHome>,
     views: ArcSwap<Views>,
     next_number: AtomicU64,
 }
 
-/// Limits of all customers with requests here.
+/// Limits of all customers with requests on this instance.
 #[derive(Debug, Clone)]
-pub struct Limits(Arc<State>);
+pub struct Limits(Arc<LimitsState>);
 
-/// Whether a request comes for the first time or was told to wait.
+/// How often the limits were checked for the same request before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitCheck {
-    /// It counts as demand.
+    /// First check; the request is counted as demand.
     First,
-    /// It has been counted.
+    /// Checked before and already counted.
     Again,
-    /// It has been counted and has paused.
+    /// Checked before, already counted, and it has paused once.
     Paused,
 }
 
-/// What a home answers.
+/// Answer of a limit coordinator.
 #[derive(Debug, Default)]
 pub struct GrantedShares {
-    /// One for each ask, without those of other homes.
+    /// One grant for each share request, except those of customers that another instance
+    /// coordinates.
     pub grants: Vec<Grant>,
-    /// Customers of which each instance should give room, by asking at once.
+    /// Customers whose share each of these instances should renew at once, because it holds more
+    /// than it should.
     pub recalled: BTreeMap<InstanceId, Vec<CustomerId>>,
 }
 
-/// What becomes of a request.
+/// Result of a limit check.
 #[derive(Debug)]
 pub enum Decision {
-    /// It is within the limits.
+    /// The request is within the limits.
     Admitted(AdmittedRequest),
-    /// The customer's home is asked first: decide again when the channel is closed.
+    /// The coordinator has to be asked first. Check again when the channel is closed.
     Wait(watch::Receiver<()>),
-    /// There is room in a moment: decide again then.
+    /// The request will fit the limits shortly. Check again after the pause.
     Pause {
-        /// When.
+        /// Length of the pause.
         after_ms: u64,
     },
-    /// It is refused.
+    /// The request is over a limit.
     Refused(Refusal),
 }
 
-/// A request within its customer's limits; dropping it frees its place and gives back the tokens
-/// that were charged and not generated.
+/// An admitted request. Dropping it frees its slot and returns the tokens that were charged but not
+/// generated.
 #[derive(Debug)]
 pub struct AdmittedRequest {
     limits: Limits,
@@ -109,25 +115,26 @@
 }
 
 impl Limits {
-    /// Limits of an instance that starts now.
+    /// Starts without customers. `wall` seeds the numbers of share requests, so that they rise over
+    /// restarts.
     pub fn new(me: InstanceId, now: MonoMs, wall: WallMs) -> Self {
         let mut shards = Vec::new();
         shards.resize_with(SHARDS, Shard::default);
-        Limits(Arc::new(State {
+        Limits(Arc::new(LimitsState {
             hasher: std::hash::RandomState::new(),
             shards,
-            home: Mutex::default(),
+            coordinator: Mutex::default(),
             views: ArcSwap::from_pointee(Views::new(me, now)),
             next_number: AtomicU64::new(wall.0 << NUMBER_BITS),
         }))
     }
 
-    /// Decides on a request that is charged `tokens`; `attempt` tells whether it has waited.
+    /// Checks a request that is charged `tokens` against the customer's limits.
     pub fn decide(
         &self,
         contract: &Contract,
         tokens: f64,
-        attempt: LimitCheck,
+        check: LimitCheck,
         now: MonoMs,
     ) -> Decision {
         let customer = &contract.customer;
@@ -137,15 +144,17 @@
         let mut shard = self.shard(customer);
         let usage = match shard.get_mut(customer) {
             Some(usage) => usage,
-            None => shard.entry(customer.clone()).or_insert_with(|| Usage {
-                terms,
-                holder: Holder::new(now),
-                answered: None,
-            }),
+            None => shard
+                .entry(customer.clone())
+                .or_insert_with(|| CustomerUsage {
+                    terms,
+                    holder: Holder::new(now),
+                    answered: None,
+                }),
         };
         usage.terms = terms;
         let holder = &mut usage.holder;
-        let verdict = match attempt {
+        let verdict = match check {
             LimitCheck::First => holder.admit(&terms, listed, charged_tokens, now),
             LimitCheck::Again | LimitCheck::Paused => {
                 holder.admit_again(&terms, listed, charged_tokens, now)
@@ -161,14 +170,14 @@
             }),
             Verdict::Wait => {
                 let answered = usage.answered.get_or_insert_with(|| watch::Sender::new(()));
-                if answered.receiver_count() >= MOST_WAITING {
+                if answered.receiver_count() >= MAX_WAITING {
                     let refusal = over_limit(contract, Limit::Requests, EXCHANGE_MS);
                     return Decision::Refused(refusal);
                 }
                 Decision::Wait(answered.subscribe())
             }
             Verdict::Over { after_ms, .. }
-                if after_ms <= PAUSE_MS && attempt != LimitCheck::Paused =>
+                if after_ms <= MAX_PAUSE_MS && check != LimitCheck::Paused =>
             {
                 Decision::Pause { after_ms }
             }
@@ -178,17 +187,17 @@
         }
     }
 
-    /// Goes on without the home's answer, where there has been none.
+    /// Uses a fallback share if the coordinator has not answered.
     pub fn use_fallback_share(&self, customer: &CustomerId, now: MonoMs) {
         let listed = self.0.views.load().listed();
         if let Some(usage) = self.shard(customer).get_mut(customer) {
             usage.holder.fall_back(&usage.terms, listed, now);
-            usage.tell_if_settled();
+            usage.notify_if_settled();
         }
     }
 
-    /// The ask for one customer, where one is due.
-    pub fn due_ask(&self, customer: &CustomerId, now: MonoMs) -> Option<Ask> {
+    /// The share request for one customer, if one is due.
+    pub fn due_request(&self, customer: &CustomerId, now: MonoMs) -> Option<Ask> {
         let mut shard = self.shard(customer);
         let usage = shard.get_mut(customer)?;
         usage
@@ -196,101 +205,111 @@
             .ask(customer, &usage.terms, self.next_number(), now)
     }
 
-    /// All asks that are due. Forgets customers at rest on the way.
-    pub fn due_asks(&self, now: MonoMs) -> Vec<Ask> {
-        let mut asks = Vec::new();
+    /// All share requests that are due. Removes customers without recent requests.
+    pub fn due_requests(&self, now: MonoMs) -> Vec<Ask> {
+        let mut requests = Vec::new();
         for shard in &self.0.shards {
             shard.lock().retain(|customer, usage| {
                 let number = self.next_number();
-                asks.extend(usage.holder.ask(customer, &usage.terms, number, now));
+                requests.extend(usage.holder.ask(customer, &usage.terms, number, now));
                 !usage.holder.is_forgettable(now)
             });
         }
-        asks
+        requests
     }
 
-    /// The asks by the home of their customers; without those of which no home is known.
-    pub fn by_coordinator(&self, asks: Vec<Ask>) -> BTreeMap<InstanceId, Vec<Ask>> {
+    /// Groups share requests by the coordinator of their customer. Drops those whose coordinator is
+    /// not known.
+    pub fn by_coordinator(&self, requests: Vec<Ask>) -> BTreeMap<InstanceId, Vec<Ask>> {
         let views = self.0.views.load();
         let mut by_coordinator: BTreeMap<InstanceId, Vec<Ask>> = BTreeMap::new();
-        for ask in asks {
-            if let Some(home) = views.home(&ask.customer) {
-                by_coordinator.entry(home.clone()).or_default().push(ask);
+        for request in requests {
+            if let Some(coordinator) = views.home(&request.customer) {
+                by_coordinator
+                    .entry(coordinator.clone())
+                    .or_default()
+                    .push(request);
             }
         }
         by_coordinator
     }
 
-    /// Answers an instance's asks as the home of the customers; leaves out the others.
-    pub fn answer(&self, asks: &ShareAsks, contracts: &ContractBook, now: MonoMs) -> GrantedShares {
+    /// Grants shares to an instance as the coordinator of its customers. Skips customers that this
+    /// instance does not coordinate or has no contract of.
+    pub fn answer(
+        &self,
+        requests: &ShareAsks,
+        contracts: &ContractBook,
+        now: MonoMs,
+    ) -> GrantedShares {
         let views = self.0.views.load();
-        let mut home = self.0.home.lock();
+        let mut coordinator = self.0.coordinator.lock();
         let mut shares = GrantedShares::default();
-        for ask in &asks.asks {
-            let entry = contracts.get(&ask.customer);
+        for request in &requests.asks {
+            let entry = contracts.get(&request.customer);
             let Some(contract) = entry.and_then(|entry| entry.contract.as_ref()) else {
                 continue;
             };
             let terms = Terms::from(contract.as_ref());
-            let grant = home.ask(&asks.from, ask, &terms, &views, now);
+            let grant = coordinator.ask(&requests.from, request, &terms, &views, now);
             shares.grants.extend(grant);
-            for above in home.recall(&ask.customer, now) {
-                let recalled = shares.recalled.entry(above).or_default();
-                recalled.push(ask.customer.clone());
+            for instance in coordinator.recall(&request.customer, now) {
+                let recalled = shares.recalled.entry(instance).or_default();
+                recalled.push(request.customer.clone());
             }
         }
         shares
     }
 
-    /// Takes a home's answer to `asks` in, and returns the asks that are due then.
-    pub fn apply_grants(&self, asks: &[Ask], grants: &[Grant], now: MonoMs) -> Vec<Ask> {
+    /// Applies a coordinator's grants for `requests`, and returns the share requests that are due then.
+    pub fn apply_grants(&self, requests: &[Ask], grants: &[Grant], now: MonoMs) -> Vec<Ask> {
         for grant in grants {
             if let Some(usage) = self.shard(&grant.customer).get_mut(&grant.customer) {
                 usage.holder.granted(&usage.terms, grant, now);
-                usage.tell_if_settled();
+                usage.notify_if_settled();
             }
         }
         let mut due = Vec::new();
-        for ask in asks {
-            if let Some(usage) = self.shard(&ask.customer).get_mut(&ask.customer) {
-                usage.holder.not_answered(ask.number, now);
+        for request in requests {
+            if let Some(usage) = self.shard(&request.customer).get_mut(&request.customer) {
+                usage.holder.not_answered(request.number, now);
             }
-            due.extend(self.due_ask(&ask.customer, now));
+            due.extend(self.due_request(&request.customer, now));
         }
         due
     }
 
-    /// Takes in that homes want these customers' shares to be asked for at once, and returns the
-    /// asks.
+    /// Marks these customers' shares for renewal at once, as their coordinators ask, and returns
+    /// the share requests.
     pub fn apply_recall(&self, customers: &[CustomerId], now: MonoMs) -> Vec<Ask> {
         let mut due = Vec::new();
         for customer in customers {
             if let Some(usage) = self.shard(customer).get_mut(customer) {
                 usage.holder.recalled(now);
             }
-            due.extend(self.due_ask(customer, now));
+            due.extend(self.due_request(customer, now));
         }
         due
     }
 
-    /// Sets the live instances and how many there are with those out of reach.
+    /// Sets the live instances, and `listed`, the number of instances including unreachable ones.
     pub fn set_members(&self, members: Vec<InstanceId>, listed: u32, now: MonoMs) {
         let mut views = Views::clone(&self.0.views.load());
         views.set(members, listed, now);
         self.0.views.store(Arc::new(views));
     }
 
-    /// Forgets customers at rest at the home.
+    /// Removes customers without recent requests from the coordinator's state.
     pub fn sweep(&self, now: MonoMs) {
-        self.0.home.lock().sweep(now);
+        self.0.coordinator.lock().sweep(now);
     }
 
-    /// Customers with requests here.
+    /// Number of customers with recent requests here.
     pub fn customers(&self) -> usize {
         self.0.shards.iter().map(|shard| shard.lock().len()).sum()
     }
 
-    fn shard(&self, customer: &CustomerId) -> MutexGuard<'_, HashMap<CustomerId, Usage>> {
+    fn shard(&self, customer: &CustomerId) -> MutexGuard<'_, HashMap<CustomerId, CustomerUsage>> {
         let hash = self.0.hasher.hash_one(customer) as usize;
         self.0.shards[hash % SHARDS].lock()
     }
@@ -301,32 +320,33 @@
 }
 
 impl AdmittedRequest {
-    /// Keeps the request's place towards its model until the end.
+    /// Holds the request's slot until the request ends.
     pub fn attach_slot(&mut self, slot: Slot) {
         self.slot = Some(slot);
     }
 
-    /// Counts generated tokens.
-    pub fn generated(&mut self, tokens: u64) {
+    /// Counts tokens of a stream as generated.
+    pub fn count_generated(&mut self, tokens: u64) {
         self.generated_tokens += tokens as f64;
     }
 
-    /// Counts the tokens that a whole answer says it has; without such a count the charge stands.
-    pub fn answered(&mut self, body: &[u8]) {
-        let answer: Option<Usages> = serde_json::from_slice(body).ok();
+    /// Counts the completion tokens that a full response reports. Without such a report the charge
+    /// stands.
+    pub fn count_response_tokens(&mut self, body: &[u8]) {
+        let answer: Option<CompletionBody> = serde_json::from_slice(body).ok();
         let tokens = answer.map(|answer| answer.usage.completion_tokens as f64);
         self.generated_tokens = tokens.unwrap_or(self.charged_tokens);
     }
 }
 
-/// The part of a whole answer that is read.
+/// The part of a full response that is parsed.
 #[derive(serde::Deserialize)]
-struct Usages {
-    usage: UsageCount,
+struct CompletionBody {
+    usage: TokenUsage,
 }
 
 #[derive(serde::Deserialize)]
-struct UsageCount {
+struct TokenUsage {
     completion_tokens: u64,
 }
 
--- a/crates/foxtailhold-entry/src/main.rs
+++ b/crates/foxtailhold-entry/src/main.rs
@@ -27,7 +27,8 @@
     runtime.block_on(run(settings))
 }
 
-/// A runtime with so many threads; 0 for one on each core.
+/// Builds a runtime with this number of worker threads; 0 starts one per core, and 1 uses the
+/// current thread.
 fn runtime(worker_threads: u64) -> std::io::Result<Runtime> {
     let mut builder = match worker_threads {
         1 => Builder::new_current_thread(),
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the actors of one instance say to each other and to themselves.
+//! Messages between the actors of one instance.
 
 use std::net::SocketAddr;
 
@@ -17,177 +17,181 @@
 use ractor::RpcReplyPort;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Messages to the keeper of contracts.
+/// Messages to the actor that keeps the contracts in force.
 #[derive(Debug)]
 pub enum ContractsMessage {
-    /// Changes known to be committed, pushed by the instance that accepted them.
+    /// Committed changes, pushed by the instance that accepted them. The reply, if any, is sent
+    /// once they are applied.
     Pushed(Catchup, Option<RpcReplyPort<()>>),
-    /// A peer told of its contracts.
+    /// A peer sent the status of its contracts.
     Advert {
-        /// What it told.
+        /// Status of the peer's contracts.
         advert: Advert,
-        /// When the message that it answers was sent; `None` for a message of its own.
+        /// When the message that it answers was sent; `None` if the peer sent it unasked.
         sent_at: Option<MonoMs>,
-        /// The peer.
+        /// Peer address of the sender.
         address: SocketAddr,
     },
-    /// A step ended.
+    /// A synchronization step ended; `None` if it failed.
     StepEnded(Step, Option<SyncResult>),
-    /// Time to look at what is due.
+    /// Periodic: starts the steps that are due.
     Tick,
 }
 
-/// What a step brought.
+/// Result of a synchronization step.
 #[derive(Debug)]
 pub enum SyncResult {
-    /// The head number, by a read sent at `sent_at` when the instance stood at `stood_at`.
+    /// Head number of the contract log.
     Head {
-        /// The number.
+        /// Number of the last committed change.
         number: u64,
         /// When the read was sent.
         sent_at: MonoMs,
-        /// Where the instance stood then.
+        /// Number of the last change in force here when the read was sent.
         stood_at: u64,
     },
-    /// A peer's answer.
+    /// Changes or snapshot from a peer.
     Peer(Catchup),
-    /// Log rows.
+    /// Changes read from the log.
     Log(Vec<ContractChange>),
-    /// All contract rows.
+    /// All contract rows read from the store.
     Snapshot(StoreSnapshot),
 }
 
-/// Messages to the keeper of requests that crash backend servers.
+/// Messages to the actor that tracks requests that crash backend servers.
 #[derive(Debug)]
 pub enum CrashesMessage {
-    /// Time for verdicts.
+    /// Periodic: updates the verdicts and publishes them.
     Tick,
-    /// Seen here, to be told to all; answered when the table holds it.
+    /// A crash or probe observed on this instance, to be sent to all others. Answered once the
+    /// local table holds it.
     Observed(Notice, RpcReplyPort<()>),
-    /// Told by a peer.
+    /// Notices from a peer.
     FromPeer(Vec<Notice>),
-    /// At the home: an instance asks for a trial.
+    /// To the coordinator: an instance requests a probe on one of these backend servers.
     RequestProbe(Fingerprint, Vec<BackendId>, RpcReplyPort<TrialAnswer>),
-    /// At the home: a trial ended.
+    /// To the coordinator: a probe ended.
     ProbeEnded(Fingerprint, BackendId, TrialEnd),
-    /// A starting instance asks for the table.
+    /// A starting instance requests the table.
     Snapshot(RpcReplyPort<Vec<Notice>>),
-    /// A peer answered with its table.
+    /// A peer sent its table.
     SnapshotReceived(Vec<Notice>),
 }
 
-/// Messages to the reader of the fleet list and of load reports.
+/// Messages to the actor that reads the fleet list and load reports.
 #[derive(Debug)]
 pub enum FleetMessage {
-    /// Time to read the list.
+    /// Periodic: reads the fleet list.
     ReadList,
-    /// The list was read.
+    /// The fleet list was read.
     List(Fleet),
-    /// Time to read load reports.
+    /// Periodic: reads the load reports.
     ReadLoads,
-    /// Backend servers that are leaving, as a peer tells.
+    /// Backend servers that are leaving, according to a peer.
     LeavingNotices(Vec<LeavingMark>),
 }
 
-/// Messages to the keeper of batch jobs owned here.
+/// Messages to the actor that runs the batch jobs owned by this instance.
 #[derive(Debug)]
 pub enum JobsMessage {
-    /// Time for a periodic look.
+    /// Periodic: scans the open jobs if a scan is due.
     Tick,
-    /// Open jobs have to be looked through now.
+    /// Scans the open jobs now.
     Scan,
-    /// Time to delete orphaned result objects.
+    /// Periodic: deletes orphaned result objects.
     Sweep,
-    /// A look ended.
+    /// A scan of the open jobs ended.
     Scanned(JobScan),
-    /// The run of a job ended.
+    /// A job is no longer executed here.
     Ended(JobId),
-    /// A job must stop; answered once no item of it runs.
+    /// Stops a job. Answered once no item of it runs.
     Stop(JobId, RpcReplyPort<()>),
-    /// All jobs must stop and be given up; answered once none runs.
+    /// Stops all jobs and gives up their ownership. Answered once none runs.
     StopAll(RpcReplyPort<()>),
 }
 
-/// What a look at open jobs found.
+/// Result of a scan of the open jobs.
 #[derive(Debug, Default)]
 pub struct JobScan {
-    /// Jobs taken over.
+    /// Jobs that this instance has taken over.
     pub claimed: Vec<OwnedJob>,
-    /// Jobs running here whose cancel is committed.
+    /// Jobs executed here whose cancellation is committed.
     pub cancelling: Vec<JobId>,
-    /// Leases of other instances.
+    /// Leases of the other instances that own jobs.
     pub watched: WatchedLeases,
 }
 
-/// Messages to the exchange of shares of limits.
+/// Messages to the actor that exchanges shares of limits.
 #[derive(Debug)]
 pub enum LimitsMessage {
-    /// A period has passed.
+    /// Periodic: sends the share requests that are due.
     Tick,
     /// The live instances of the platform's fleet list.
     Listed(Vec<InstanceId>),
 }
 
-/// Messages to the keeper of the view of instances.
+/// Messages to the actor that keeps the membership view.
 #[derive(Debug)]
 pub enum MembershipMessage {
-    /// A period has passed.
+    /// Periodic: probes other instances.
     Tick,
-    /// A peer's probe.
+    /// A probe from a peer; answered with this instance's gossip.
     Gossip(Gossip, RpcReplyPort<Gossip>),
-    /// The answer to a probe.
+    /// A peer answered a probe.
     GossipAnswer(GossipAnswer),
-    /// A probe was not answered.
+    /// A peer did not answer a probe.
     NoAnswer(InstanceId),
-    /// A probe was answered to another instance, or to none.
+    /// Result of an indirect probe: whether the instance answered to another one.
     IndirectProbe(InstanceId, bool),
-    /// The fleet list's instances.
+    /// Instances of the fleet list.
     Seeds(Vec<FleetInstance>),
-    /// A planned stop begins; answered when every other instance was told or could not be.
+    /// A planned stop begins. Answered once each other instance has been told or did not answer.
     Leave(RpcReplyPort<()>),
 }
 
-/// The answer to a probe.
+/// A peer's answer to a probe.
 #[derive(Debug)]
 pub struct GossipAnswer {
-    /// The answer.
+    /// Gossip of the peer.
     pub gossip: Gossip,
-    /// The peer's address.
+    /// Address of the peer.
     pub address: SocketAddr,
     /// When the probe was sent.
     pub sent_at: MonoMs,
-    /// Whether the probe asked for all that the peer knows.
+    /// Whether the probe requested the peer's full membership state.
     pub requested_full_state: bool,
 }
 
-/// Messages to the steward of batch at replicas.
+/// Messages to the actor that controls batch work at engines and schedules the items of jobs owned
+/// here.
 #[derive(Debug)]
 pub enum BatchControllerMessage {
-    /// Time to look.
+    /// Periodic: updates the windows and sends the slot requests that are due.
     Tick,
-    /// An owner asks for places at an engine.
+    /// An owner requests slots at an engine.
     SlotsRequested(PlaceAsk, RpcReplyPort<PlaceGrant>),
-    /// A steward allows this owner another number of places; answered with what it has then.
+    /// A batch controller grants this owner another number of slots. Answered with the slots in use
+    /// then.
     SlotsGranted(PlaceGrant, RpcReplyPort<PlaceAsk>),
     /// An owner's answer to a grant.
     SlotsInUse(PlaceAsk),
-    /// The answer to a question that was sent at this time.
+    /// The answer to a slot request that was sent at this time.
     RequestAnswered(PlaceGrant, MonoMs),
-    /// Online work at an engine; answered with whether batch is steered there.
+    /// Online requests at an engine. Answered with whether batch work is controlled there.
     OnlineWork(OnlineNotice, RpcReplyPort<bool>),
-    /// A load report read by this steward.
+    /// A load report that this batch controller has read.
     LoadReported(BackendId, LoadReport),
-    /// An item waits for a place.
+    /// An item waits for a slot.
     ItemWaiting(ItemKey, WaitingItem, UnboundedSender<SlotSignal>),
     /// An item neither waits nor runs any more.
     ItemLeft(ItemKey),
 }
 
-/// What a waiting or running item is told.
+/// Signal to a waiting or running item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotSignal {
-    /// It has a place at this engine.
+    /// The item has a slot at this engine.
     Start(BackendId),
-    /// It has lost its place: its stream must be cancelled.
+    /// The item is preempted: its stream must be cancelled.
     Preempt,
 }
--- a/crates/foxtailhold-entry/src/metered_platform.rs
+++ b/crates/foxtailhold-entry/src/metered_platform.rs
@@ -1,4 +1,4 @@
-//! The platform with its calls counted.
+//! A platform client that counts its calls.
 
 use std::time::Instant;
 
@@ -10,7 +10,7 @@
 
 use crate::metrics::{CallLabels, PlatformMetrics};
 
-/// A platform whose calls, errors and times are counted.
+/// Wraps a platform and counts calls, errors and durations.
 #[derive(Debug, Clone)]
 pub struct MeteredPlatform<P> {
     inner: P,
@@ -18,12 +18,12 @@
 }
 
 impl<P: Platform> MeteredPlatform<P> {
-    /// Counts the calls of `inner` in `metrics`.
+    /// Counts the calls to `inner` in `metrics`.
     pub fn new(inner: P, metrics: PlatformMetrics) -> Self {
         MeteredPlatform { inner, metrics }
     }
 
-    async fn count<T>(
+    async fn measure<T>(
         &self,
         call: &'static str,
         answer: impl Future<Output = Result<T>>,
@@ -44,7 +44,7 @@
 
 impl<P: Platform> TableService for MeteredPlatform<P> {
     async fn get(&self, table: &str, key: &str) -> Result<Option<Row>> {
-        self.count("table_get", self.inner.get(table, key)).await
+        self.measure("table_get", self.inner.get(table, key)).await
     }
 
     async fn scan(
@@ -55,44 +55,45 @@
         limit: usize,
     ) -> Result<Vec<KeyedRow>> {
         let scan = self.inner.scan(table, prefix, after, limit);
-        self.count("table_scan", scan).await
+        self.measure("table_scan", scan).await
     }
 
     async fn transact(&self, operations: &[Operation]) -> Result<Transacted> {
         let transact = self.inner.transact(operations);
-        self.count("table_transact", transact).await
+        self.measure("table_transact", transact).await
     }
 }
 
 impl<P: Platform> ObjectStore for MeteredPlatform<P> {
     async fn put_object(&self, name: &str, bytes: Bytes) -> Result<()> {
         let put = self.inner.put_object(name, bytes);
-        self.count("object_put", put).await
+        self.measure("object_put", put).await
     }
 
     async fn get_object(&self, name: &str) -> Result<Option<Bytes>> {
-        self.count("object_get", self.inner.get_object(name)).await
+        self.measure("object_get", self.inner.get_object(name))
+            .await
     }
 
     async fn delete_object(&self, name: &str) -> Result<()> {
         let delete = self.inner.delete_object(name);
-        self.count("object_delete", delete).await
+        self.measure("object_delete", delete).await
     }
 
     async fn list_objects(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<String>> {
         let list = self.inner.list_objects(prefix, after, limit);
-        self.count("object_list", list).await
+        self.measure("object_list", list).await
     }
 }
 
 impl<P: Platform> WeightStore for MeteredPlatform<P> {
     async fn weights(&self) -> Result<Vec<String>> {
-        self.count("weights", self.inner.weights()).await
+        self.measure("weights", self.inner.weights()).await
     }
 }
 
 impl<P: Platform> FleetList for MeteredPlatform<P> {
     async fn fleet(&self) -> Result<Fleet> {
-        self.count("fleet", self.inner.fleet()).await
+        self.measure("fleet", self.inner.fleet()).await
     }
 }
--- a/crates/foxtailhold-entry/src/online_load.rs
+++ b/crates/foxtailhold-entry/src/online_load.rs
@@ -1,5 +1,5 @@
-//! Tells the stewards of engines of online work. The request path only touches counters here; a
-//! notice is sent by a task of its own, at most one for each engine every few milliseconds.
+//! Notifies the batch controllers of engines of online work. The request path only updates
+//! counters; a task of its own sends the notices, at most one per engine every few milliseconds.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,15 +16,17 @@
 use crate::messages::BatchControllerMessage;
 use crate::shared::Shared;
 
-/// Limit for telling a steward.
+/// Time limit for one notice.
 const NOTICE_TIMEOUT_MS: u64 = 500;
-/// A first token later than this is pressure.
+/// A first token that takes longer than this shows that online work is under pressure.
 pub const LATE_FIRST_TOKEN_MS: u64 = 500;
 
-/// Without batch there, a steward is not told for this long.
-const QUIET_MS: u64 = 500;
+/// After a batch controller has answered that it has no batch work at an engine, no notice about
+/// the engine is sent for this long.
+const NO_BATCH_PAUSE_MS: u64 = 500;
 
-/// Counts a batch item that is about to be sent to an engine.
+/// Counts a batch item that is about to be sent to an engine. `None` if the engine has no batch
+/// controller.
 pub fn start_batch_item<P: Platform>(
     shared: &Shared<P>,
     backend: &BackendId,
@@ -32,19 +34,20 @@
     shared.batch_controllers.load().start_batch_item(backend)
 }
 
-/// Notes that an online request was sent to `cell`.
+/// Records that an online request was sent to `server`.
 pub fn sent<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>) {
-    note(shared, server, is_queued(&server.load().report));
+    schedule_notice(shared, server, is_queued(&server.load().report));
 }
 
-/// Notes how long the first token of an online request took.
+/// Records how long the first token of an online request took.
 pub fn first_token<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>, took_ms: u64) {
     if took_ms > LATE_FIRST_TOKEN_MS {
-        note(shared, server, true);
+        schedule_notice(shared, server, true);
     }
 }
 
-/// Looks at all engines for online work that has ended, or that its steward must hear of again.
+/// Sends notices for all engines whose online work has changed since the last notice, and repeats
+/// those of engines with online work every [`NOTICE_PERIOD_MS`].
 pub fn notify_changes<P: Platform>(shared: &Shared<P>) {
     let controllers = shared.batch_controllers.load();
     let now_ms = shared.clock.mono().0;
@@ -53,10 +56,13 @@
             continue;
         };
         let gauge = &entry.gauge;
-        let (online, told) = (in_flight(server, gauge), gauge.told.load(Ordering::Relaxed));
-        let since_ms = now_ms.saturating_sub(gauge.told_ms.load(Ordering::Relaxed));
-        if online != told || (online > 0 && since_ms >= NOTICE_PERIOD_MS) {
-            note(shared, server, false);
+        let (online, notified_in_flight) = (
+            in_flight(server, gauge),
+            gauge.notified_in_flight.load(Ordering::Relaxed),
+        );
+        let since_ms = now_ms.saturating_sub(gauge.notified_ms.load(Ordering::Relaxed));
+        if online != notified_in_flight || (online > 0 && since_ms >= NOTICE_PERIOD_MS) {
+            schedule_notice(shared, server, false);
         }
     }
 }
@@ -66,54 +72,55 @@
     server.load().in_flight.saturating_sub(batch)
 }
 
-fn note<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>, pressed: bool) {
+fn schedule_notice<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>, pressed: bool) {
     let controllers = shared.batch_controllers.load();
     let Some(entry) = controllers.0.get(&server.backend.id) else {
         return;
     };
     let gauge = &entry.gauge;
-    if gauge.quiet_until_ms.load(Ordering::Relaxed) > shared.clock.mono().0 {
+    if gauge.paused_until_ms.load(Ordering::Relaxed) > shared.clock.mono().0 {
         return;
     }
     gauge.pressed.fetch_or(pressed, Ordering::Relaxed);
-    if gauge.telling.swap(true, Ordering::AcqRel) {
+    if gauge.sending.swap(true, Ordering::AcqRel) {
         return;
     }
     let (shared, server, entry) = (shared.clone(), server.clone(), entry.clone());
-    tokio::spawn(async move { tell(&shared, &server, &entry).await });
+    tokio::spawn(async move { send_notice(&shared, &server, &entry).await });
 }
 
-async fn tell<P: Platform>(
+async fn send_notice<P: Platform>(
     shared: &Shared<P>,
     server: &BackendState,
     entry: &BatchControllerEntry,
 ) {
     let gauge = &entry.gauge;
-    let told_ms = gauge.told_ms.load(Ordering::Relaxed);
-    let since_ms = shared.clock.mono().0.saturating_sub(told_ms);
+    let notified_ms = gauge.notified_ms.load(Ordering::Relaxed);
+    let since_ms = shared.clock.mono().0.saturating_sub(notified_ms);
     if since_ms < NOTICE_GAP_MS {
         tokio::time::sleep(Duration::from_millis(NOTICE_GAP_MS - since_ms)).await;
     }
     gauge
-        .told_ms
+        .notified_ms
         .store(shared.clock.mono().0, Ordering::Relaxed);
-    gauge.telling.store(false, Ordering::Release);
+    gauge.sending.store(false, Ordering::Release);
     let online = in_flight(server, gauge);
-    gauge.told.store(online, Ordering::Relaxed);
+    gauge.notified_in_flight.store(online, Ordering::Relaxed);
     let notice = OnlineNotice {
         from: shared.settings.instance.clone(),
         backend: server.backend.id.clone(),
-        number: gauge.number.fetch_add(1, Ordering::Relaxed) + 1,
+        number: gauge.last_number.fetch_add(1, Ordering::Relaxed) + 1,
         in_flight: online,
         pressed: gauge.pressed.swap(false, Ordering::Relaxed),
     };
     if !deliver(shared, entry, notice).await {
-        let until_ms = shared.clock.mono().0 + QUIET_MS;
-        gauge.quiet_until_ms.store(until_ms, Ordering::Relaxed);
+        let until_ms = shared.clock.mono().0 + NO_BATCH_PAUSE_MS;
+        gauge.paused_until_ms.store(until_ms, Ordering::Relaxed);
     }
 }
 
-/// Whether the steward has batch there, or could not be asked.
+/// Sends a notice. Returns `false` if the batch controller has no batch work at the engine; a
+/// notice without an answer counts as `true`.
 async fn deliver<P: Platform>(
     shared: &Shared<P>,
     entry: &BatchControllerEntry,
@@ -128,7 +135,7 @@
         Ok(answer) => answer == PeerAnswer::Done,
         Err(error) => {
             log::debug!(
-                "the steward {} was not told: {error}",
+                "online load not reported to batch controller {}: {error}",
                 entry.batch_controller
             );
             true
@@ -136,7 +143,8 @@
     }
 }
 
-/// Gives a notice to this instance's steward. Returns whether it has batch there.
+/// Passes a notice to this instance's batch controller. Returns whether batch work is controlled
+/// there.
 pub async fn deliver_here<P: Platform>(shared: &Shared<P>, notice: OnlineNotice) -> bool {
     let Some(actors) = shared.actors() else {
         return false;
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! Answers messages of peers.
+//! Handles messages from peers.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 use crate::online_load;
 use crate::shared::{Actors, Shared};
 
-/// The peer side of one instance.
+/// Handles peer messages on the state of one instance.
 #[derive(Debug)]
 pub struct EntryPeer<P>(pub Shared<P>);
 
@@ -33,8 +33,8 @@
     async fn answer(&self, actors: &Actors, request: PeerRequest) -> PeerAnswer {
         match request {
             PeerRequest::Gossip(gossip) => {
-                let ask = |reply| MembershipMessage::Gossip(gossip, reply);
-                match actors.membership.call(ask, None).await {
+                let call = |reply| MembershipMessage::Gossip(gossip, reply);
+                match actors.membership.call(call, None).await {
                     Ok(CallResult::Success(answer)) => PeerAnswer::Gossip(answer),
                     _ => PeerAnswer::Refused,
                 }
@@ -69,8 +69,8 @@
                 true => PeerAnswer::Done,
                 false => PeerAnswer::Refused,
             },
-            PeerRequest::PlacesAsked(ask) => {
-                let call = |reply| BatchControllerMessage::SlotsRequested(ask, reply);
+            PeerRequest::PlacesAsked(slot_request) => {
+                let call = |reply| BatchControllerMessage::SlotsRequested(slot_request, reply);
                 match actors.batch_controller.call(call, None).await {
                     Ok(CallResult::Success(grant)) => PeerAnswer::Places(grant),
                     _ => PeerAnswer::Refused,
@@ -79,7 +79,7 @@
             PeerRequest::PlacesGranted(grant) => {
                 let call = |reply| BatchControllerMessage::SlotsGranted(grant, reply);
                 match actors.batch_controller.call(call, None).await {
-                    Ok(CallResult::Success(ask)) => PeerAnswer::PlacesInUse(ask),
+                    Ok(CallResult::Success(in_use)) => PeerAnswer::PlacesInUse(in_use),
                     _ => PeerAnswer::Refused,
                 }
             }
@@ -107,8 +107,8 @@
                 fingerprint,
                 backends,
             } => {
-                let ask = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
-                match actors.crashes.call(ask, None).await {
+                let call = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
+                match actors.crashes.call(call, None).await {
                     Ok(CallResult::Success(answer)) => PeerAnswer::Trial(answer),
                     _ => PeerAnswer::Refused,
                 }
--- a/crates/foxtailhold-entry/src/retries.rs
+++ b/crates/foxtailhold-entry/src/retries.rs
@@ -4,7 +4,7 @@
 use foxtailhold::time::MonoMs;
 use parking_lot::Mutex;
 
-/// The budget, shared by all requests. Held for a few instructions only.
+/// Retry budget shared by all requests. The lock is held for a few instructions only.
 #[derive(Debug)]
 pub struct RetryGate(Mutex<RetryBudget>);
 
@@ -15,13 +15,13 @@
 }
 
 impl RetryGate {
-    /// Notes a first try.
-    pub fn first_try(&self) {
+    /// Records a first attempt, which earns a part of a retry.
+    pub fn record_first_attempt(&self) {
         self.0.lock().first_try();
     }
 
-    /// Takes one retry; `false` where none is left.
-    pub fn retry(&self, now: MonoMs) -> bool {
+    /// Takes one retry from the budget; `false` if none is left.
+    pub fn try_retry(&self, now: MonoMs) -> bool {
         self.0.lock().retry(now)
     }
 }
--- a/crates/foxtailhold-entry/src/settings.rs
+++ b/crates/foxtailhold-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings.
+//! Settings of one instance, from flags and environment variables, with their checks.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,138 +19,139 @@
 pub const DEFAULT_BATCH_SLOTS: u64 = 24;
 /// Default of `sweep_after_ms`.
 pub const DEFAULT_SWEEP_AFTER_MS: u64 = 900_000;
-/// Values of `keep_for_ms`.
+/// Accepted values of `keep_for_ms`.
 const KEEP_FOR_RANGE_MS: RangeInclusive<i64> = 100..=60_000;
-/// Values of `stop_wait_ms`.
+/// Accepted values of `stop_wait_ms`.
 const STOP_WAIT_RANGE_MS: RangeInclusive<i64> = 0..=3_600_000;
-/// Values of `batch_slots`.
+/// Accepted values of `batch_slots`.
 const BATCH_SLOTS_RANGE: RangeInclusive<i64> = 1..=100_000;
-/// Values of `worker_threads`.
+/// Accepted values of `worker_threads`; 0 starts one thread per core.
 const WORKER_THREADS_RANGE: RangeInclusive<i64> = 0..=1_024;
-/// Values of `batch_share_percent`.
+/// Accepted values of `batch_share_percent`.
 const PERCENT_RANGE: RangeInclusive<i64> = 1..=100;
-/// Values of `sweep_after_ms`.
+/// Accepted values of `sweep_after_ms`.
 const SWEEP_AFTER_RANGE_MS: RangeInclusive<i64> = 0..=604_800_000;
-/// Values of `wall_offset_ms`.
+/// Accepted values of `wall_offset_ms`: up to one day in either direction.
 const WALL_OFFSET_RANGE_MS: RangeInclusive<i64> = -86_400_000..=86_400_000;
 /// Default of `batch_policy`.
 pub const DEFAULT_BATCH_POLICY: &str = "steward";
-/// Shortest operator token, in bytes.
+/// Minimum length of the operator token, in bytes.
 pub const MIN_TOKEN_BYTES: usize = 8;
 
-/// Longest name of an instance, in bytes.
+/// Maximum length of an instance name, in bytes. A request id contains the name and has to stay
+/// within its own limit.
 pub const MAX_INSTANCE_BYTES: usize = 64;
 
 /// Result of checking settings.
 pub type Result<T> = std::result::Result<T, SettingsError>;
 
-/// What is wrong with the settings.
+/// Errors in the settings.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
-    /// A setting is missing.
+    /// A required setting is missing.
     #[error("setting --{option} is missing")]
-    #[diagnostic(help("give --{option} or set {variable}"))]
+    #[diagnostic(help("give --{option} or set {environment_variable}"))]
     Missing {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// Its environment variable.
-        variable: String,
+        /// Environment variable of the option.
+        environment_variable: String,
     },
-    /// A setting is not an address.
+    /// A setting is not an IP address with a port.
     #[error("setting --{option} is {text:?}, it must be an IP address and a port")]
     #[diagnostic(help("for example 127.0.0.1:7100; port 0 lets the system choose"))]
     BadAddress {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// The text given.
+        /// Text that was given.
         text: String,
     },
-    /// An address that nobody can connect to.
+    /// An unspecified address, such as 0.0.0.0, to which nobody can connect.
     #[error("setting --{option} is {value}, others are told it and must be able to connect to it")]
     #[diagnostic(help("give the IP address by which others reach this instance"))]
     Unspecified {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// The value given.
+        /// Address that was given.
         value: SocketAddr,
     },
-    /// The platform's port is missing.
+    /// The platform's address has port 0.
     #[error("setting --{option} is {value}, its port must not be 0")]
     NoPort {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// The value given.
+        /// Address that was given.
         value: SocketAddr,
     },
-    /// A setting is not a number in its range.
+    /// A setting is not a whole number in its range.
     #[error("setting --{option} is {text:?}, it must be a whole number from {least} to {most}")]
     #[diagnostic(help("without the setting its default is used; see --help"))]
     BadNumber {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// The text given.
+        /// Text that was given.
         text: String,
-        /// The least value.
+        /// Least accepted value.
         least: i64,
-        /// The greatest value.
+        /// Greatest accepted value.
         most: i64,
     },
-    /// A setting is not an identifier.
+    /// A setting is not a valid id.
     #[error("setting --{option}: {source}")]
     BadId {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// Why.
+        /// What is wrong with the id.
         source: IdError,
     },
     /// A setting is not one of its choices.
     #[error("setting --{option} is {text:?}, it must be one of {choices}")]
     BadChoice {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// The text given.
+        /// Text that was given.
         text: String,
-        /// The choices.
+        /// Accepted texts, separated by commas.
         choices: &'static str,
     },
-    /// Two settings contradict each other.
+    /// Two settings give the same address.
     #[error("settings --{first} and --{second} are both {value}")]
     #[diagnostic(help("callers, peers and operators each need a port of their own"))]
     SameAddress {
-        /// One option.
+        /// Name of one option.
         first: &'static str,
-        /// The other.
+        /// Name of the other option.
         second: &'static str,
-        /// The value of both.
+        /// Address that both give.
         value: SocketAddr,
     },
-    /// The name is too long to be part of request identifiers.
+    /// The instance name is too long to be part of request ids.
     #[error(
         "setting --instance has {length_bytes} bytes, it may have at most {MAX_INSTANCE_BYTES}"
     )]
     LongInstance {
-        /// Its length.
+        /// Length of the name.
         length_bytes: usize,
     },
-    /// The token is too short.
+    /// The operator token is too short.
     #[error("setting --operator-token has {length_bytes} bytes, it must have at least 8")]
     ShortToken {
-        /// Its length.
+        /// Length of the token.
         length_bytes: usize,
     },
-    /// The token cannot be sent in a header.
+    /// The operator token has characters that cannot be sent in a header.
     #[error("setting --operator-token has a character that is not visible ASCII")]
     BadToken,
 }
 
-/// How batch items are sent.
+/// How batch items are sent to engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchPolicy {
-    /// As streams, under the marks of the replicas' stewards.
+    /// As streams, under the congestion windows of the engines' batch controllers.
     Controlled,
     /// Not at all: jobs are accepted and wait. A baseline for measurements.
     Off,
-    /// As ordinary requests to the least loaded replica. A baseline for measurements.
+    /// As ordinary requests to the least loaded engine. A baseline for measurements.
     Ordinary,
 }
 
@@ -174,42 +175,43 @@
 /// Checked settings of one instance.
 #[derive(Clone)]
 pub struct Settings {
-    /// Its name.
+    /// Unique name of the instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: AvailabilityZone,
-    /// Where it takes requests of callers.
+    /// Address for requests of callers; port 0 lets the system choose, and the bound port replaces
+    /// it at start.
     pub caller_address: SocketAddr,
-    /// Where it takes messages of peers.
+    /// Address for messages of peers; port 0 as above.
     pub peer_address: SocketAddr,
-    /// Where it takes calls of operators.
+    /// Address for calls of operators; port 0 as above.
     pub operator_address: SocketAddr,
-    /// The platform.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Token of operator calls.
+    /// Token that operator calls must carry.
     pub operator_token: String,
     /// How long callers may keep the list of addresses.
     pub keep_for_ms: u64,
     /// How long a planned stop waits for requests in flight.
     pub stop_wait_ms: u64,
-    /// Batch items in flight from this instance at most, under [`BatchPolicy::Ordinary`].
+    /// Maximum number of batch items in flight from this instance, under [`BatchPolicy::Ordinary`].
     pub batch_slots: u64,
     /// Engines that refuse orders with an old fencing number.
     pub checking_engines: CheckingEngines,
     /// Age of an ended batch job at which its orphaned result objects are deleted.
     pub sweep_after_ms: u64,
-    /// Added to the wall clock.
+    /// Offset added to the wall clock, for machines whose clock is known to be wrong.
     pub wall_offset_ms: i64,
-    /// How batch items are sent.
+    /// How batch items are sent to engines.
     pub batch_policy: BatchPolicy,
-    /// Share of an engine's slots that batch may take, in percent, under [`BatchPolicy::Steward`].
+    /// Share of an engine's slots that batch work may take, under [`BatchPolicy::Controlled`].
     pub batch_share_percent: u64,
-    /// Threads that run the program; 0 for one on each core.
+    /// Worker threads of the runtime; 0 starts one per core.
     pub worker_threads: u64,
 }
 
 impl fmt::Debug for Settings {
-    /// Leaves the operator token out.
+    /// Omits the operator token, so that it does not get into logs.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = formatter.debug_struct("Settings");
         text.field("instance", &self.instance)
@@ -229,23 +231,23 @@
     }
 }
 
-struct Source {
+struct SettingValue {
     option: &'static str,
     value: Option<String>,
 }
 
-impl Source {
-    /// The value of the flag, or else of the environment variable named after it.
+impl SettingValue {
+    /// Takes the value of the flag, or else of the option's environment variable.
     fn new(option: &'static str, flag: Option<String>) -> Self {
-        let value = flag.or_else(|| std::env::var(variable(option)).ok());
-        Source { option, value }
+        let value = flag.or_else(|| std::env::var(environment_variable(option)).ok());
+        SettingValue { option, value }
     }
 
     fn text(self) -> Result<String> {
         let option = self.option;
         self.value.ok_or_else(|| SettingsError::Missing {
             option,
-            variable: variable(option),
+            environment_variable: environment_variable(option),
         })
     }
 
@@ -297,7 +299,7 @@
     }
 }
 
-fn variable(option: &str) -> String {
+fn environment_variable(option: &str) -> String {
     format!("FOXTAILHOLD_{}", option.replace('-', "_").to_uppercase())
 }
 
@@ -319,12 +321,12 @@
     type Error = SettingsError;
 
     fn try_from(cli: Cli) -> Result<Self> {
-        let instance = Source::new("instance", cli.instance).text()?;
-        let zone = Source::new("availability-zone", cli.availability_zone).text()?;
-        let token = Source::new("operator-token", cli.operator_token).text()?;
-        let caller = Source::new("caller-address", cli.caller_address).address()?;
-        let peer = Source::new("peer-address", cli.peer_address).address()?;
-        let operator = Source::new("operator-address", cli.operator_address).address()?;
+        let instance = SettingValue::new("instance", cli.instance).text()?;
+        let zone = SettingValue::new("availability-zone", cli.availability_zone).text()?;
+        let token = SettingValue::new("operator-token", cli.operator_token).text()?;
+        let caller = SettingValue::new("caller-address", cli.caller_address).address()?;
+        let peer = SettingValue::new("peer-address", cli.peer_address).address()?;
+        let operator = SettingValue::new("operator-address", cli.operator_address).address()?;
         check_distinct(("caller-address", caller), ("peer-address", peer))?;
         check_distinct(("caller-address", caller), ("operator-address", operator))?;
         check_distinct(("peer-address", peer), ("operator-address", operator))?;
@@ -339,7 +341,7 @@
             let length_bytes = token.len();
             return Err(SettingsError::ShortToken { length_bytes });
         }
-        let platform = Source::new("platform-address", cli.platform_address).address()?;
+        let platform = SettingValue::new("platform-address", cli.platform_address).address()?;
         if platform.port() == 0 {
             return Err(SettingsError::NoPort {
                 option: "platform-address",
@@ -353,15 +355,15 @@
             ("operator-address", operator),
             ("platform-address", platform),
         )?;
-        let keep_for_ms = Source::new("keep-for-ms", cli.keep_for_ms)
+        let keep_for_ms = SettingValue::new("keep-for-ms", cli.keep_for_ms)
             .count(DEFAULT_KEEP_FOR_MS, KEEP_FOR_RANGE_MS)?;
-        let stop_wait_ms = Source::new("stop-wait-ms", cli.stop_wait_ms)
+        let stop_wait_ms = SettingValue::new("stop-wait-ms", cli.stop_wait_ms)
             .count(DEFAULT_STOP_WAIT_MS, STOP_WAIT_RANGE_MS)?;
-        let batch_policy = Source::new("batch-policy", cli.batch_policy).value;
+        let batch_policy = SettingValue::new("batch-policy", cli.batch_policy).value;
         let batch_policy = batch_policy.as_deref().unwrap_or(DEFAULT_BATCH_POLICY);
         Ok(Settings {
-            instance: Source::new("instance", None).id(&instance)?,
-            availability_zone: Source::new("availability-zone", None).id(&zone)?,
+            instance: SettingValue::new("instance", None).id(&instance)?,
+            availability_zone: SettingValue::new("availability-zone", None).id(&zone)?,
             caller_address: caller,
             peer_address: peer,
             operator_address: operator,
@@ -369,18 +371,18 @@
             operator_token: token,
             keep_for_ms,
             stop_wait_ms,
-            batch_slots: Source::new("batch-slots", cli.batch_slots)
+            batch_slots: SettingValue::new("batch-slots", cli.batch_slots)
                 .count(DEFAULT_BATCH_SLOTS, BATCH_SLOTS_RANGE)?,
-            checking_engines: Source::new("checking-engines", cli.checking_engines)
+            checking_engines: SettingValue::new("checking-engines", cli.checking_engines)
                 .checking_engines()?,
-            sweep_after_ms: Source::new("sweep-after-ms", cli.sweep_after_ms)
+            sweep_after_ms: SettingValue::new("sweep-after-ms", cli.sweep_after_ms)
                 .count(DEFAULT_SWEEP_AFTER_MS, SWEEP_AFTER_RANGE_MS)?,
             batch_policy: BatchPolicy::try_from(batch_policy)?,
-            wall_offset_ms: Source::new("wall-offset-ms", cli.wall_offset_ms)
+            wall_offset_ms: SettingValue::new("wall-offset-ms", cli.wall_offset_ms)
                 .number(0, WALL_OFFSET_RANGE_MS)?,
-            batch_share_percent: Source::new("batch-share-percent", cli.batch_share_percent)
+            batch_share_percent: SettingValue::new("batch-share-percent", cli.batch_share_percent)
                 .count(100, PERCENT_RANGE)?,
-            worker_threads: Source::new("worker-threads", cli.worker_threads)
+            worker_threads: SettingValue::new("worker-threads", cli.worker_threads)
                 .count(0, WORKER_THREADS_RANGE)?,
         })
     }
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one instance share: settings, clients and published snapshots.
+//! State shared by the parts of one instance: settings, clients and published snapshots.
 
 use std::collections::HashMap;
 use std::ops::Deref;
@@ -38,69 +38,70 @@
 use crate::timeline::{ProcessClock, Timeline};
 use foxtailhold_http::clock::Clock;
 
-/// The actors of one instance.
+/// The actors of one instance that others send messages to.
 #[derive(Debug, Clone)]
 pub struct Actors {
-    /// Keeps the view of instances.
+    /// Keeps the membership view.
     pub membership: ActorRef<MembershipMessage>,
     /// Keeps the contracts in force.
     pub contracts: ActorRef<ContractsMessage>,
-    /// Exchanges shares of limits.
+    /// Exchanges shares of customers' limits.
     pub limits: ActorRef<LimitsMessage>,
-    /// Keeps the requests that crash backend servers.
+    /// Tracks requests that crash backend servers.
     pub crashes: ActorRef<CrashesMessage>,
     /// Reads the fleet list and load reports.
     pub fleet: ActorRef<FleetMessage>,
     /// Runs the batch jobs owned here.
     pub jobs: ActorRef<JobsMessage>,
-    /// Steers batch at replicas and gives places to the items of jobs owned here.
+    /// Controls batch work at engines and schedules the items of jobs owned here.
     pub batch_controller: ActorRef<BatchControllerMessage>,
 }
 
-/// What is shared. The request path reads snapshots and never waits for an actor.
+/// Shared state. The request path reads snapshots and never waits for an actor.
 #[derive(Debug)]
 pub struct SharedState<P> {
-    /// Settings, with the addresses really bound.
+    /// Settings, with the addresses that were bound.
     pub settings: Settings,
-    /// Clocks.
+    /// Monotonic clock, and wall clock with the configured offset.
     pub clock: Clock,
-    /// The platform.
+    /// Platform client.
     pub platform: P,
-    /// Client of engines.
+    /// Client for engines.
     pub engines: EngineClient,
-    /// Client of plain services.
+    /// Client for plain services.
     pub services: ServiceClient,
-    /// Client of peers.
+    /// Client for peers.
     pub peers: PeerClient<ProcessClock>,
-    /// Instances, this one first.
+    /// Known instances, this one first.
     pub members: ArcSwap<Vec<Member>>,
     /// Contracts in force.
     pub contracts: ArcSwap<ContractBook>,
-    /// The same with what is known of their currency.
+    /// Contracts in force with the state of their synchronization.
     pub contract_sync: ArcSwap<ContractSync>,
-    /// Backend servers.
+    /// Backend servers of the fleet list.
     pub backends: ArcSwap<BackendTable>,
-    /// Which of them are leaving, by what instances tell each other.
+    /// Backend servers that are leaving, as the instances have told each other.
     pub leaving: ArcSwap<LeavingMarks>,
-    /// Requests that do not stand clear of crashes.
+    /// Suspect and convicted requests; a request that is not listed is clear.
     pub crash_statuses: ArcSwap<HashMap<Fingerprint, Standing>>,
-    /// Retries this instance may make.
+    /// Retry budget of this instance.
     pub retries: RetryGate,
-    /// This instance's lease.
+    /// Lease of this instance.
     pub lease: ArcSwap<HeldLease>,
-    /// Queues in front of the engines.
+    /// Admission queues of the models.
     pub admission: Admission,
     /// Limits of customers.
     pub limits: Limits,
-    /// Metrics.
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// Events.
+    /// Time line of recent events.
     pub timeline: Timeline,
-    /// Places for batch items that run or wait for a steward's place in this instance.
+    /// Slots for the batch items that this instance runs or lets wait for a slot of a batch
+    /// controller.
     pub batch_slots: Semaphore,
-    /// Places for chunks, and the work that waits for them.
+    /// Slots for chunks, and the work that waits for them.
     pub chunk_slots: SharedPlaces,
-    /// Stewards of engines.
+    /// Batch controllers of the engines.
     pub batch_controllers: ArcSwap<BatchControllers>,
     /// Whether a planned stop has begun.
     pub stopping: AtomicBool,
@@ -109,17 +110,17 @@
     request_prefix: String,
 }
 
-/// Batch items that run or wait for a place at once, under [`BatchPolicy::Steward`].
-const STEWARD_ITEMS: usize = 1_024;
+/// Batch items that run or wait for a slot at once, under [`BatchPolicy::Controlled`].
+const MAX_CONTROLLED_ITEMS: usize = 1_024;
 
 fn batch_slots(settings: &Settings) -> usize {
     match settings.batch_policy {
         BatchPolicy::Ordinary => settings.batch_slots as usize,
-        BatchPolicy::Controlled | BatchPolicy::Off => STEWARD_ITEMS,
+        BatchPolicy::Controlled | BatchPolicy::Off => MAX_CONTROLLED_ITEMS,
     }
 }
 
-/// A handle of [`SharedState`].
+/// Cheaply cloned handle of [`SharedState`].
 #[derive(Debug)]
 pub struct Shared<P>(Arc<SharedState<P>>);
 
@@ -138,7 +139,7 @@
 }
 
 impl<P: Platform> Shared<P> {
-    /// The state of an instance that starts as `me`.
+    /// State of an instance that starts as `me`.
     pub fn new(settings: Settings, platform: P, metrics: Metrics, me: Member) -> Self {
         let clock = Clock::new(settings.wall_offset_ms);
         let timeline = Timeline::new(settings.instance.clone(), clock);
@@ -175,7 +176,7 @@
     /// Publishes the actors, once, when all are started.
     pub fn set_actors(&self, actors: Actors) {
         if self.actors.set(actors).is_err() {
-            log::error!("the actors were published twice");
+            log::error!("bug: the actors were published twice, the first ones stay");
         }
     }
 
@@ -184,18 +185,18 @@
         self.actors.get()
     }
 
-    /// A new identifier, unique over all instances and over restarts.
+    /// A new id, unique over all instances and restarts.
     pub fn unique(&self) -> String {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number}", self.request_prefix)
     }
 
-    /// A number for an item, unique in this process.
+    /// A new key for a batch item, unique in this process.
     pub fn item_key(&self) -> ItemKey {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A new identifier of a request.
+    /// A new request id.
     pub fn request_id(&self) -> RequestId {
         RequestId::try_from(self.unique().as_str())
             .expect("an instance id of at most 64 bytes with two numbers is a request id")
@@ -206,7 +207,7 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Instances that take work, this one among them unless it stops.
+    /// Instances that take work, including this one unless it stops.
     pub fn live_members(&self) -> Vec<Member> {
         let members = self.members.load();
         let live =
@@ -214,26 +215,26 @@
         members.iter().filter(live).cloned().collect()
     }
 
-    /// Whether this instance is the home of `key` among the live ones.
+    /// Whether rendezvous hashing over the live instances assigns `key` to this instance.
     pub fn is_coordinator_for(&self, key: &[u8]) -> bool {
         let members = self.live_members();
         let ids = members.iter().map(|member| &member.id);
         rendezvous::home(ids, key) == Some(&self.settings.instance)
     }
 
-    /// A member by its identifier.
+    /// A member by its id; `None` if it is not known.
     pub fn member(&self, id: &InstanceId) -> Option<Member> {
         let members = self.members.load();
         members.iter().find(|member| member.id == *id).cloned()
     }
 
-    /// Until when this instance may act on work owned under `epoch`; the present where it may not.
+    /// Until when this instance may act on work that it owns under `epoch`; now if it may not.
     pub fn acts_until(&self, epoch: u64) -> Instant {
         let until = self.lease.load().acts_until(epoch);
         until.map_or_else(Instant::now, |until| self.clock.instant(until))
     }
 
-    /// The fencing number of this instance's lease, while it may act on it.
+    /// Fencing number of this instance's lease; `None` while the lease is not valid.
     pub fn lease_epoch(&self) -> Option<u64> {
         self.lease.load().epoch_at(self.clock.mono())
     }
--- a/crates/foxtailhold-entry/src/timeline.rs
+++ b/crates/foxtailhold-entry/src/timeline.rs
@@ -11,7 +11,7 @@
 
 use foxtailhold_http::clock::Clock;
 
-/// Events kept for `foxtail timeline`.
+/// Capacity of the ring buffer, which `foxtail timeline` reads.
 pub const EVENTS_KEPT: usize = 8_192;
 /// Log target of events.
 pub const TARGET: &str = "timeline";
@@ -24,13 +24,13 @@
 }
 
 impl ProcessClock {
-    /// A clock on top of the wall clock.
+    /// Starts a hybrid clock on top of the wall clock.
     pub fn new(wall: Clock) -> Self {
         let hybrid = Arc::default();
         ProcessClock { wall, hybrid }
     }
 
-    /// A reading for a local event or a message sent.
+    /// Timestamp for a local event or a message that is sent.
     pub fn tick(&self) -> HlcTime {
         let wall = self.wall.wall();
         self.hybrid.lock().tick(wall)
@@ -63,7 +63,7 @@
 }
 
 impl Timeline {
-    /// An empty time line.
+    /// Starts with an empty buffer.
     pub fn new(instance: InstanceId, wall: Clock) -> Self {
         Timeline {
             instance,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Notes an event.
+    /// Records an event, and logs it at debug level.
     pub fn note(&self, event: Event) {
         let mut ring = self.ring.lock();
         let entry = TimelineEntry {
@@ -92,17 +92,17 @@
         ring.entries.push_back(entry);
     }
 
-    /// The clock of the events, for messages to peers and from them.
+    /// Clock of the events, which also stamps messages to and from peers.
     pub fn clock(&self) -> &ProcessClock {
         &self.clock
     }
 
-    /// How many events were dropped because the buffer was full.
+    /// Number of events dropped because the buffer was full.
     pub fn dropped(&self) -> u64 {
         self.ring.lock().dropped
     }
 
-    /// The events kept.
+    /// The events in the buffer.
     pub fn view(&self) -> TimelineView {
         let ring = self.ring.lock();
         TimelineView {
--- a/crates/foxtailhold-entry/tests/backends.rs
+++ b/crates/foxtailhold-entry/tests/backends.rs
@@ -1,4 +1,4 @@
-//! Own sends count beside a load report that lags.
+//! Load estimates count the requests that this instance sent after the last load report.
 
 use std::time::Duration;
 
--- a/crates/foxtailhold-entry/tests/limits.rs
+++ b/crates/foxtailhold-entry/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Requests far below a customer's limits are served, also those that come at once.
+//! Bursts far below a customer's limits are admitted after a short pause, and not refused because
+//! the first share of the limits has only just arrived.
 
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::InstanceId;
@@ -14,14 +15,14 @@
     Contract::try_from(text).unwrap()
 }
 
-/// Limits of an instance whose first share has just come, without anything that had gathered at the home.
+/// Limits of an instance that has just received its first share, with no request credit saved up.
 fn with_first_share(contract: &Contract) -> Limits {
     let me = InstanceId::try_from("entry-0").unwrap();
     let limits = Limits::new(me.clone(), NOW, WallMs(NOW.0));
     limits.set_members(vec![me], 2, NOW);
     let first = limits.decide(contract, 1.0, LimitCheck::First, NOW);
     assert!(matches!(first, Decision::Wait(_)), "{first:?}");
-    let ask = limits.due_ask(&contract.customer, NOW).unwrap();
+    let ask = limits.due_request(&contract.customer, NOW).unwrap();
     let tenth = WHOLE_PPM / 10;
     let grant = Grant {
         customer: contract.customer.clone(),
--- a/crates/foxtailhold-entry/tests/settings.rs
+++ b/crates/foxtailhold-entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, through the real binary.
+//! Runs the daemon's binary with wrong settings and checks its errors and its help.
 
 use std::process::{Command, Output};
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// Options with their default and unit; empty where there is none.
+/// Each option with its default and unit; an empty default means that the option is required.
 const OPTIONS: [(&str, &str, &str); 16] = [
     ("--instance", "", "name"),
     ("--availability-zone", "", "zone"),
