--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -186,8 +186,8 @@
         self.counters.publish_breaker(&in_flight_requests.breaker);
     }
 
-    /// Records that it was selected. After failures this request is the breaker's trial, and no
-    /// other one is sent until it ends.
+    /// Records that it was selected. After failures this request tests whether it
+    /// has recovered, and others are held back until it ends or the test times out.
     pub fn note_sent_after_failure(&self, now: MonoMs) {
         if !self.counters.failures.load(Ordering::Relaxed) {
             return;
@@ -334,9 +334,9 @@
         }
         let mut table = BackendTable::default();
         for backend in backends {
-            let before = previous.get(&backend.id);
-            let before = before.filter(|server| server.backend.address == backend.address);
-            let counters = before.map(|server| server.counters.clone());
+            let known = previous.get(&backend.id);
+            let known = known.filter(|server| server.backend.address == backend.address);
+            let counters = known.map(|server| server.counters.clone());
             let server = BackendState::new(backend.clone(), counters.unwrap_or_default());
             table.add(Arc::new(server));
         }
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -57,9 +57,9 @@
     let mut line_number = 0;
     for part in 0..file.part_lines.len() {
         let name = tables::part_object(&request.input_file, part as u32);
-        let found = shared.platform.get_object(&name).await;
-        let found = found.map_err(|error| store_unavailable(&error))?;
-        let bytes = found.ok_or_else(|| Refusal::invalid("the input file is incomplete"))?;
+        let stored = shared.platform.get_object(&name).await;
+        let stored = stored.map_err(|error| store_unavailable(&error))?;
+        let bytes = stored.ok_or_else(|| Refusal::invalid("the input file is incomplete"))?;
         let text = std::str::from_utf8(&bytes)
             .map_err(|_| Refusal::invalid("the input file is not UTF-8"))?;
         for line in text.lines() {
@@ -90,8 +90,8 @@
     let customer = &contract.customer;
     let job = job_id(customer, &request)?;
     let key = tables::job_key(customer, &job);
-    let known = shared.platform.get(tables::JOB, &key).await;
-    if let Some(row) = known.map_err(|error| store_unavailable(&error))? {
+    let existing = shared.platform.get(tables::JOB, &key).await;
+    if let Some(row) = existing.map_err(|error| store_unavailable(&error))? {
         return existing_job(shared, &request, &row).await;
     }
     let file = rows::file(shared, customer, &request.input_file).await?;
@@ -179,16 +179,16 @@
 fn offer<P: Platform>(shared: &Shared<P>, customer: &CustomerId, job: &JobId) {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let Some(home) = rendezvous::home(ids, job.as_str().as_bytes()) else {
+    let Some(preferred) = rendezvous::home(ids, job.as_str().as_bytes()) else {
         return;
     };
-    if *home == shared.settings.instance {
+    if *preferred == shared.settings.instance {
         if let Some(actors) = shared.actors() {
             note_undelivered(actors.jobs.send_message(JobsMessage::Scan));
         }
         return;
     }
-    let Some(member) = shared.member(home) else {
+    let Some(member) = shared.member(preferred) else {
         return;
     };
     let (shared, address) = (shared.clone(), member.peer_address);
@@ -232,8 +232,8 @@
     if let Some(counts) = row.counts {
         return Ok(counts);
     }
-    let found = owner::counts(&shared.platform, &row.job).await;
-    found.map_err(|error| store_unavailable(&error))
+    let stored = owner::counts(&shared.platform, &row.job).await;
+    stored.map_err(|error| store_unavailable(&error))
 }
 
 /// Describes a job of the customer; refuses with `NotFound` if there is none.
--- a/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
@@ -35,7 +35,7 @@
 
 /// Reads a claim row. `None` if it cannot be read; the caller treats that like a store without an
 /// answer.
-fn found(row: &Row) -> Option<Found> {
+fn read_claim(row: &Row) -> Option<Found> {
     let version = row.version;
     match row.read::<ClaimRow>() {
         Ok(row) => Some(Found { version, row }),
@@ -60,7 +60,7 @@
         Ok(Transacted::Conflict {
             current: Some(current),
             ..
-        }) => match found(&current) {
+        }) => match read_claim(&current) {
             Some(found) => Written::Conflict(Some(found)),
             None => Written::NoEffect,
         },
@@ -133,7 +133,7 @@
         }
         ReleaseStep::Read => match shared.platform.get(tables::ONCE, key).await {
             Ok(None) => release.found(None),
-            Ok(Some(row)) => match found(&row) {
+            Ok(Some(row)) => match read_claim(&row) {
                 Some(found) => release.found(Some(&found)),
                 None => ReleaseStep::Done,
             },
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -89,10 +89,10 @@
     key: &str,
     job: &JobId,
 ) -> foxtailhold_platform::Result<Option<JobView>> {
-    let Some(found) = shared.platform.get(tables::JOB, key).await? else {
+    let Some(stored) = shared.platform.get(tables::JOB, key).await? else {
         return Ok(None);
     };
-    let row: JobRow = found.read()?;
+    let row: JobRow = stored.read()?;
     let owner = shared.platform.get(tables::OWNER, job.as_str()).await?;
     let owner: Option<OwnerRow> = owner.map(|row| row.read()).transpose()?;
     let chunks_done = finished_chunks(&shared.platform, job).await?.len() as u32;
--- a/crates/foxtailhold-entry/src/gateway/orders.rs
+++ b/crates/foxtailhold-entry/src/gateway/orders.rs
@@ -35,14 +35,14 @@
 ) -> Result<OrderView> {
     let (table, key) = (tables::ORDER_WANTED, backend.as_str());
     for _ in 0..MAX_ATTEMPTS {
-        let found = shared.platform.get(table, key).await;
-        let found = found.map_err(|error| unavailable(&error))?;
-        if let Some(row) = &found
+        let stored = shared.platform.get(table, key).await;
+        let stored = stored.map_err(|error| unavailable(&error))?;
+        if let Some(row) = &stored
             && row.read::<EngineSetup>().is_ok_and(|now| now == *setup)
         {
             return view(backend, row);
         }
-        let version = found.map_or(0, |row| row.version);
+        let version = stored.map_or(0, |row| row.version);
         let expect = match version {
             0 => Expect::Absent,
             version => Expect::Version(version),
--- a/crates/foxtailhold-entry/src/gateway/rows.rs
+++ b/crates/foxtailhold-entry/src/gateway/rows.rs
@@ -27,17 +27,17 @@
     file: &FileId,
 ) -> Result<FileRow> {
     let key = tables::file_key(customer, file);
-    let found = shared.platform.get(tables::FILE, &key).await;
-    let found = found.map_err(|error| store_unavailable(&error))?;
-    let row = found.ok_or_else(|| no_file(file))?;
+    let stored = shared.platform.get(tables::FILE, &key).await;
+    let stored = stored.map_err(|error| store_unavailable(&error))?;
+    let row = stored.ok_or_else(|| no_file(file))?;
     row.read().map_err(|error| store_unavailable(&error))
 }
 
 /// Reads an object that must exist.
 pub async fn object<P: Platform>(shared: &Shared<P>, name: &str) -> Result<Bytes> {
-    let found = shared.platform.get_object(name).await;
-    let found = found.map_err(|error| store_unavailable(&error))?;
-    found.ok_or_else(|| {
+    let stored = shared.platform.get_object(name).await;
+    let stored = stored.map_err(|error| store_unavailable(&error))?;
+    stored.ok_or_else(|| {
         Refusal::not_run(RefusalReason::NotFound {
             kind: "object".into(),
             id: name.to_owned(),
@@ -52,20 +52,20 @@
     job: &JobId,
 ) -> Result<(JobRow, u64)> {
     let key = tables::job_key(customer, job);
-    let found = shared.platform.get(tables::JOB, &key).await;
-    let found = found.map_err(|error| store_unavailable(&error))?;
-    let found = found.ok_or_else(|| {
+    let stored = shared.platform.get(tables::JOB, &key).await;
+    let stored = stored.map_err(|error| store_unavailable(&error))?;
+    let stored = stored.ok_or_else(|| {
         Refusal::not_run(RefusalReason::NotFound {
             kind: "batch".into(),
             id: job.to_string(),
         })
     })?;
-    let row = found.read().map_err(|error| store_unavailable(&error))?;
-    Ok((row, found.version))
+    let row = stored.read().map_err(|error| store_unavailable(&error))?;
+    Ok((row, stored.version))
 }
 
 /// Reads the finished chunks of a job, in order.
 pub async fn chunks<P: Platform>(shared: &Shared<P>, job: &JobId) -> Result<Vec<(u32, ChunkRow)>> {
-    let found = owner::finished_chunks(&shared.platform, job).await;
-    found.map_err(|error| store_unavailable(&error))
+    let stored = owner::finished_chunks(&shared.platform, job).await;
+    stored.map_err(|error| store_unavailable(&error))
 }
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -37,8 +37,8 @@
 struct CustomerUsage {
     terms: Terms,
     holder: Holder,
-    /// Waiting requests subscribe to it; dropped when the coordinator has answered, which wakes
-    /// them.
+    /// Waiting requests subscribe to it. Dropped when the coordinator has answered or the
+    /// fallback share is used, which wakes them.
     answered: Option<watch::Sender<()>>,
 }
 
