--- a/crates/foxtailhold-caller/src/handler.rs
+++ b/crates/foxtailhold-caller/src/handler.rs
@@ -175,7 +175,7 @@
     }
 
     async fn read_body(&self, incoming: &mut Incoming, limit_bytes: usize) -> Result<Bytes> {
-        let read = body::read_patiently(incoming, limit_bytes, self.body_idle_ms).await;
+        let read = body::read_with_idle_timeout(incoming, limit_bytes, self.body_idle_ms).await;
         read.map_err(|error| match error {
             BodyError::TooLarge { limit_bytes } => {
                 let limit_bytes = limit_bytes as u64;
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -187,7 +187,7 @@
         for helper in state.membership.indirect(&id) {
             let shared = self.0.clone();
             asked.spawn(async move {
-                let request = PeerRequest::ProbeFor { address };
+                let request = PeerRequest::IndirectProbe { address };
                 let to = helper.peer_address;
                 let answer = shared.peers.ask(to, &request, INDIRECT_TIMEOUT_MS).await;
                 matches!(answer, Ok(PeerAnswer::Done))
--- a/crates/foxtailhold-entry/src/actors/steward.rs
+++ b/crates/foxtailhold-entry/src/actors/steward.rs
@@ -288,11 +288,11 @@
             };
             let (shared, myself) = (self.0.clone(), myself.clone());
             tokio::spawn(async move {
-                let request = PeerRequest::PlacesGranted(grant);
+                let request = PeerRequest::SlotsGranted(grant);
                 for _ in 0..PUSH_TRIES {
                     let address = member.peer_address;
                     let answer = shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await;
-                    if let Ok(PeerAnswer::PlacesInUse(ask)) = answer {
+                    if let Ok(PeerAnswer::SlotsInUse(ask)) = answer {
                         let message = BatchControllerMessage::SlotsInUse(ask);
                         note_undelivered(myself.send_message(message));
                         return;
@@ -326,10 +326,10 @@
             };
             let (shared, myself) = (self.0.clone(), myself.clone());
             tokio::spawn(async move {
-                let request = PeerRequest::PlacesAsked(ask);
+                let request = PeerRequest::SlotsRequested(ask);
                 let address = member.peer_address;
                 match shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await {
-                    Ok(PeerAnswer::Places(grant)) => {
+                    Ok(PeerAnswer::SlotGrant(grant)) => {
                         let message = BatchControllerMessage::RequestAnswered(grant, now);
                         note_undelivered(myself.send_message(message));
                     }
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -186,8 +186,8 @@
         self.counters.publish_breaker(&in_flight_requests.breaker);
     }
 
-    /// Records that it was selected. After failures this request tests whether it
-    /// has recovered, and others are held back until it ends or the test times out.
+    /// Records that it was selected. After failures this request tests whether it has recovered,
+    /// and others are held back until it ends or the test times out.
     pub fn note_sent_after_failure(&self, now: MonoMs) {
         if !self.counters.failures.load(Ordering::Relaxed) {
             return;
--- a/crates/foxtailhold-entry/src/batch_controllers.rs
+++ b/crates/foxtailhold-entry/src/batch_controllers.rs
@@ -11,11 +11,16 @@
 /// Online work of this instance at one engine, as last sent to the engine's batch controller.
 #[derive(Debug, Default)]
 pub struct OnlineNotification {
-    pub(crate) batch: AtomicU32,
+    /// Batch items in flight, which are not part of the online work.
+    pub(crate) batch_in_flight: AtomicU32,
+    /// Whether online work came under pressure since the last notice.
     pub(crate) pressed: AtomicBool,
+    /// Whether a task is about to send a notice.
     pub(crate) sending: AtomicBool,
+    /// Online requests in flight according to the last notice.
     pub(crate) notified_in_flight: AtomicU32,
     pub(crate) notified_ms: AtomicU64,
+    /// No notice is sent before this time, because there is no batch work at the engine.
     pub(crate) paused_until_ms: AtomicU64,
     pub(crate) last_number: AtomicU64,
 }
@@ -27,7 +32,7 @@
 
 impl Drop for BatchItemInFlight {
     fn drop(&mut self) {
-        self.0.batch.fetch_sub(1, Ordering::Relaxed);
+        self.0.batch_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -51,7 +56,7 @@
     /// controller.
     pub fn start_batch_item(&self, backend: &BackendId) -> Option<BatchItemInFlight> {
         let gauge = self.0.get(backend)?.gauge.clone();
-        gauge.batch.fetch_add(1, Ordering::Relaxed);
+        gauge.batch_in_flight.fetch_add(1, Ordering::Relaxed);
         Some(BatchItemInFlight(gauge))
     }
 }
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -138,13 +138,13 @@
     backends: Vec<BackendId>,
 ) -> Option<TrialAnswer> {
     if let Some(address) = coordinator_address(shared) {
-        let request = PeerRequest::TrialAsked {
+        let request = PeerRequest::ProbeRequested {
             fingerprint,
             backends,
         };
         let answer = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS).await;
         return match answer {
-            Ok(PeerAnswer::Trial(answer)) => Some(answer),
+            Ok(PeerAnswer::Probe(answer)) => Some(answer),
             _ => None,
         };
     }
@@ -206,7 +206,7 @@
         };
         let peers = self.shared.peers.clone();
         tokio::spawn(async move {
-            let request = PeerRequest::TrialEnded {
+            let request = PeerRequest::ProbeEnded {
                 fingerprint,
                 backend,
                 end,
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -237,7 +237,7 @@
             };
             if self.finished {
                 log::info!(
-                    "engine failed after the last token of a stream, the stream is complete: {error}"
+                    "engine failed after a stream's last token, the stream is complete: {error}"
                 );
                 return self.end(Bytes::from_static(DONE_EVENT));
             }
--- a/crates/foxtailhold-entry/src/jobs/landing.rs
+++ b/crates/foxtailhold-entry/src/jobs/landing.rs
@@ -54,10 +54,10 @@
     let Some(member) = home.and_then(|home| shared.member(home)) else {
         return judge_here(shared, items, window_ms);
     };
-    let request = PeerRequest::JobCanLand { items, window_ms };
+    let request = PeerRequest::CheckJobDeadline { items, window_ms };
     let address = member.peer_address;
     match shared.peers.ask(address, &request, JUDGE_TIMEOUT_MS).await {
-        Ok(PeerAnswer::Landing(verdict)) => verdict,
+        Ok(PeerAnswer::JobDeadline(verdict)) => verdict,
         _ => Verdict::Lands,
     }
 }
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -261,7 +261,8 @@
         shares
     }
 
-    /// Applies a coordinator's grants for `requests`, and returns the share requests that are due then.
+    /// Applies a coordinator's grants for `requests`, and returns the share requests that are due
+    /// after that.
     pub fn apply_grants(&self, requests: &[Ask], grants: &[Grant], now: MonoMs) -> Vec<Ask> {
         for grant in grants {
             if let Some(usage) = self.shard(&grant.customer).get_mut(&grant.customer) {
--- a/crates/foxtailhold-entry/src/online_load.rs
+++ b/crates/foxtailhold-entry/src/online_load.rs
@@ -68,8 +68,8 @@
 }
 
 fn in_flight(server: &BackendState, gauge: &OnlineNotification) -> u32 {
-    let batch = gauge.batch.load(Ordering::Relaxed);
-    server.load().in_flight.saturating_sub(batch)
+    let batch_in_flight = gauge.batch_in_flight.load(Ordering::Relaxed);
+    server.load().in_flight.saturating_sub(batch_in_flight)
 }
 
 fn schedule_notice<P: Platform>(shared: &Shared<P>, server: &Arc<BackendState>, pressed: bool) {
@@ -129,7 +129,7 @@
     if entry.batch_controller == shared.settings.instance {
         return deliver_here(shared, notice).await;
     }
-    let request = PeerRequest::OnlineSeen(notice);
+    let request = PeerRequest::OnlineLoad(notice);
     let address = entry.address;
     match shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS).await {
         Ok(answer) => answer == PeerAnswer::Done,
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -52,7 +52,7 @@
                 note_undelivered(actors.fleet.send_message(message));
                 PeerAnswer::Done
             }
-            PeerRequest::ProbeFor { address } => self.probe(actors, address).await,
+            PeerRequest::IndirectProbe { address } => self.probe(actors, address).await,
             PeerRequest::Shares(asks) => PeerAnswer::Shares(limits::answer(&self.0, &asks)),
             PeerRequest::SharesRecalled(customers) => {
                 limits::give_room(&self.0, &customers);
@@ -62,28 +62,28 @@
                 note_undelivered(actors.jobs.send_message(JobsMessage::Scan));
                 PeerAnswer::Done
             }
-            PeerRequest::JobCanLand { items, window_ms } => {
-                PeerAnswer::Landing(landing::judge_here(&self.0, items, window_ms))
+            PeerRequest::CheckJobDeadline { items, window_ms } => {
+                PeerAnswer::JobDeadline(landing::judge_here(&self.0, items, window_ms))
             }
             PeerRequest::JobCancelled { job } => match owner::stop_here(&self.0, &job).await {
                 true => PeerAnswer::Done,
                 false => PeerAnswer::Refused,
             },
-            PeerRequest::PlacesAsked(slot_request) => {
+            PeerRequest::SlotsRequested(slot_request) => {
                 let call = |reply| BatchControllerMessage::SlotsRequested(slot_request, reply);
                 match actors.batch_controller.call(call, None).await {
-                    Ok(CallResult::Success(grant)) => PeerAnswer::Places(grant),
+                    Ok(CallResult::Success(grant)) => PeerAnswer::SlotGrant(grant),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::PlacesGranted(grant) => {
+            PeerRequest::SlotsGranted(grant) => {
                 let call = |reply| BatchControllerMessage::SlotsGranted(grant, reply);
                 match actors.batch_controller.call(call, None).await {
-                    Ok(CallResult::Success(in_use)) => PeerAnswer::PlacesInUse(in_use),
+                    Ok(CallResult::Success(in_use)) => PeerAnswer::SlotsInUse(in_use),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::OnlineSeen(notice) => {
+            PeerRequest::OnlineLoad(notice) => {
                 match online_load::deliver_here(&self.0, notice).await {
                     true => PeerAnswer::Done,
                     false => PeerAnswer::Refused,
@@ -103,17 +103,17 @@
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::TrialAsked {
+            PeerRequest::ProbeRequested {
                 fingerprint,
                 backends,
             } => {
                 let call = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
                 match actors.crashes.call(call, None).await {
-                    Ok(CallResult::Success(answer)) => PeerAnswer::Trial(answer),
+                    Ok(CallResult::Success(answer)) => PeerAnswer::Probe(answer),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::TrialEnded {
+            PeerRequest::ProbeEnded {
                 fingerprint,
                 backend,
                 end,
--- a/crates/foxtailhold-entry/src/settings.rs
+++ b/crates/foxtailhold-entry/src/settings.rs
@@ -67,7 +67,7 @@
         text: String,
     },
     /// An unspecified address, such as 0.0.0.0, to which nobody can connect.
-    #[error("setting --{option} is {value}, others are told it and must be able to connect to it")]
+    #[error("setting --{option} is {value}, but others must be able to connect to it")]
     #[diagnostic(help("give the IP address by which others reach this instance"))]
     Unspecified {
         /// Name of the option, without dashes.
--- a/crates/foxtailhold-http/src/body.rs
+++ b/crates/foxtailhold-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Request and response bodies.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -15,18 +15,18 @@
 /// Result of reading a body.
 pub type Result<T> = std::result::Result<T, BodyError>;
 
-/// A body sent as an answer: whole, or streamed through a bounded channel.
+/// Response body: in one buffer, or streamed through a bounded channel.
 pub type AnswerBody = Either<Full<Bytes>, StreamBody>;
 
-/// Frames a streamed answer may hold before its sender waits.
+/// Frames that a streamed body buffers before its sender has to wait.
 pub const STREAM_BUFFER_FRAMES: usize = 16;
 
-/// A streamed answer ended before its end; the connection is reset so that the receiver knows.
+/// A streamed body ended early. The connection is reset, so that the receiver notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the stream was cut")]
 pub struct StreamCut;
 
-/// A body fed through a bounded channel.
+/// A body that is fed through a bounded channel.
 #[derive(Debug)]
 pub struct StreamBody {
     frames: mpsc::Receiver<std::result::Result<Bytes, StreamCut>>,
@@ -46,7 +46,8 @@
         }
         let next = ready!(self.frames.poll_recv(context));
         if let Some(Err(StreamCut)) = next {
-            // An error drops what the connection has buffered; a pending body has it written first.
+            // Returning the error at once would drop frames that the connection has buffered. A
+            // pending poll lets it write them first.
             self.is_cut = true;
             context.waker().wake_by_ref();
             return Poll::Pending;
@@ -55,19 +56,19 @@
     }
 }
 
-/// The sending half of a streamed body. Dropping it ends the body.
+/// Sending half of a streamed body. Dropping it ends the body normally.
 #[derive(Debug)]
 pub struct AnswerSender {
     frames: mpsc::Sender<std::result::Result<Bytes, StreamCut>>,
 }
 
 impl AnswerSender {
-    /// Sends bytes, waiting while the buffer is full. Returns whether the receiver is there.
+    /// Sends bytes, waiting while the buffer is full. Returns `false` if the receiver is gone.
     pub async fn send(&self, bytes: Bytes) -> bool {
         self.frames.send(Ok(bytes)).await.is_ok()
     }
 
-    /// Ends the body with an error, so that the receiver cannot take it for whole.
+    /// Ends the body with an error, so that the receiver cannot take it for complete.
     pub async fn cut(self) {
         let _ = self.frames.send(Err(StreamCut)).await;
     }
@@ -81,24 +82,24 @@
 /// Why a body could not be read.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// It is over the limit.
+    /// The body is larger than the limit.
     #[error("the body is over {limit_bytes} bytes")]
     TooLarge {
-        /// The limit.
+        /// Size limit.
         limit_bytes: usize,
     },
     /// The sender paused for too long.
     #[error("no byte of the body came within {idle_ms} ms")]
     Slow {
-        /// The limit.
+        /// Limit of the pause between two frames.
         idle_ms: u64,
     },
-    /// The connection failed.
+    /// The connection failed before the body ended.
     #[error("the body ended early: {0}")]
     Ended(String),
 }
 
-/// Reads a whole body of at most `limit_bytes`.
+/// Reads a body of at most `limit_bytes` to its end.
 pub async fn read_whole<B>(body: B, limit_bytes: usize) -> Result<Bytes>
 where
     B: Body<Data = Bytes>,
@@ -111,8 +112,13 @@
     }
 }
 
-/// Reads a whole body from a sender that may pause for at most `idle_ms` between two parts.
-pub async fn read_patiently<B>(body: &mut B, limit_bytes: usize, idle_ms: u64) -> Result<Bytes>
+/// Reads a body of at most `limit_bytes` to its end, from a sender that may pause for at most
+/// `idle_ms` between two frames.
+pub async fn read_with_idle_timeout<B>(
+    body: &mut B,
+    limit_bytes: usize,
+    idle_ms: u64,
+) -> Result<Bytes>
 where
     B: Body<Data = Bytes> + Unpin,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -135,23 +141,23 @@
     }
 }
 
-/// Most bytes of an unread body that are taken in after the answer.
+/// Upper limit of the unread body bytes that are drained after the response.
 pub const DRAIN_LIMIT_BYTES: usize = 64 << 20;
-/// Longest time for which an unread body is taken in after the answer.
+/// Time limit for draining an unread body after the response.
 pub const DRAIN_LIMIT_MS: u64 = 10_000;
 
-/// Takes in what is left of a request's body while its answer is sent.
+/// Drains the rest of a request's body while its response is sent.
 ///
-/// A connection closed with unread bytes is reset, and the client may lose the answer (RFC 9112,
-/// 9.6). Beyond the limits the body is dropped, which closes the connection.
-pub fn drain(mut rest: Incoming) {
-    if rest.is_end_stream() {
+/// If a connection is closed with unread bytes, it is reset and the client may lose the response
+/// (RFC 9112, 9.6). Above the limits the body is dropped, which closes the connection.
+pub fn drain(mut body: Incoming) {
+    if body.is_end_stream() {
         return;
     }
     tokio::spawn(async move {
         let mut drained_bytes = 0;
-        let take = async {
-            while let Some(Ok(frame)) = rest.frame().await {
+        let drained = async {
+            while let Some(Ok(frame)) = body.frame().await {
                 drained_bytes += frame.data_ref().map_or(0, Bytes::len);
                 if drained_bytes > DRAIN_LIMIT_BYTES {
                     return;
@@ -159,18 +165,20 @@
             }
         };
         let limit = Duration::from_millis(DRAIN_LIMIT_MS);
-        if tokio::time::timeout(limit, take).await.is_err() {
-            log::debug!("the rest of a body was given up");
+        if tokio::time::timeout(limit, drained).await.is_err() {
+            log::debug!(
+                "unread request body not drained within {DRAIN_LIMIT_MS} ms, closing the connection"
+            );
         }
     });
 }
 
-/// A whole answer body.
+/// A response body in one buffer.
 pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
     Either::Left(Full::new(bytes.into()))
 }
 
-/// A streamed answer body with its sender.
+/// A streamed response body and its sender.
 pub fn streamed() -> (AnswerSender, AnswerBody) {
     let (sender, frames) = mpsc::channel(STREAM_BUFFER_FRAMES);
     let sender = AnswerSender { frames: sender };
@@ -178,10 +186,10 @@
     (sender, Either::Right(StreamBody { frames, is_cut }))
 }
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
     let text = serde_json::to_vec(value).unwrap_or_else(|error| {
-        log::error!("an answer could not be written as JSON: {error}");
+        log::error!("response not encoded as JSON, null is sent instead: {error}");
         b"null".to_vec()
     });
     let mut response = Response::new(whole(text));
@@ -191,7 +199,7 @@
     response
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub fn empty(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(whole(Bytes::new()));
     *response.status_mut() = status;
--- a/crates/foxtailhold-http/src/client.rs
+++ b/crates/foxtailhold-http/src/client.rs
@@ -1,4 +1,5 @@
-//! An HTTP client that never repeats a request by itself and says whether a byte was sent.
+//! An HTTP client that never retries a request by itself, and whose errors say whether any byte of
+//! the request was sent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,48 +20,49 @@
 /// Result of sending a request.
 pub type Result<T> = std::result::Result<T, SendError>;
 
-/// Time a connection may take to be made.
+/// Time limit for making a connection.
 pub const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Idle connections are closed after this time, before usual servers do.
+/// Idle connections are closed after this time, which is shorter than the idle time-out of usual
+/// servers. A request then does not run into a connection that the server is closing.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SendError {
-    /// No connection: not a byte of the request was sent.
+    /// No connection could be made: no byte of the request was sent.
     #[error("no connection to {address}: {detail}")]
     NotSent {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         detail: String,
     },
-    /// The connection failed after it was made: the server may have acted.
+    /// The connection failed after it was made: the server may have acted on the request.
     #[error("the connection to {address} failed: {detail}")]
     Failed {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: String,
     },
-    /// No answer in time: the server may have acted.
+    /// No response in time: the server may have acted on the request.
     #[error("no answer from {address} within {timeout_ms} ms")]
     TimedOut {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// The limit.
+        /// Time limit that passed.
         timeout_ms: u64,
     },
-    /// The request could not be built.
+    /// The request could not be built; nothing was sent.
     #[error("the request is not valid HTTP: {detail}")]
     Invalid {
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: String,
     },
 }
 
 impl SendError {
-    /// Whether it is certain that the server got no byte of the request.
+    /// Whether it is certain that the server has received no byte of the request.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, SendError::NotSent { .. } | SendError::Invalid { .. })
     }
@@ -71,14 +73,15 @@
 pub enum Reuse {
     /// Idle connections are kept for the next request.
     Pooled,
-    /// Each request gets its own connection, so that a refused connection proves it was not sent.
+    /// Each request gets its own connection, so that a refused connection proves that the request
+    /// was not sent.
     Fresh,
 }
 
-/// A client whose requests have bodies of bytes.
+/// A client whose request bodies are in one buffer.
 pub type HttpClient = BodyClient<Full<Bytes>>;
 
-/// The client.
+/// A client with request bodies of type `B`. Clones share its connection pool.
 #[derive(Debug, Clone)]
 pub struct BodyClient<B> {
     inner: Client<HttpConnector, B>,
@@ -89,7 +92,7 @@
     B: Body<Data = Bytes> + From<Bytes> + Send + Unpin + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    /// A client with its own pool.
+    /// Creates a client with its own connection pool.
     pub fn new(reuse: Reuse) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -106,9 +109,9 @@
         }
     }
 
-    /// Sends a request whose URI is absolute and waits for the head of the answer.
+    /// Sends a request, whose URI must be absolute, and waits for the head of the response.
     ///
-    /// `timeout_ms` bounds the wait for the head, not the body.
+    /// `timeout_ms` limits the wait for the head, not the body.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -123,7 +126,7 @@
             }),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => {
-                let detail = describe(&error);
+                let detail = error_chain(&error);
                 if error.is_connect() {
                     return Err(SendError::NotSent { address, detail });
                 }
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Sends a request with a JSON body, or none, and reads the whole answer.
+    /// Sends a request with a JSON body, or an empty one, and reads the full response.
     pub async fn call<T: Serialize + Sync>(
         &self,
         call: &Call<'_>,
@@ -147,7 +150,7 @@
             .await
     }
 
-    /// Sends a request with a body given as bytes and reads the whole answer.
+    /// Sends a request with the given body and reads the full response.
     pub async fn call_bytes(
         &self,
         call: &Call<'_>,
@@ -184,25 +187,25 @@
     }
 }
 
-/// Where and how to send a short request.
+/// Target and limits of a short request.
 #[derive(Debug, Clone)]
 pub struct Call<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Server.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Path and query.
+    /// Path and query of the URI.
     pub path_and_query: &'a str,
-    /// Token for the `Authorization` header.
+    /// Bearer token for the `Authorization` header; `None` sends no such header.
     pub bearer: Option<&'a str>,
-    /// Limit for the whole exchange.
+    /// Time limit from connecting to the end of the response.
     pub timeout_ms: u64,
-    /// Largest answer accepted.
+    /// Size limit of the response body.
     pub limit_bytes: usize,
 }
 
 impl<'a> Call<'a> {
-    /// A call with a five-second limit and answers of up to 64 MiB.
+    /// A call with a limit of five seconds and 64 MiB of response body, and without a token.
     pub fn new(method: Method, address: SocketAddr, path_and_query: &'a str) -> Self {
         Call {
             method,
@@ -215,7 +218,7 @@
     }
 }
 
-/// An absolute URI.
+/// Builds an absolute `http` URI.
 pub fn uri(address: SocketAddr, path_and_query: &str) -> Result<Uri> {
     Uri::builder()
         .scheme("http")
@@ -236,7 +239,7 @@
     Ok(value)
 }
 
-fn describe(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
@@ -247,7 +250,7 @@
     text
 }
 
-/// Reads a JSON answer.
+/// Parses a JSON response.
 pub fn from_json<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> serde_json::Result<T> {
     serde_json::from_slice(bytes)
 }
--- a/crates/foxtailhold-http/src/lib.rs
+++ b/crates/foxtailhold-http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP client and server plumbing shared by the crates that speak HTTP, with the clocks that their
-//! timeouts count by.
+//! HTTP client and server parts shared by the crates that speak HTTP, and the clocks that their
+//! time-outs use.
 #![warn(clippy::unwrap_used)]
 
 pub mod body;
--- a/crates/foxtailhold-http/src/server.rs
+++ b/crates/foxtailhold-http/src/server.rs
@@ -23,17 +23,18 @@
 /// Result of starting a server.
 pub type Result<T> = std::result::Result<T, ServerError>;
 
-/// A client has this long to send the head of a request where nothing else is set.
+/// Default time limit for the head of a request.
 pub const HEADER_READ_TIMEOUT_MS: u64 = 10_000;
-/// A closing server serves who connects until nobody has for this time, and gives the last ones as
-/// long to send.
+/// A closing server still accepts connections until none has come for this time, and then gives the
+/// last ones as long to send their request.
 const DRAIN_MS: u64 = 100;
-/// Longest time for those who connect late.
+/// Upper limit of the time in which a closing server still accepts connections.
 const MAX_DRAIN_MS: u64 = 1_000;
 
-/// The first bytes of the preface of HTTP/2.
+/// Start of the HTTP/2 connection preface.
 const PREFACE_START: [u8; 4] = *b"PRI ";
-/// Pause before looking again at a client's first bytes that are too few to tell.
+/// Interval at which a client's first bytes are checked again, while they are too few to tell the
+/// version.
 const PEEK_PAUSE_MS: u64 = 5;
 
 /// Why a server could not start.
@@ -42,16 +43,16 @@
     /// The address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What answers requests. It never fails: errors are answers.
+/// Handles requests. It never fails: errors are responses.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Answers one request of the client at `remote`.
+    /// Handles one request of the client at `remote`.
     fn handle(
         &self,
         remote: SocketAddr,
@@ -59,7 +60,7 @@
     ) -> impl Future<Output = Response<AnswerBody>> + Send;
 }
 
-/// A server that listens.
+/// A running server.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -76,15 +77,15 @@
 }
 
 impl Server {
-    /// Serves on a bound listener.
+    /// Starts to serve on a bound listener.
     pub fn start<H: Handler>(listener: TcpListener, address: SocketAddr, handler: H) -> Self {
         let head_timeout = Arc::new(AtomicU64::new(HEADER_READ_TIMEOUT_MS));
-        Server::start_patient(listener, address, handler, head_timeout)
+        Server::start_with_head_timeout(listener, address, handler, head_timeout)
     }
 
-    /// Serves on a bound listener. A connection is closed when no head of a request came for
-    /// `head_timeout_ms`, be it idle or slow; a change counts for new connections.
-    pub fn start_patient<H: Handler>(
+    /// Starts to serve on a bound listener. A connection, idle or slow, is closed when no complete
+    /// request head has come for `head_timeout_ms`. A changed value applies to new connections.
+    pub fn start_with_head_timeout<H: Handler>(
         listener: TcpListener,
         address: SocketAddr,
         handler: H,
@@ -102,27 +103,29 @@
         }
     }
 
-    /// Binds and serves.
+    /// Binds the address and starts to serve.
     pub async fn bind<H: Handler>(address: SocketAddr, handler: H) -> Result<Self> {
         let listener = bind(address).await?;
         let address = listener.local_addr().unwrap_or(address);
         Ok(Server::start(listener, address, handler))
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Goes on serving, and ends each HTTP/1 connection with its next answer (`connection: close`),
-    /// so that none is idle when the server closes. HTTP/2 connections get GOAWAY at the close.
+    /// Still serves, but closes each HTTP/1 connection with its next response (`connection:
+    /// close`), so that none is idle when the server closes. HTTP/2 connections get GOAWAY when the
+    /// server closes.
     pub fn end_connections(&self) {
         self.leaving.cancel();
     }
 
-    /// Accepts no more but what waits already, lets requests in flight finish, at most for `wait_ms`.
+    /// Accepts only the connections that are already waiting, and lets requests in flight finish
+    /// for at most `wait_ms`.
     ///
-    /// Returns whether all of them finished.
+    /// Returns `false` if some did not finish; they are cut off.
     pub async fn close(self, wait_ms: u64) -> bool {
         self.stop.cancel();
         let wait = Duration::from_millis(wait_ms);
@@ -133,7 +136,7 @@
     }
 }
 
-/// Builders of both versions of HTTP.
+/// Connection builders of both HTTP versions.
 #[derive(Debug, Clone)]
 struct Builders {
     http1: http1::Builder,
@@ -164,7 +167,7 @@
         let connection = Connection {
             stream,
             remote,
-            handler: Ending(handler.clone(), leaving.clone()),
+            handler: ClosingHandler(handler.clone(), leaving.clone()),
             watcher: graceful.watcher(),
             silent: silent.clone(),
         };
@@ -175,7 +178,7 @@
             accepted = listener.accept() => match accepted {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    log::warn!("accept failed: {error}");
+                    log::warn!("connection not accepted, trying again in 10 ms: {error}");
                     tokio::time::sleep(Duration::from_millis(10)).await;
                     continue;
                 }
@@ -186,9 +189,9 @@
     }
     leaving.cancel();
     let drain = Duration::from_millis(DRAIN_MS);
-    let longest = Instant::now() + Duration::from_millis(MAX_DRAIN_MS);
+    let drain_deadline = Instant::now() + Duration::from_millis(MAX_DRAIN_MS);
     while let Ok(Ok((stream, remote))) = timeout(drain, listener.accept()).await {
-        if Instant::now() > longest {
+        if Instant::now() > drain_deadline {
             break;
         }
         serve(stream, remote);
@@ -199,11 +202,11 @@
     graceful.shutdown().await;
 }
 
-/// A handler whose answers end the connection once the server is leaving.
+/// Wraps a handler and lets its responses close the connection once the server is leaving.
 #[derive(Debug, Clone)]
-struct Ending<H>(H, CancellationToken);
+struct ClosingHandler<H>(H, CancellationToken);
 
-impl<H: Handler> Handler for Ending<H> {
+impl<H: Handler> Handler for ClosingHandler<H> {
     async fn handle(&self, remote: SocketAddr, request: Request<Incoming>) -> Response<AnswerBody> {
         let closes = request.version() <= Version::HTTP_11;
         let mut response = self.0.handle(remote, request).await;
@@ -220,7 +223,7 @@
     remote: SocketAddr,
     handler: H,
     watcher: Watcher,
-    /// Cancelled when connections that have not sent a byte are to be closed.
+    /// Cancelled to close the connections that have not sent a byte.
     silent: CancellationToken,
 }
 
@@ -239,8 +242,8 @@
         let (remote, handler) = (self.remote, self.handler);
         let service = service_fn(move |request| {
             let handler = handler.clone();
-            // The connection keeps room for this future as long as it lives, so it is boxed: a
-            // stream outlives the future that opened it.
+            // A connection reserves space for this future as long as it lives. The future is boxed
+            // to keep that small, because a stream outlives the future that opened it.
             Box::pin(async move { Ok::<_, Infallible>(handler.handle(remote, request).await) })
         });
         let io = TokioIo::new(self.stream);
@@ -257,14 +260,14 @@
     }
 }
 
-/// Whether the client opens with the preface of HTTP/2 (RFC 9113, section 3.4), which no request
-/// of HTTP/1 begins with. Nothing is read, so the connection needs no second buffer.
+/// Whether the client starts with the HTTP/2 preface (RFC 9113, section 3.4), which no HTTP/1
+/// request starts with. The bytes are only peeked, so the connection needs no second buffer.
 async fn is_http2(stream: &TcpStream) -> std::io::Result<bool> {
     let mut start = [0; PREFACE_START.len()];
     loop {
         let length = stream.peek(&mut start).await?;
-        let seen = &start[..length];
-        if length == 0 || !PREFACE_START.starts_with(seen) {
+        let received = &start[..length];
+        if length == 0 || !PREFACE_START.starts_with(received) {
             return Ok(false);
         }
         if length == PREFACE_START.len() {
--- a/crates/foxtailhold-http/tests/cut_streams.rs
+++ b/crates/foxtailhold-http/tests/cut_streams.rs
@@ -1,4 +1,5 @@
-//! A stream that is cut brings its receiver all that was sent before the cut.
+//! The receiver of a stream that is cut gets everything sent before the cut. An error passed to the
+//! connection at once would make it drop what it has buffered.
 
 use std::net::SocketAddr;
 
@@ -9,7 +10,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
 
-/// Fills the buffer of a stream and cuts it before the connection has taken anything.
+/// Fills the buffer of a stream and cuts the stream before the connection has read anything.
 #[derive(Clone)]
 struct CutAtOnce;
 
--- a/crates/foxtailhold-http/tests/graceful_stop.rs
+++ b/crates/foxtailhold-http/tests/graceful_stop.rs
@@ -1,4 +1,5 @@
-//! A stopping server ends connections by its answers, and serves what has come already.
+//! A stopping server closes connections with its responses, and serves requests that have already
+//! arrived. A request must not fail because it came at the moment of the stop.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,7 +29,7 @@
     Server::bind(any, handler).await.unwrap()
 }
 
-/// Sends one request and reads to the end of the answer's head.
+/// Sends one request and reads up to the end of the response head.
 async fn ask(stream: &mut TcpStream) -> String {
     stream.write_all(REQUEST).await.unwrap();
     let mut head = Vec::new();
--- a/crates/foxtailhold-operator/src/handler.rs
+++ b/crates/foxtailhold-operator/src/handler.rs
@@ -210,7 +210,7 @@
 
 async fn read_contract(customer: &CustomerId, incoming: &mut Incoming) -> Result<Contract> {
     let bad = |detail: String| OperatorError::BadContract { detail };
-    let bytes = body::read_patiently(incoming, MAX_DOCUMENT_BYTES, BODY_IDLE_MS)
+    let bytes = body::read_with_idle_timeout(incoming, MAX_DOCUMENT_BYTES, BODY_IDLE_MS)
         .await
         .map_err(|error| bad(error.to_string()))?;
     let document = std::str::from_utf8(&bytes).map_err(|error| bad(error.to_string()))?;
--- a/crates/foxtailhold-peer/src/client.rs
+++ b/crates/foxtailhold-peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Sends messages to peers over one h2 connection for each of them.
+//! Sends messages to peers, over one HTTP/2 connection to each of them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use crate::stamp::{self, MessageClock, NoClock};
 use crate::traffic::Traffic;
 
-/// Path of every message.
+/// HTTP path of all messages.
 pub const MESSAGE_PATH: &str = "/peer";
 
-/// Connections to peers, shared by all senders of one process.
+/// Client for peers. Clones share its connections, one for each peer address.
 #[derive(Debug, Clone)]
 pub struct PeerClient<C = NoClock> {
     connections: Arc<Mutex<HashMap<SocketAddr, SendRequest<Bytes>>>>,
@@ -35,7 +35,7 @@
 }
 
 impl<C: MessageClock> PeerClient<C> {
-    /// A client that stamps its messages with readings of `clock`.
+    /// Creates a client that stamps its messages with readings of `clock`.
     pub fn new(clock: C) -> Self {
         PeerClient {
             connections: Arc::default(),
@@ -44,12 +44,13 @@
         }
     }
 
-    /// Bytes exchanged so far.
+    /// Bytes of messages sent and answers received by this client and its clones.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// Sends a message and waits for the answer, for `timeout_ms` in all.
+    /// Sends a message and waits for the answer, for at most `timeout_ms` including the connection.
+    /// After an error the connection is dropped, so that the next message opens a new one.
     pub async fn ask(
         &self,
         address: SocketAddr,
@@ -66,7 +67,7 @@
             }),
         };
         if answer.is_err() {
-            self.forget(address);
+            self.drop_connection(address);
         }
         answer
     }
@@ -97,8 +98,8 @@
     }
 
     async fn connection(&self, address: SocketAddr) -> Result<SendRequest<Bytes>> {
-        if let Some(known) = self.connections.lock().get(&address) {
-            return Ok(known.clone());
+        if let Some(sender) = self.connections.lock().get(&address) {
+            return Ok(sender.clone());
         }
         let connect = |source| PeerError::Connect { address, source };
         let stream = TcpStream::connect(address).await.map_err(connect)?;
@@ -113,7 +114,7 @@
         Ok(sender)
     }
 
-    fn forget(&self, address: SocketAddr) {
+    fn drop_connection(&self, address: SocketAddr) {
         self.connections.lock().remove(&address);
     }
 }
--- a/crates/foxtailhold-peer/src/codec.rs
+++ b/crates/foxtailhold-peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Bodies of peer messages: bincode in one h2 stream each way.
+//! Encoding of peer messages: one bincode value as the body of each request and answer.
 
 use bytes::{Bytes, BytesMut};
 use h2::RecvStream;
@@ -7,26 +7,26 @@
 
 use crate::error::{PeerError, Result};
 
-/// Largest message accepted. A snapshot of 31,000 contracts takes about a third of it.
+/// Size limit of a message. A snapshot of 31,000 contracts takes about a third of it.
 pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
 fn config() -> impl bincode::config::Config {
     bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>()
 }
 
-/// Encodes a message.
+/// Encodes a message as bincode.
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes> {
     let bytes = bincode::serde::encode_to_vec(message, config())?;
     Ok(bytes.into())
 }
 
-/// Decodes a message.
+/// Decodes a message; fails with [`PeerError::Decode`] if it is malformed or over the size limit.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let (message, _) = bincode::serde::decode_from_slice(bytes, config())?;
     Ok(message)
 }
 
-/// Reads one side of a stream to its end.
+/// Reads a message body to its end; fails with [`PeerError::TooLarge`] above [`MAX_MESSAGE_BYTES`].
 pub async fn read_body(mut body: RecvStream) -> Result<Bytes> {
     let mut whole = BytesMut::new();
     while let Some(data) = body.data().await {
--- a/crates/foxtailhold-peer/src/error.rs
+++ b/crates/foxtailhold-peer/src/error.rs
@@ -1,61 +1,61 @@
-//! Errors of the exchange with a peer.
+//! Errors of messages to peers.
 
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// Result of an exchange with a peer.
+/// Result of a message to a peer.
 pub type Result<T> = std::result::Result<T, PeerError>;
 
-/// Why a peer gave no usable answer.
+/// Why there is no usable answer from a peer.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// No connection: the peer got nothing.
+    /// No connection could be made, so the peer has not received the message.
     #[error("no connection to peer {address}: {source}")]
     Connect {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The connection failed: the peer may have got the message.
+    /// The connection failed; the peer may have received the message.
     #[error("the h2 connection failed: {0}")]
     Protocol(#[from] h2::Error),
-    /// No answer in time.
+    /// The peer did not answer in time; it may have received the message.
     #[error("peer {address} gave no answer within {timeout_ms} ms")]
     TimedOut {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The limit.
+        /// Time limit that passed.
         timeout_ms: u64,
     },
-    /// A message could not be written.
+    /// A message could not be encoded.
     #[error("the message cannot be encoded: {0}")]
     Encode(#[from] bincode::error::EncodeError),
-    /// A message could not be read.
+    /// A message could not be decoded.
     #[error("the message cannot be decoded: {0}")]
     Decode(#[from] bincode::error::DecodeError),
-    /// A message is over the limit.
+    /// A message is larger than the limit.
     #[error("the message is over {limit_bytes} bytes")]
     TooLarge {
-        /// The limit.
+        /// Size limit.
         limit_bytes: usize,
     },
-    /// The peer answered with another status than 200.
+    /// The peer answered with a status other than success.
     #[error("the peer answered with status {status}")]
     Status {
-        /// The status.
+        /// HTTP status code.
         status: u16,
     },
-    /// The answer does not belong to the question.
+    /// The request could not be built or the answer is of another kind than the request needs.
     #[error("the peer gave an answer of another kind")]
     WrongAnswer,
     /// The listener cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -1,4 +1,5 @@
-//! What instances say to each other.
+//! Messages between instances. They are encoded with bincode, so the order of variants and fields
+//! is the wire format.
 
 use std::net::SocketAddr;
 
@@ -12,72 +13,75 @@
 use foxtailhold::steward::{OnlineNotice, PlaceAsk, PlaceGrant};
 use serde::{Deserialize, Serialize};
 
-/// A message to a peer.
+/// A request to a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// A membership probe.
+    /// Membership probe.
     Gossip(Gossip),
-    /// Asks for the contract changes after a number.
+    /// Requests the contract changes after a number.
     ContractsAfter {
-        /// The asker stands at this number.
+        /// Number of the last change that the sender has.
         number: u64,
     },
-    /// Tells of contract changes just accepted.
+    /// Contract changes that were just accepted.
     Contracts(Catchup),
-    /// Tells the home of a job that it was accepted.
+    /// Tells the preferred owner of a job that the job was accepted.
     JobOffered {
-        /// Whose.
+        /// Customer of the job.
         customer: CustomerId,
-        /// The job.
+        /// Id of the job.
         job: JobId,
     },
-    /// Asks the home of a job that is offered whether it can be finished in time.
-    JobCanLand {
-        /// Items of the job.
+    /// Asks the preferred owner of a new job whether the job can be finished in time.
+    CheckJobDeadline {
+        /// Number of items of the job.
         items: u64,
-        /// Its window.
+        /// Time in which the job must be finished.
         window_ms: u64,
     },
-    /// Tells the owner of a job that a cancel is committed; answered once no item of it runs.
+    /// Tells the owner of a job that its cancellation is committed. Answered once no item of it
+    /// runs.
     JobCancelled {
-        /// The job.
+        /// Id of the job.
         job: JobId,
     },
-    /// Asks the home of customers' limits for shares.
+    /// Requests shares of customers' limits from their coordinator.
     Shares(ShareAsks),
-    /// Tells a holder of shares that another instance lacks room: it asks at once for less.
+    /// Tells a holder of shares that another instance needs a part of them: it requests smaller
+    /// shares at once.
     SharesRecalled(Vec<CustomerId>),
-    /// Asks the steward of a replica for places of batch items.
-    PlacesAsked(PlaceAsk),
-    /// Tells an owner of jobs what a steward allows it from now on.
-    PlacesGranted(PlaceGrant),
-    /// Tells the steward of a replica of online work there.
-    OnlineSeen(OnlineNotice),
-    /// Asks to probe another instance; answered with `Done` if that one answers.
-    ProbeFor {
-        /// Where that one takes messages of peers.
+    /// Requests slots for batch items from the batch controller of an engine.
+    SlotsRequested(PlaceAsk),
+    /// Tells a job owner the slots that a batch controller grants it from now on.
+    SlotsGranted(PlaceGrant),
+    /// Notifies the batch controller of an engine of online work there.
+    OnlineLoad(OnlineNotice),
+    /// Asks for an indirect probe of another instance. Answered with `Done` if that instance
+    /// answers.
+    IndirectProbe {
+        /// Peer address of the instance to probe.
         address: SocketAddr,
     },
-    /// Tells that backend servers are leaving.
+    /// Backend servers that are leaving.
     BackendsLeaving(Vec<LeavingMark>),
-    /// Tells of crashes, trials and verdicts.
+    /// Notices of crashes, probes and verdicts.
     Crashes(Vec<Notice>),
-    /// Asks for all that is known of crashes.
+    /// Requests the whole table of crash notices.
     CrashTable,
-    /// Asks the home of trials to try a suspect.
-    TrialAsked {
-        /// The suspect.
+    /// Requests a probe of a suspect request from the coordinator.
+    ProbeRequested {
+        /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// Where it may be tried, best first.
+        /// Backend servers that may run the probe, in order of preference.
         backends: Vec<BackendId>,
     },
-    /// Tells the home of trials how one ended.
-    TrialEnded {
-        /// The suspect.
+    /// Reports the end of a probe to the coordinator.
+    ProbeEnded {
+        /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// Where it was tried.
+        /// Backend server that ran the probe.
         backend: BackendId,
-        /// How it ended.
+        /// Result of the probe.
         end: TrialEnd,
     },
 }
@@ -85,24 +89,25 @@
 /// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// To [`PeerRequest::Gossip`].
+    /// Answers [`PeerRequest::Gossip`].
     Gossip(Gossip),
-    /// To [`PeerRequest::ContractsAfter`].
+    /// Answers [`PeerRequest::ContractsAfter`].
     Contracts(Catchup),
-    /// Taken note of.
+    /// The message was handled; there is nothing to return.
     Done,
-    /// The receiver could not act.
+    /// The receiver could not handle the message, for example because it is still starting.
     Refused,
-    /// To [`PeerRequest::Shares`]; customers of another home are left out.
+    /// Answers [`PeerRequest::Shares`], without the customers that another instance coordinates.
     Shares(Vec<Grant>),
-    /// To [`PeerRequest::PlacesAsked`].
-    Places(PlaceGrant),
-    /// To [`PeerRequest::PlacesGranted`]: what the owner has and wants after it acted.
-    PlacesInUse(PlaceAsk),
-    /// To [`PeerRequest::CrashTable`].
+    /// Answers [`PeerRequest::SlotsRequested`].
+    SlotGrant(PlaceGrant),
+    /// Answers [`PeerRequest::SlotsGranted`]: the slots that the owner uses and needs after it has
+    /// applied the grant.
+    SlotsInUse(PlaceAsk),
+    /// Answers [`PeerRequest::CrashTable`].
     Crashes(Vec<Notice>),
-    /// To [`PeerRequest::TrialAsked`].
-    Trial(TrialAnswer),
-    /// To [`PeerRequest::JobCanLand`].
-    Landing(Verdict),
+    /// Answers [`PeerRequest::ProbeRequested`].
+    Probe(TrialAnswer),
+    /// Answers [`PeerRequest::CheckJobDeadline`].
+    JobDeadline(Verdict),
 }
--- a/crates/foxtailhold-peer/src/server.rs
+++ b/crates/foxtailhold-peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Takes messages of peers.
+//! Receives messages from peers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,21 +16,21 @@
 use crate::message::{PeerAnswer, PeerRequest};
 use crate::stamp;
 
-/// What answers peers.
+/// Handles the messages of peers.
 pub trait PeerHandler: Clone + Send + Sync + 'static {
-    /// Answers one message.
+    /// Handles one message and returns the answer.
     fn handle(&self, request: PeerRequest) -> impl Future<Output = PeerAnswer> + Send;
 
-    /// A clock reading to send with an answer.
+    /// Clock reading to send with an answer; `None` sends none.
     fn stamp(&self) -> Option<HlcTime> {
         None
     }
 
-    /// Takes the reading that came with a message, before the message is handled.
+    /// Receives the clock reading that came with a message, before the message is handled.
     fn receive(&self, _at: HlcTime) {}
 }
 
-/// A listener for peers.
+/// A server for peers.
 #[derive(Debug)]
 pub struct PeerServer {
     address: SocketAddr,
@@ -38,26 +38,26 @@
 }
 
 impl PeerServer {
-    /// Binds the address on which peers connect.
+    /// Binds the address on which peers connect; returns the listener and the bound address.
     pub async fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr)> {
-        let bound = |source| PeerError::Bind { address, source };
-        let listener = TcpListener::bind(address).await.map_err(bound)?;
-        let local = listener.local_addr().map_err(bound)?;
+        let bind_error = |source| PeerError::Bind { address, source };
+        let listener = TcpListener::bind(address).await.map_err(bind_error)?;
+        let local = listener.local_addr().map_err(bind_error)?;
         Ok((listener, local))
     }
 
-    /// Serves on a bound listener.
+    /// Starts to serve on a bound listener.
     pub fn start<H: PeerHandler>(listener: TcpListener, address: SocketAddr, handler: H) -> Self {
         let task = tokio::spawn(accept_loop(listener, handler));
         PeerServer { address, task }
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops; messages in flight are dropped.
+    /// Stops at once; messages in flight are dropped.
     pub async fn close(self) {
         self.task.abort();
         let _ = self.task.await;
@@ -89,7 +89,7 @@
         let handler = handler.clone();
         tokio::spawn(async move {
             if let Err(error) = answer(request, respond, handler).await {
-                log::debug!("a peer message failed: {error}");
+                log::debug!("peer message not handled: {error}");
             }
         });
     }
--- a/crates/foxtailhold-peer/src/stamp.rs
+++ b/crates/foxtailhold-peer/src/stamp.rs
@@ -1,4 +1,5 @@
-//! Clock readings that travel with messages, so that the time line orders cause before effect.
+//! Clock readings that travel with messages, so that the time line orders causes before their
+//! effects.
 
 use foxtailhold::timeline::HlcTime;
 use http::{HeaderMap, HeaderName, HeaderValue};
@@ -6,16 +7,16 @@
 /// Header of messages and answers with a reading of the sender's hybrid logical clock.
 pub const HLC: HeaderName = HeaderName::from_static("foxtailhold-hlc");
 
-/// A process's hybrid logical clock as message senders use it.
+/// The hybrid logical clock of a process, as message senders use it.
 pub trait MessageClock: Clone + Send + Sync + 'static {
-    /// A reading to send with a message.
+    /// Reading to send with a message; `None` sends none.
     fn stamp(&self) -> Option<HlcTime>;
 
-    /// Takes the reading that came with an answer.
+    /// Receives the reading that came with an answer.
     fn receive(&self, at: HlcTime);
 }
 
-/// No clock: messages carry no reading.
+/// A clock without readings, for processes without a time line.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoClock;
 
@@ -27,7 +28,7 @@
     fn receive(&self, _at: HlcTime) {}
 }
 
-/// Puts a reading into the headers.
+/// Writes a reading into the headers.
 pub(crate) fn write(headers: &mut HeaderMap, at: Option<HlcTime>) {
     let value = at.and_then(|at| HeaderValue::try_from(at.to_string()).ok());
     if let Some(value) = value {
@@ -35,7 +36,7 @@
     }
 }
 
-/// The reading in the headers; one that cannot be read counts as none.
+/// Parses the reading in the headers; a malformed one counts as none.
 pub(crate) fn read(headers: &HeaderMap) -> Option<HlcTime> {
     headers.get(HLC)?.to_str().ok()?.parse().ok()
 }
--- a/crates/foxtailhold-peer/src/traffic.rs
+++ b/crates/foxtailhold-peer/src/traffic.rs
@@ -1,8 +1,8 @@
-//! Bytes that a client exchanged with peers.
+//! Byte counters of a peer client.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes of message bodies, without what the protocol adds.
+/// Bytes of message bodies, without protocol overhead.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent_bytes: AtomicU64,
