--- a/crates/foxtailhold-entry/src/admission.rs
+++ b/crates/foxtailhold-entry/src/admission.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct Slot {
     queue: Arc<ModelQueue>,
-    since: MonoMs,
+    acquired_at: MonoMs,
 }
 
 /// Removes a waiting request from its queue when the caller's future is dropped.
@@ -69,7 +69,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let now = self.queue.clock.mono();
-        self.queue.state.lock().queue.leave(self.since, now);
+        self.queue.state.lock().queue.leave(self.acquired_at, now);
         self.queue.admit_waiting();
     }
 }
@@ -100,10 +100,10 @@
         }
     }
 
-    fn slot(self: &Arc<Self>, since: MonoMs) -> Slot {
+    fn slot(self: &Arc<Self>, acquired_at: MonoMs) -> Slot {
         Slot {
             queue: self.clone(),
-            since,
+            acquired_at,
         }
     }
 
@@ -208,7 +208,7 @@
         &self,
         queue: &ModelQueue,
         deadline: Option<MonoMs>,
-        since: MonoMs,
+        started_at: MonoMs,
     ) -> Refusal {
         let after_ms = queue
             .state
@@ -217,7 +217,7 @@
             .retry_after_ms(rand::random::<u32>().into());
         match deadline {
             Some(deadline) if deadline <= self.clock.mono() => {
-                let deadline_ms = deadline.since_ms(since);
+                let deadline_ms = deadline.since_ms(started_at);
                 Refusal::not_run(RefusalReason::DeadlinePassed { deadline_ms })
                     .retry_after_ms(after_ms)
             }
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -54,9 +54,9 @@
     in_flight_requests: Mutex<InFlightRequests>,
     in_flight: AtomicU32,
     sent_since_report: AtomicU32,
-    failures: AtomicBool,
-    set_aside_until: AtomicU64,
-    on_trial: AtomicBool,
+    has_failures: AtomicBool,
+    ejected_until: AtomicU64,
+    probing: AtomicBool,
     marked_leaving: AtomicBool,
     refused_leaving: AtomicBool,
     gap_us: AtomicU64,
@@ -67,9 +67,9 @@
 impl Counters {
     fn publish_breaker(&self, breaker: &Breaker) {
         let until = breaker.blocked_until().0;
-        self.set_aside_until.store(until, Ordering::Relaxed);
-        let failures = *breaker != Breaker::default();
-        self.failures.store(failures, Ordering::Relaxed);
+        self.ejected_until.store(until, Ordering::Relaxed);
+        let has_failures = *breaker != Breaker::default();
+        self.has_failures.store(has_failures, Ordering::Relaxed);
     }
 
     fn publish_in_flight(&self, in_flight_requests: &InFlightRequests) {
@@ -128,7 +128,7 @@
     /// State from the fleet list, or `Leaving` if its own report or a marking by
     /// [`Self::set_marked_leaving`] says so.
     pub fn state(&self) -> FleetState {
-        if self.counters.marked_leaving.load(Ordering::Relaxed) || self.reports_leaving() {
+        if self.counters.marked_leaving.load(Ordering::Relaxed) || self.report_says_leaving() {
             return FleetState::Leaving;
         }
         self.backend.state
@@ -138,7 +138,7 @@
     /// leaving. Clears the observation of a refused request.
     pub fn take_leaving_observation(&self) -> bool {
         let refused = self.counters.refused_leaving.swap(false, Ordering::Relaxed);
-        refused || self.reports_leaving() || self.backend.state == FleetState::Leaving
+        refused || self.report_says_leaving() || self.backend.state == FleetState::Leaving
     }
 
     /// Records that it refused a request because it is leaving.
@@ -154,7 +154,7 @@
             .store(marked, Ordering::Relaxed);
     }
 
-    fn reports_leaving(&self) -> bool {
+    fn report_says_leaving(&self) -> bool {
         let report = self.counters.report.load();
         report.as_deref().is_some_and(|(report, _)| report.leaving)
     }
@@ -178,7 +178,7 @@
 
     /// Records a served request, which closes the breaker.
     pub fn record_success(&self) {
-        if !self.counters.failures.load(Ordering::Relaxed) {
+        if !self.counters.has_failures.load(Ordering::Relaxed) {
             return;
         }
         let mut in_flight_requests = self.counters.in_flight_requests.lock();
@@ -189,7 +189,7 @@
     /// Records that it was selected. After failures this request tests whether it has recovered,
     /// and others are held back until it ends or the test times out.
     pub fn note_sent_after_failure(&self, now: MonoMs) {
-        if !self.counters.failures.load(Ordering::Relaxed) {
+        if !self.counters.has_failures.load(Ordering::Relaxed) {
             return;
         }
         let mut in_flight_requests = self.counters.in_flight_requests.lock();
@@ -199,10 +199,10 @@
 
     /// Whether the breaker lets requests through.
     pub fn availability(&self, now: MonoMs) -> Availability {
-        if !self.counters.failures.load(Ordering::Relaxed) {
+        if !self.counters.has_failures.load(Ordering::Relaxed) {
             return Availability::Open;
         }
-        if self.counters.set_aside_until.load(Ordering::Relaxed) > now.0 {
+        if self.counters.ejected_until.load(Ordering::Relaxed) > now.0 {
             return Availability::SetAside;
         }
         Availability::HalfOpen
@@ -214,8 +214,8 @@
     }
 
     /// Sets whether a probe of a suspect request runs there, so that other requests avoid it.
-    pub fn set_probing(&self, on_trial: bool) {
-        self.counters.on_trial.store(on_trial, Ordering::Relaxed);
+    pub fn set_probing(&self, probing: bool) {
+        self.counters.probing.store(probing, Ordering::Relaxed);
     }
 
     /// Moving averages of the time between two tokens and of the time of a full response.
@@ -378,14 +378,14 @@
 
 /// Routing candidates: the backend servers of one model or service at one time.
 #[derive(Debug, Clone, Copy)]
-pub struct Serving<'a> {
+pub struct RoutingCandidates<'a> {
     /// Backend servers of the target.
     pub servers: &'a [Arc<BackendState>],
     /// Time at which the breakers are evaluated.
     pub now: MonoMs,
 }
 
-impl Candidates for Serving<'_> {
+impl Candidates for RoutingCandidates<'_> {
     fn len(&self) -> usize {
         self.servers.len()
     }
@@ -399,7 +399,7 @@
             state: server.state(),
             load: server.load(),
             availability: server.availability(self.now),
-            on_trial: server.counters.on_trial.load(Ordering::Relaxed),
+            on_trial: server.counters.probing.load(Ordering::Relaxed),
             gap_us: server.counters.gap_us.load(Ordering::Relaxed),
         }
     }
--- a/crates/foxtailhold-entry/src/gateway/contract_change.rs
+++ b/crates/foxtailhold-entry/src/gateway/contract_change.rs
@@ -64,7 +64,7 @@
     }
 }
 
-async fn read_before<T: TableService>(
+async fn read_current_rows<T: TableService>(
     table: &T,
     customer: &CustomerId,
 ) -> foxtailhold_platform::Result<CurrentRows> {
@@ -207,7 +207,7 @@
         if attempt > 0 {
             backoff((RACE_BACKOFF_MS * u64::from(attempt)).min(MAX_RACE_BACKOFF_MS)).await;
         }
-        let mut current_rows = read_before(table, &update.customer)
+        let mut current_rows = read_current_rows(table, &update.customer)
             .await
             .map_err(|error| unavailable(&error))?;
         if current_rows.version() != update.expected_version {
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::backends::{BackendState, InFlightGuard, Serving};
+use crate::backends::{BackendState, InFlightGuard, RoutingCandidates};
 use crate::crashes::{self, ProbeGuard};
 use crate::online_load;
 use crate::shared::Shared;
@@ -135,7 +135,7 @@
         Ran::NotRun
     }
 
-    fn refused(&self, reason: RefusalReason, after_ms: u64) -> Refusal {
+    fn refusal_for(&self, reason: RefusalReason, after_ms: u64) -> Refusal {
         Refusal::not_run(reason)
             .with_ran(self.ran())
             .retry_after_ms(after_ms)
@@ -152,12 +152,12 @@
                 detail: error.to_string(),
             },
         };
-        self.refused(reason, BACKEND_RETRY_AFTER_MS)
+        self.refusal_for(reason, BACKEND_RETRY_AFTER_MS)
     }
 
     /// Refusal of a request convicted of crashing backend servers, for the rest of its quarantine.
     pub fn quarantined(&self, left_ms: u64) -> Refusal {
-        self.refused(RefusalReason::Quarantined, left_ms.max(1))
+        self.refusal_for(RefusalReason::Quarantined, left_ms.max(1))
     }
 }
 
@@ -172,7 +172,7 @@
     let backends = shared.backends.load();
     let now = shared.clock.mono();
     let servers = backends.serving(kind, target);
-    let serving = Serving { servers, now };
+    let candidates = RoutingCandidates { servers, now };
     let query = RouteQuery {
         availability_zone: &shared.settings.availability_zone,
         prefix_hash: xxh3_64(&body[..body.len().min(PREFIX_BYTES)]),
@@ -180,8 +180,8 @@
         draw: rand::random(),
     };
     let index = match kind {
-        BackendKind::Engine => BoundedAffinity.choose(&query, &serving),
-        BackendKind::Service => LeastLoaded.choose(&query, &serving),
+        BackendKind::Engine => BoundedAffinity.choose(&query, &candidates),
+        BackendKind::Service => LeastLoaded.choose(&query, &candidates),
     };
     let server = &servers[index?];
     server.note_sent_after_failure(now);
@@ -201,7 +201,7 @@
     match deadline.since_ms(shared.clock.mono()) {
         0 => {
             let reason = RefusalReason::DeadlinePassed { deadline_ms };
-            Err(attempts.refused(reason, BACKEND_RETRY_AFTER_MS))
+            Err(attempts.refusal_for(reason, BACKEND_RETRY_AFTER_MS))
         }
         left_ms => Ok(left_ms),
     }
--- a/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
@@ -142,7 +142,7 @@
     }
 }
 
-fn stored(answer: &Whole) -> StoredAnswer {
+fn stored_answer(answer: &Whole) -> StoredAnswer {
     let content_type = answer.content_type.as_ref();
     let content_type = content_type.and_then(|value| value.to_str().ok());
     StoredAnswer {
@@ -179,9 +179,9 @@
 /// Stores the full response for resends: one attempt now, more in the background. Until it is
 /// stored, resends are refused because the request may have run.
 pub async fn store<P: Platform>(shared: &Shared<P>, key: String, held: HeldClaim, answer: &Whole) {
-    let stored = stored(answer);
-    let large_body = (stored.body == StoredBody::Object).then(|| answer.body.clone());
-    let (row, expected) = held.answered(stored, shared.clock.wall());
+    let stored_answer = stored_answer(answer);
+    let large_body = (stored_answer.body == StoredBody::Object).then(|| answer.body.clone());
+    let (row, expected) = held.answered(stored_answer, shared.clock.wall());
     let mut answer_write = AnswerWrite {
         key,
         row,
@@ -225,10 +225,10 @@
             let name = tables::once_object(key, &row.claim_id);
             match shared.platform.get_object(&name).await {
                 Ok(Some(body)) => body,
-                Ok(None) => return Err(ran(RefusalReason::AlreadyStarted)),
+                Ok(None) => return Err(refused_after_run(RefusalReason::AlreadyStarted)),
                 Err(error) => {
                     log::warn!("stored answer cannot be read: {error}");
-                    let refusal = ran(RefusalReason::StoreUnavailable);
+                    let refusal = refused_after_run(RefusalReason::StoreUnavailable);
                     return Err(refusal.retry_after_ms(STORE_RETRY_AFTER_MS));
                 }
             }
@@ -242,6 +242,6 @@
     })
 }
 
-fn ran(reason: RefusalReason) -> Refusal {
+fn refused_after_run(reason: RefusalReason) -> Refusal {
     Refusal::not_run(reason).with_ran(Ran::Ran)
 }
