--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -4,14 +4,12 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use foxtailhold::batch_control::controller::BatchController;
-use foxtailhold::batch_control::scheduler::{
-    BatchScheduler, ItemKey, SchedulerAction, SchedulerReplica,
-};
+use foxtailhold::rendezvous;
 use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest};
+use foxtailhold::batch_control::controller::BatchController;
+use foxtailhold::batch_control::scheduler::{BatchScheduler, ItemKey, SchedulerAction, SchedulerReplica};
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::membership::Member;
-use foxtailhold::rendezvous;
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
@@ -20,11 +18,11 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::mpsc::UnboundedSender;
 
+use crate::online_load;
 use crate::actors::{log_undelivered, tick};
 use crate::backends::{BackendState, BackendTable};
 use crate::batch_controllers::{BatchControllerEntry, BatchControllers};
 use crate::messages::{BatchControllerMessage, SlotSignal};
-use crate::online_load;
 use crate::shared::Shared;
 
 /// Marks, grants and questions are looked at this often.
@@ -295,11 +293,11 @@
             };
             let (shared, myself) = (self.0.clone(), myself.clone());
             tokio::spawn(async move {
-                let request = PeerRequest::PlacesGranted(grant);
+                let request = PeerRequest::SlotsGranted(grant);
                 for _ in 0..PUSH_TRIES {
                     let address = member.peer_address;
                     let answer = shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await;
-                    if let Ok(PeerAnswer::PlacesInUse(ask)) = answer {
+                    if let Ok(PeerAnswer::SlotsInUse(ask)) = answer {
                         let message = BatchControllerMessage::SlotsInUse(ask);
                         log_undelivered(myself.send_message(message));
                         return;
@@ -333,10 +331,10 @@
             };
             let (shared, myself) = (self.0.clone(), myself.clone());
             tokio::spawn(async move {
-                let request = PeerRequest::PlacesAsked(ask);
+                let request = PeerRequest::SlotsRequested(ask);
                 let address = member.peer_address;
                 match shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await {
-                    Ok(PeerAnswer::Places(grant)) => {
+                    Ok(PeerAnswer::SlotGrant(grant)) => {
                         let message = BatchControllerMessage::RequestAnswered(grant, now);
                         log_undelivered(myself.send_message(message));
                     }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -6,9 +6,7 @@
 use foxtailhold::contract_sync::ContractStatus;
 use foxtailhold::ids::InstanceId;
 use foxtailhold::leaving::LeavingNotice;
-use foxtailhold::membership::{
-    Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS,
-};
+use foxtailhold::membership::{Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -191,7 +189,7 @@
         for helper in state.membership.indirect_probers(&id) {
             let shared = self.0.clone();
             asked.spawn(async move {
-                let request = PeerRequest::ProbeFor { address };
+                let request = PeerRequest::IndirectProbe { address };
                 let to = helper.peer_address;
                 let answer = shared.peers.ask(to, &request, INDIRECT_TIMEOUT_MS).await;
                 matches!(answer, Ok(PeerAnswer::Done))
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -1,37 +1,36 @@
-//! Batch jobs as callers offer, watch and cancel them.
+//! Batch jobs for callers: create, describe, list and cancel.
 
 use std::collections::HashSet;
 
-use foxtailhold::batch::{
-    BatchError, BatchItem, FileRow, JobCounts, JobRow, JobStatus, MAX_JOB_ITEMS, OpenJobRow,
-};
+use foxtailhold::rendezvous;
+use foxtailhold::batch::{BatchError, BatchItem, FileRow, JobCounts, JobRow, JobStatus, MAX_JOB_ITEMS, OpenJobRow};
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{CustomerId, JobId};
 use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
-use foxtailhold::rendezvous;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{BatchObject, BatchRequest};
 use foxtailhold_peer::PeerRequest;
 use foxtailhold_platform::{Expect, Operation, Platform, Row, Transacted};
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::tables;
 use crate::actors::log_undelivered;
-use crate::gateway::results::{Outcome, ResultFile};
 use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest, rows, store_unavailable};
+use crate::gateway::results::{ItemFilter, ResultFile};
 use crate::jobs::deadline_check;
-use crate::jobs::owner::{self, CancelOutcome};
+use crate::jobs::owner::{CancelOutcome, self};
 use crate::messages::JobsMessage;
 use crate::shared::Shared;
-use crate::tables;
 
-/// Limit for telling the home of a job.
+/// Time limit for telling the job's preferred owner of a new job.
 const OFFER_TIMEOUT_MS: u64 = 500;
-/// Attempts to learn what became of a write whose answer was lost.
-const MAX_WRITE_TRIES: u32 = 3;
-/// Characters of the digest in a job's identifier.
+/// Attempts to settle a write whose answer was lost.
+const MAX_WRITE_ATTEMPTS: u32 = 3;
+/// Hex digits of the digest in a job id.
 const JOB_DIGEST_CHARS: usize = 32;
 
-/// The job's identifier follows from customer and key, so that a resend names the same job.
+/// Derives the job id from the customer and the idempotency key, or from the body without one, so
+/// that a resend names the same job.
 fn job_id(customer: &CustomerId, request: &BatchRequest) -> Result<JobId> {
     let key = match &request.context.idempotency_key {
         Some(key) => format!("key {customer} {key}"),
@@ -46,7 +45,7 @@
     Refusal::invalid(format!("the input file is refused: {error}"))
 }
 
-/// Reads every line of the input and counts the items.
+/// Checks every line of the input file and counts the items.
 async fn check_input<P: Platform>(
     shared: &Shared<P>,
     request: &BatchRequest,
@@ -56,9 +55,9 @@
     let mut line_number = 0;
     for part in 0..file.part_lines.len() {
         let name = tables::part_object(&request.input_file, part as u32);
-        let found = shared.platform.get_object(&name).await;
-        let found = found.map_err(|error| store_unavailable(&error))?;
-        let bytes = found.ok_or_else(|| Refusal::invalid("the input file is incomplete"))?;
+        let stored = shared.platform.get_object(&name).await;
+        let stored = stored.map_err(|error| store_unavailable(&error))?;
+        let bytes = stored.ok_or_else(|| Refusal::invalid("the input file is incomplete"))?;
         let text = std::str::from_utf8(&bytes)
             .map_err(|_| Refusal::invalid("the input file is not UTF-8"))?;
         for line in text.lines() {
@@ -83,15 +82,15 @@
     }
 }
 
-/// Accepts a job, or finds the one accepted before.
+/// Accepts a job, or returns the job that an earlier send of the same request created.
 pub async fn create<P: Platform>(shared: &Shared<P>, request: BatchRequest) -> Result<BatchObject> {
     let contract = &request.context.contract;
     let customer = &contract.customer;
     let job = job_id(customer, &request)?;
     let key = tables::job_key(customer, &job);
-    let known = shared.platform.get(tables::JOB, &key).await;
-    if let Some(row) = known.map_err(|error| store_unavailable(&error))? {
-        return resent(shared, &request, &row).await;
+    let existing = shared.platform.get(tables::JOB, &key).await;
+    if let Some(row) = existing.map_err(|error| store_unavailable(&error))? {
+        return existing_job(shared, &request, &row).await;
     }
     let file = rows::file(shared, customer, &request.input_file).await?;
     let items = check_input(shared, &request, &file).await?;
@@ -129,7 +128,7 @@
             let Some(current) = current else {
                 return Err(conflict("the job was removed while it was offered"));
             };
-            return resent(shared, &request, &current).await;
+            return existing_job(shared, &request, &current).await;
         }
     }
     shared
@@ -144,10 +143,10 @@
     Refusal::not_run(RefusalReason::Conflict { detail })
 }
 
-/// Sends a transaction until its fate is known; it must be safe to send again.
+/// Sends a transaction until its outcome is known. It must be safe to repeat.
 async fn commit<P: Platform>(shared: &Shared<P>, operations: &[Operation]) -> Result<Transacted> {
     let mut last = None;
-    for _ in 0..MAX_WRITE_TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match shared.platform.transact(operations).await {
             Ok(transacted) => return Ok(transacted),
             Err(error) => last = Some(error),
@@ -161,7 +160,7 @@
     Err(refusal)
 }
 
-async fn resent<P: Platform>(
+async fn existing_job<P: Platform>(
     shared: &Shared<P>,
     request: &BatchRequest,
     row: &Row,
@@ -173,20 +172,21 @@
     object(shared, row).await
 }
 
-/// Tells the home of a job that it is there; the periodic scan finds it otherwise.
+/// Tells the job's preferred owner that the job exists. If the message is lost, the periodic scan
+/// finds the job.
 fn offer<P: Platform>(shared: &Shared<P>, customer: &CustomerId, job: &JobId) {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let Some(home) = rendezvous::select(ids, job.as_str().as_bytes()) else {
+    let Some(preferred) = rendezvous::select(ids, job.as_str().as_bytes()) else {
         return;
     };
-    if *home == shared.settings.instance {
+    if *preferred == shared.settings.instance {
         if let Some(actors) = shared.actors() {
             log_undelivered(actors.jobs.send_message(JobsMessage::Scan));
         }
         return;
     }
-    let Some(member) = shared.member(home) else {
+    let Some(member) = shared.member(preferred) else {
         return;
     };
     let (shared, address) = (shared.clone(), member.peer_address);
@@ -194,21 +194,23 @@
     tokio::spawn(async move {
         let request = PeerRequest::JobOffered { customer, job };
         if let Err(error) = shared.peers.ask(address, &request, OFFER_TIMEOUT_MS).await {
-            log::debug!("the home of a job was not told: {error}");
+            log::debug!(
+                "job not offered to its preferred owner, the periodic scan will find it: {error}"
+            );
         }
     });
 }
 
 async fn object<P: Platform>(shared: &Shared<P>, row: JobRow) -> Result<BatchObject> {
     let counts = counts(shared, &row).await?;
-    let file = |outcome, items: u64| {
+    let file = |filter, items: u64| {
         let job = row.job.clone();
         let ended = row.ended_wall_ms.is_some() && items > 0;
-        ended.then(|| ResultFile { job, outcome }.id()).flatten()
+        ended.then(|| ResultFile { job, filter }.id()).flatten()
     };
     Ok(BatchObject {
-        output_file: file(Outcome::Answered, counts.completed),
-        error_file: file(Outcome::Failed, counts.failed),
+        output_file: file(ItemFilter::Answered, counts.completed),
+        error_file: file(ItemFilter::Failed, counts.failed),
         job: row.job,
         endpoint: row.endpoint,
         status: row.status,
@@ -223,16 +225,16 @@
     })
 }
 
-/// The counts of a job: from its row once it has ended, from its chunks before.
+/// Completed and failed items: from the job's row once it has ended, from its chunks before.
 pub async fn counts<P: Platform>(shared: &Shared<P>, row: &JobRow) -> Result<JobCounts> {
     if let Some(counts) = row.counts {
         return Ok(counts);
     }
-    let found = owner::counts(&shared.platform, &row.job).await;
-    found.map_err(|error| store_unavailable(&error))
+    let stored = owner::counts(&shared.platform, &row.job).await;
+    stored.map_err(|error| store_unavailable(&error))
 }
 
-/// Describes a job.
+/// Describes a job of the customer; refuses with `NotFound` if there is none.
 pub async fn describe<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
@@ -242,7 +244,7 @@
     object(shared, row).await
 }
 
-/// Lists a customer's jobs in the order of their identifiers.
+/// Lists a customer's jobs in the order of their ids.
 pub async fn list<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
@@ -266,8 +268,8 @@
     Ok(batches)
 }
 
-/// Cancels a job. The answer says `cancelled` once no item of it runs or will run, and
-/// `cancelling` where the owner could not be asked in time.
+/// Cancels a job. The status is `cancelled` once no item of it runs or will run, and `cancelling`
+/// while the owner has not confirmed that.
 pub async fn cancel<P: Platform>(
     shared: &Shared<P>,
     contract: &Contract,
--- a/crates/foxtailhold-entry/src/gateway/infer.rs
+++ b/crates/foxtailhold-entry/src/gateway/infer.rs
@@ -1,4 +1,4 @@
-//! Requests to models.
+//! Inference requests: admission, dispatch and the form of the answer.
 
 use foxtailhold::contract::Contract;
 use foxtailhold::quarantine::{Fingerprint, QuarantineStatus};
@@ -9,12 +9,12 @@
 use foxtailhold_engine::{EngineAnswer, WholeAnswer};
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest};
-use crate::gateway::stream::EntryStream;
 use crate::gateway::{EntryGateway, idempotency};
+use crate::gateway::dispatch::{AttemptHistory, OutgoingRequest, self};
+use crate::gateway::stream::EntryStream;
 use crate::shared::Shared;
 
-/// The answer in the form the caller side wants.
+/// Converts an engine's full response for the caller side.
 pub(crate) fn whole(answer: WholeAnswer) -> Whole {
     Whole {
         status: answer.status,
@@ -52,7 +52,8 @@
     }
 }
 
-/// Runs a request.
+/// Admits an inference request and dispatches it. Returns a full response or a stream that has
+/// begun.
 pub async fn run<P: Platform>(
     gateway: &EntryGateway<P>,
     request: Inference,
@@ -73,13 +74,13 @@
             ));
         }
         let answer = idempotency::infer(shared, &request).await?;
-        admitted.answered(&answer.body);
+        admitted.count_response_tokens(&answer.body);
         return Ok(InferenceAnswer::Whole(answer));
     }
     let mut attempts = AttemptHistory::default();
     let opened = dispatch::open(shared, &outgoing, None, &mut attempts).await?;
     if let EngineAnswer::Whole(answer) = opened.answer {
-        admitted.answered(&answer.body);
+        admitted.count_response_tokens(&answer.body);
         shared.timeline.note(TimelineEvent::Answered {
             request: outgoing.id.clone(),
         });
--- a/crates/foxtailhold-entry/src/jobs/deadline_check.rs
+++ b/crates/foxtailhold-entry/src/jobs/deadline_check.rs
@@ -1,9 +1,9 @@
 //! Refuses a job at the door that cannot be finished by its deadline.
 
+use foxtailhold::rendezvous;
 use foxtailhold::batch::deadline_check::DeadlineCheck;
 use foxtailhold::ids::JobId;
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
-use foxtailhold::rendezvous;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 
@@ -58,10 +58,10 @@
     let Some(member) = home.and_then(|home| shared.member(home)) else {
         return estimate_locally(shared, items, window_ms);
     };
-    let request = PeerRequest::JobCanLand { items, window_ms };
+    let request = PeerRequest::CheckJobDeadline { items, window_ms };
     let address = member.peer_address;
     match shared.peers.ask(address, &request, JUDGE_TIMEOUT_MS).await {
-        Ok(PeerAnswer::Landing(verdict)) => verdict,
+        Ok(PeerAnswer::JobDeadline(verdict)) => verdict,
         _ => DeadlineCheck::Feasible,
     }
 }
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! Answers messages of peers.
+//! Handles messages from peers.
 
 use std::net::SocketAddr;
 
@@ -9,17 +9,14 @@
 use foxtailhold_platform::Platform;
 use ractor::rpc::CallResult;
 
-use crate::actors::membership::PROBE_TIMEOUT_MS;
+use crate::online_load;
 use crate::actors::{limits, log_undelivered};
+use crate::actors::membership::PROBE_TIMEOUT_MS;
 use crate::jobs::{deadline_check, owner};
-use crate::messages::{
-    BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage,
-    MembershipMessage,
-};
-use crate::online_load;
+use crate::messages::{BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, MembershipMessage};
 use crate::shared::{Actors, Shared};
 
-/// The peer side of one instance.
+/// Handles peer messages on the state of one instance.
 #[derive(Debug)]
 pub struct EntryPeer<P>(pub Shared<P>);
 
@@ -33,8 +30,8 @@
     async fn answer(&self, actors: &Actors, request: PeerRequest) -> PeerAnswer {
         match request {
             PeerRequest::Gossip(gossip) => {
-                let ask = |reply| MembershipMessage::Gossip(gossip, reply);
-                match actors.membership.call(ask, None).await {
+                let call = |reply| MembershipMessage::Gossip(gossip, reply);
+                match actors.membership.call(call, None).await {
                     Ok(CallResult::Success(answer)) => PeerAnswer::Gossip(answer),
                     _ => PeerAnswer::Refused,
                 }
@@ -52,7 +49,7 @@
                 log_undelivered(actors.fleet.send_message(message));
                 PeerAnswer::Done
             }
-            PeerRequest::ProbeFor { address } => self.probe(actors, address).await,
+            PeerRequest::IndirectProbe { address } => self.probe(actors, address).await,
             PeerRequest::Shares(asks) => PeerAnswer::Shares(limits::grant_shares(&self.0, &asks)),
             PeerRequest::SharesRecalled(customers) => {
                 limits::release_unused_shares(&self.0, &customers);
@@ -62,28 +59,28 @@
                 log_undelivered(actors.jobs.send_message(JobsMessage::Scan));
                 PeerAnswer::Done
             }
-            PeerRequest::JobCanLand { items, window_ms } => {
-                PeerAnswer::Landing(deadline_check::estimate_locally(&self.0, items, window_ms))
+            PeerRequest::CheckJobDeadline { items, window_ms } => {
+                PeerAnswer::JobDeadline(deadline_check::estimate_locally(&self.0, items, window_ms))
             }
             PeerRequest::JobCancelled { job } => match owner::stop_local(&self.0, &job).await {
                 true => PeerAnswer::Done,
                 false => PeerAnswer::Refused,
             },
-            PeerRequest::PlacesAsked(ask) => {
-                let call = |reply| BatchControllerMessage::SlotsRequested(ask, reply);
+            PeerRequest::SlotsRequested(slot_request) => {
+                let call = |reply| BatchControllerMessage::SlotsRequested(slot_request, reply);
                 match actors.batch_controller.call(call, None).await {
-                    Ok(CallResult::Success(grant)) => PeerAnswer::Places(grant),
+                    Ok(CallResult::Success(grant)) => PeerAnswer::SlotGrant(grant),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::PlacesGranted(grant) => {
+            PeerRequest::SlotsGranted(grant) => {
                 let call = |reply| BatchControllerMessage::SlotsGranted(grant, reply);
                 match actors.batch_controller.call(call, None).await {
-                    Ok(CallResult::Success(ask)) => PeerAnswer::PlacesInUse(ask),
+                    Ok(CallResult::Success(in_use)) => PeerAnswer::SlotsInUse(in_use),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::OnlineSeen(notice) => {
+            PeerRequest::OnlineLoad(notice) => {
                 match online_load::deliver_here(&self.0, notice).await {
                     true => PeerAnswer::Done,
                     false => PeerAnswer::Refused,
@@ -103,17 +100,17 @@
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::TrialAsked {
+            PeerRequest::ProbeRequested {
                 fingerprint,
                 backends,
             } => {
-                let ask = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
-                match actors.crashes.call(ask, None).await {
-                    Ok(CallResult::Success(answer)) => PeerAnswer::Trial(answer),
+                let call = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
+                match actors.crashes.call(call, None).await {
+                    Ok(CallResult::Success(answer)) => PeerAnswer::Probe(answer),
                     _ => PeerAnswer::Refused,
                 }
             }
-            PeerRequest::TrialEnded {
+            PeerRequest::ProbeEnded {
                 fingerprint,
                 backend,
                 end,
