--- a/crates/foxtailhold-relay/src/attempts.rs
+++ b/crates/foxtailhold-relay/src/attempts.rs
@@ -1,5 +1,5 @@
-//! How often one request of a caller may run: one account for whole answers and for all legs of a
-//! stream.
+//! Limits how often one request of a caller is attempted. One budget covers buffered responses and
+//! all attempts of a stream.
 
 use std::time::Duration;
 
@@ -7,75 +7,83 @@
 use foxtailhold::routes::Route;
 use tokio::time::Instant;
 
-use crate::upstream::Miss;
+use crate::upstream::AttemptFailure;
 
-/// Requests that did not run are sent again at other backend servers at most so often, beside the
-/// runs that the route allows: a refusal costs a crossing, and more would come too late.
-const NOT_RUN_AGAIN: u32 = 3;
+/// Retries of a request that backend servers did not run, in addition to the attempts that the
+/// route allows. Each refusal costs one network round trip, so further retries would come too late.
+const MAX_NOT_RUN_RETRIES: u32 = 3;
 
-/// The account of one request.
+/// Attempts made for one request and what is left to it.
 #[derive(Debug, Clone)]
-pub struct Attempts {
-    /// Backend servers that it was sent to in vain.
-    pub tried: Vec<BackendId>,
-    /// Lost runs: how many of them may have run it.
-    pub runs: u32,
-    /// How many of them did not, since it ran last.
-    pub not_run: u32,
-    /// Until when it must be answered.
-    pub until: Instant,
+pub struct AttemptBudget {
+    /// Backend servers that failed to answer this request, oldest first.
+    pub failed_backends: Vec<BackendId>,
+    /// Failed attempts in which the request may have run.
+    pub maybe_executed: u32,
+    /// Failed attempts in which the request did not run, since it last ran.
+    pub not_executed: u32,
+    /// Deadline for the response.
+    pub deadline: Instant,
 }
 
-impl Attempts {
-    /// The account of a request that was not sent yet.
-    pub fn new(until: Instant) -> Self {
-        Attempts {
-            tried: Vec::new(),
-            runs: 0,
-            not_run: 0,
-            until,
+impl AttemptBudget {
+    /// Returns the budget of a request that has not been sent yet.
+    pub fn new(deadline: Instant) -> Self {
+        AttemptBudget {
+            failed_backends: Vec::new(),
+            maybe_executed: 0,
+            not_executed: 0,
+            deadline,
         }
     }
 
-    /// Notes a lost run; `true`: the request may be sent once more.
-    pub fn lost(&mut self, miss: Miss, backend: &BackendId, route: &Route) -> bool {
-        self.tried.push(backend.clone());
-        let may_repeat = match miss.may_have_run() {
+    /// Records a failed attempt. Returns whether the request may be sent again.
+    pub fn record_failure(
+        &mut self,
+        failure: AttemptFailure,
+        backend: &BackendId,
+        route: &Route,
+    ) -> bool {
+        self.failed_backends.push(backend.clone());
+        let may_retry = match failure.may_have_run() {
             true => {
-                let may_repeat = self.may_repeat(route);
-                self.runs += 1;
-                may_repeat
+                let may_retry = self.may_retry(route);
+                self.maybe_executed += 1;
+                may_retry
             }
             false => {
-                self.not_run += 1;
-                self.not_run <= NOT_RUN_AGAIN
+                self.not_executed += 1;
+                self.not_executed <= MAX_NOT_RUN_RETRIES
             }
         };
-        may_repeat && Instant::now() < self.until
+        may_retry && Instant::now() < self.deadline
     }
 
-    /// Notes that the request runs: refusals count anew should the run be lost.
-    pub fn runs_now(&mut self) {
-        self.not_run = 0;
+    /// Records that the request is running, which resets the count of attempts in which it did not
+    /// run.
+    pub fn record_running(&mut self) {
+        self.not_executed = 0;
     }
 
-    /// Whether the request may run once more if its present run is lost.
-    pub fn may_repeat(&self, route: &Route) -> bool {
-        route.repeat.is_idempotent() && self.runs + 1 < route.attempts.max(1)
+    /// Whether the request may be retried if the current attempt fails.
+    pub fn may_retry(&self, route: &Route) -> bool {
+        route.repeat.is_idempotent() && self.maybe_executed + 1 < route.attempts.max(1)
     }
 
-    /// Until when the next backend server may be silent: shorter where another one can be tried.
-    pub fn patience_until(&self, route: &Route, patience_ms: u64) -> Instant {
-        if !self.may_repeat(route) || patience_ms == 0 {
-            return self.until;
+    /// Deadline for the next backend server to respond. It is earlier than the deadline of the
+    /// request if another backend server could still be tried; `timeout_ms` 0 sets no
+    /// earlier one.
+    pub fn response_deadline(&self, route: &Route, timeout_ms: u64) -> Instant {
+        if !self.may_retry(route) || timeout_ms == 0 {
+            return self.deadline;
         }
-        let patience = Duration::from_millis(patience_ms);
-        self.until.min(Instant::now() + patience)
+        let timeout = Duration::from_millis(timeout_ms);
+        self.deadline.min(Instant::now() + timeout)
     }
 
-    /// The backend servers tried in vain, for lines.
-    pub fn tried_names(&self) -> String {
-        let names: Vec<&str> = self.tried.iter().map(BackendId::as_str).collect();
+    /// Identifiers of the backend servers that failed, separated by commas, for log lines.
+    pub fn failed_backend_names(&self) -> String {
+        let names: Vec<&str> = self.failed_backends.iter().map(BackendId::as_str).collect();
         names.join(",")
     }
 }
--- a/crates/foxtailhold-relay/src/connections.rs
+++ b/crates/foxtailhold-relay/src/connections.rs
@@ -1,7 +1,8 @@
-//! Connections to backend servers, one request at a time on each.
+//! Connections to backend servers; each carries one request at a time.
 //!
-//! The library's pool is not used: it cannot tell a request that was never written from one that
-//! may have run, and it does not know how long a backend server keeps an idle connection.
+//! The connection pool of the HTTP library is not used. It cannot tell a request that was never
+//! written from one that may have run, and it does not know how long a backend server keeps an idle
+//! connection.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,75 +20,76 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Result of sending.
+/// Result of sending a request.
 pub type Result<T> = std::result::Result<T, SendFailure>;
 
-/// Time for a new connection: two crossings between availability zones and the handshake take 10 ms
-/// at most; a lost opening packet is sent again after a second.
-pub const CONNECT_MS: u64 = 400;
-/// Idle time that a backend server grants where it does not say.
-const USUAL_KEEP_MS: u64 = 4_000;
-/// Share of the told idle time that is used, so that no request crosses the close.
-const KEEP_SHARE: f64 = 0.6;
-/// Requests that may run once at most use a connection only after this rest: a late second answer
-/// shows meanwhile.
-const REST_MS: u64 = 25;
+/// Time limit for a new connection. Two round trips between availability zones and the handshake
+/// take 10 ms at most; a lost SYN packet is retransmitted after one second.
+pub const CONNECT_TIMEOUT_MS: u64 = 400;
+/// Idle timeout assumed if the backend server does not state one.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
+/// Share of the stated idle timeout after which a connection is no longer used, so that no request
+/// crosses its close.
+const IDLE_TIMEOUT_SHARE: f64 = 0.6;
+/// Requests that may run at most once use an idle connection only after this time. A late second
+/// response shows up within it.
+const REUSE_DELAY_MS: u64 = 25;
 
-/// Why there is no head of an answer.
+/// Why no response head was received.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SendFailure {
-    /// No byte of the request was taken.
+    /// No byte of the request was accepted.
     #[error("the request was not sent to {address}: {detail}")]
     NotSent {
-        /// The backend server.
+        /// Address of the backend server.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: String,
     },
-    /// It may have run.
+    /// The request may have run.
     #[error("the connection to {address} failed after sending: {detail}")]
     MayHaveRun {
-        /// The backend server.
+        /// Address of the backend server.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: String,
     },
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     since: Instant,
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
-type IdleMap = HashMap<BackendId, VecDeque<Idle>>;
+type IdleConnections = HashMap<BackendId, VecDeque<IdleConnection>>;
 
-/// Idle connections of one process.
+/// Idle connections of one process; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Connections {
-    idle: Arc<Mutex<IdleMap>>,
+    idle: Arc<Mutex<IdleConnections>>,
 }
 
-/// A connection that carries a request; to be returned when the answer has been read to its end.
+/// A connection that carries a request. It is returned once the response has been read to its end.
 #[derive(Debug)]
-pub struct InUse {
+pub struct BusyConnection {
     sender: SendRequest<Full<Bytes>>,
     backend: BackendId,
-    keep: Duration,
+    idle_timeout: Duration,
     connections: Connections,
 }
 
-impl InUse {
-    /// Keeps the connection for another request.
+impl BusyConnection {
+    /// Returns the connection for reuse, unless it is closing.
     pub fn put_back(self) {
-        if self.sender.is_closed() || self.keep.is_zero() {
+        if self.sender.is_closed() || self.idle_timeout.is_zero() {
             return;
         }
-        let idle = Idle {
+        let idle = IdleConnection {
             sender: self.sender,
             since: Instant::now(),
-            keep: self.keep,
+            idle_timeout: self.idle_timeout,
         };
         let mut map = self.connections.idle.lock();
         map.entry(self.backend).or_default().push_back(idle);
@@ -95,58 +97,58 @@
 }
 
 impl Connections {
-    /// Closes the connections to backend servers that are not in use any more.
+    /// Closes the idle connections to backend servers that are no longer listed.
     pub fn keep_only(&self, is_known: impl Fn(&BackendId) -> bool) {
         self.idle.lock().retain(|id, _| is_known(id));
     }
 
-    fn take(&self, backend: &BackendId, rest_ms: u64) -> Option<SendRequest<Full<Bytes>>> {
+    fn take_idle(&self, backend: &BackendId, min_idle_ms: u64) -> Option<SendRequest<Full<Bytes>>> {
         let mut map = self.idle.lock();
         let all = map.get_mut(backend)?;
-        all.retain(|idle| !idle.sender.is_closed() && idle.since.elapsed() < idle.keep);
+        all.retain(|idle| !idle.sender.is_closed() && idle.since.elapsed() < idle.idle_timeout);
         let oldest = all.front()?;
-        if oldest.since.elapsed() < Duration::from_millis(rest_ms) {
+        if oldest.since.elapsed() < Duration::from_millis(min_idle_ms) {
             return None;
         }
         all.pop_front().map(|idle| idle.sender)
     }
 
-    /// Sends the request that `written` gives when a connection is there, and waits for the head of its
-    /// answer. Dropping the future closes the connection.
+    /// Sends the request built by `build_request` once a connection is available, and waits for the
+    /// response head. Dropping the future closes the connection.
     pub async fn send(
         &self,
         backend: &BackendId,
         address: SocketAddr,
         is_idempotent: bool,
-        written: impl Fn() -> Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, InUse)> {
-        let rest_ms = if is_idempotent { 0 } else { REST_MS };
+        build_request: impl Fn() -> Request<Full<Bytes>>,
+    ) -> Result<(Response<Incoming>, BusyConnection)> {
+        let min_idle_ms = if is_idempotent { 0 } else { REUSE_DELAY_MS };
         let not_sent = |detail: String| SendFailure::NotSent { address, detail };
         loop {
-            let kept = self.take(backend, rest_ms);
-            let is_kept = kept.is_some();
-            let mut sender = match kept {
+            let reused = self.take_idle(backend, min_idle_ms);
+            let is_reused = reused.is_some();
+            let mut sender = match reused {
                 Some(sender) => sender,
                 None => connect(address).await?,
             };
             if let Err(error) = sender.ready().await {
-                if is_kept {
+                if is_reused {
                     continue;
                 }
                 return Err(not_sent(error.to_string()));
             }
-            match sender.try_send_request(written()).await {
+            match sender.try_send_request(build_request()).await {
                 Ok(response) => {
-                    let in_use = InUse {
+                    let connection = BusyConnection {
                         sender,
                         backend: backend.clone(),
-                        keep: keep_time(response.headers()),
+                        idle_timeout: idle_timeout(response.headers()),
                         connections: self.clone(),
                     };
-                    return Ok((response, in_use));
+                    return Ok((response, connection));
                 }
                 Err(mut error) => match error.take_message() {
-                    Some(_) if is_kept => {}
+                    Some(_) if is_reused => {}
                     Some(_) => return Err(not_sent(error.into_error().to_string())),
                     None => {
                         let detail = error.into_error().to_string();
@@ -160,14 +162,18 @@
 
 async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>> {
     let not_sent = |detail: String| SendFailure::NotSent { address, detail };
-    let wait = Duration::from_millis(CONNECT_MS);
+    let wait = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let stream = match tokio::time::timeout(wait, TcpStream::connect(address)).await {
-        Err(_) => return Err(not_sent(format!("no connection within {CONNECT_MS} ms"))),
+        Err(_) => {
+            return Err(not_sent(format!(
+                "no connection within {CONNECT_TIMEOUT_MS} ms"
+            )));
+        }
         Ok(Err(error)) => return Err(not_sent(error.to_string())),
         Ok(Ok(stream)) => stream,
     };
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("no TCP_NODELAY towards {address}: {error}");
+        log::debug!("cannot set TCP_NODELAY on the connection to {address}: {error}");
     }
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|error| not_sent(error.to_string()))?;
@@ -179,20 +185,20 @@
     Ok(sender)
 }
 
-/// How long the connection may stay idle; zero where it closes with this answer.
-fn keep_time(headers: &HeaderMap) -> Duration {
+/// Time for which the connection may stay idle; zero if it closes after this response.
+fn idle_timeout(headers: &HeaderMap) -> Duration {
     let connection = headers.get(header::CONNECTION);
     if connection.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close")) {
         return Duration::ZERO;
     }
-    let told = headers
+    let stated = headers
         .get("keep-alive")
         .and_then(|value| value.to_str().ok());
-    let seconds = told.and_then(|text| {
+    let seconds = stated.and_then(|text| {
         let parts = text.split(',').map(str::trim);
         let mut times = parts.filter_map(|part| part.strip_prefix("timeout="));
         times.next()?.parse::<u64>().ok()
     });
-    let keep_ms = seconds.map_or(USUAL_KEEP_MS, |seconds| seconds * 1_000);
-    Duration::from_millis(keep_ms).mul_f64(KEEP_SHARE)
+    let timeout_ms = seconds.map_or(DEFAULT_IDLE_TIMEOUT_MS, |seconds| seconds * 1_000);
+    Duration::from_millis(timeout_ms).mul_f64(IDLE_TIMEOUT_SHARE)
 }
--- a/crates/foxtailhold-relay/src/crash_rows.rs
+++ b/crates/foxtailhold-relay/src/crash_rows.rs
@@ -1,25 +1,25 @@
-//! Persists evidence against requests in the platform's store, so that it outlives all instances.
+//! Persists crash evidence in the platform's store so that it survives a stop of all instances.
 
 use std::time::Duration;
 
 use foxtailhold::quarantine::Fingerprint;
 use foxtailhold_platform::{Changes, Committed, PlatformError, RowKey, RowStore};
 
-use crate::crashes::{CRASH_PREFIX, Crashes};
+use crate::crashes::{CRASH_PREFIX, CrashTracker};
 use crate::peers::{INSTANCES_TABLE, Peers};
 
-/// Pause between two looks at evidence that has expired.
-const LOOK_MS: u64 = 10_000;
-/// Pause before a failed write is tried again.
-const PAUSE_MS: u64 = 250;
+/// Interval between checks for expired evidence.
+const EXPIRY_CHECK_MS: u64 = 10_000;
+/// Delay before a failed write is retried.
+const RETRY_DELAY_MS: u64 = 250;
 
-/// Writes, deletes and sweeps rows until aborted.
+/// Writes and deletes rows of crash evidence until the task is aborted.
 pub async fn persist_crashes<S: RowStore>(store: S, peers: Peers) {
     let crashes = peers.crashes();
     loop {
         tokio::select! {
-            () = crashes.changed() => {}
-            () = tokio::time::sleep(Duration::from_millis(LOOK_MS)) => sweep(&store, &peers).await,
+            () = crashes.wait_dirty() => {}
+            () = tokio::time::sleep(Duration::from_millis(EXPIRY_CHECK_MS)) => sweep(&store, &peers).await,
         }
         loop {
             let dirty = crashes.take_dirty();
@@ -33,39 +33,40 @@
     }
 }
 
-/// Deletes rows of expired evidence; one instance does so.
+/// Deletes rows of expired evidence. Only the instance that is the allocator does so.
 async fn sweep<S: RowStore>(store: &S, peers: &Peers) {
-    let over = peers.crashes().expire(peers.wall());
+    let expired = peers.crashes().expire(peers.wall());
     if peers.members().allocator(peers.now()).is_some() {
         return;
     }
-    for fingerprint in over {
+    for fingerprint in expired {
         persist(store, peers.crashes(), fingerprint).await;
     }
 }
 
-async fn persist<S: RowStore>(store: &S, crashes: &Crashes, fingerprint: Fingerprint) {
+async fn persist<S: RowStore>(store: &S, crashes: &CrashTracker, fingerprint: Fingerprint) {
     loop {
         match write(store, crashes, fingerprint).await {
             Ok(true) => return,
             Ok(false) => {}
-            // A write without an answer may take effect later; then the next one finds its version.
+            // A write without a response may still take effect; the retry then finds its version.
             Err(error) => {
-                log::warn!(fingerprint:% = fingerprint; "evidence not persisted: {error}");
-                tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+                log::warn!(fingerprint:% = fingerprint; "crash evidence not persisted, retrying: {error}");
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
         }
     }
 }
 
-/// Writes or deletes a row; `false`: another instance came first, whose evidence is joined now.
+/// Writes or deletes one row. `false`: another instance changed the row first and its evidence has
+/// been merged.
 async fn write<S: RowStore>(
     store: &S,
-    crashes: &Crashes,
+    crashes: &CrashTracker,
     fingerprint: Fingerprint,
 ) -> Result<bool, PlatformError> {
     let key = RowKey::new(INSTANCES_TABLE, &format!("{CRASH_PREFIX}{fingerprint}"));
-    let (evidence, version) = crashes.row(fingerprint);
+    let (evidence, version) = crashes.desired_row(fingerprint);
     let mut changes = Changes {
         expected: vec![(key.clone(), version)],
         ..Changes::default()
@@ -77,23 +78,23 @@
         Some(evidence) => match serde_json::to_vec(&evidence) {
             Ok(value) => changes.puts.push((key, value.into())),
             Err(error) => {
-                log::error!(fingerprint:% = fingerprint; "evidence cannot be written: {error}");
+                log::error!(fingerprint:% = fingerprint; "cannot encode crash evidence: {error}");
                 return Ok(true);
             }
         },
     }
     match store.commit(&changes).await? {
         Committed::At(version) => {
-            crashes.persisted(fingerprint, has_evidence.then_some(version));
+            crashes.record_persisted(fingerprint, has_evidence.then_some(version));
             Ok(true)
         }
         Committed::Conflict(rows) => {
             if rows.is_empty() {
-                crashes.persisted(fingerprint, None);
+                crashes.record_persisted(fingerprint, None);
             }
             for row in &rows {
                 if let Some(key) = row.key.key.strip_prefix(CRASH_PREFIX) {
-                    crashes.take_row(key, row);
+                    crashes.apply_row(key, row);
                 }
             }
             Ok(false)
--- a/crates/foxtailhold-relay/src/crashes.rs
+++ b/crates/foxtailhold-relay/src/crashes.rs
@@ -1,5 +1,5 @@
-//! What this instance knows against requests that crash backend servers: what it saw, what others
-//! told, and what the platform's store keeps.
+//! Crash evidence against requests as known to this instance: its own observations, reports of
+//! other instances, and rows of the platform's store.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -11,167 +11,176 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Prefix of the keys of evidence.
+/// Key prefix of the rows with crash evidence.
 pub const CRASH_PREFIX: &str = "crash/";
-/// Evidence is persisted from so many crashes on: one is what each neighbour of a crash has,
-/// and all that the loss of all instances can make forgotten.
-const PERSISTED_CRASHES: usize = 2;
-/// A request on probation may run again after this time where its run came to nothing, longer than runs
-/// usually last.
-const PROBATION_RUN_MS: u64 = 5_000;
+/// Evidence is persisted from this number of crashes on. One crash is recorded against every
+/// request that was running at the same backend server, and is all that is lost if all instances
+/// stop at once.
+const MIN_PERSISTED_CRASHES: usize = 2;
+/// Time after which the next attempt of a request on probation is admitted if the previous one gave
+/// no result. It is longer than attempts usually take.
+const PROBATION_INTERVAL_MS: u64 = 5_000;
 
 #[derive(Debug, Default)]
-struct Known {
-    book: CrashBook,
-    /// Versions of the rows.
-    rows: HashMap<Fingerprint, u64>,
-    /// When requests on probation were admitted here.
-    probation_runs: HashMap<Fingerprint, MonoMs>,
-    /// Rows that differ from what this instance saw itself.
+struct CrashState {
+    registry: CrashBook,
+    /// Version of each known row.
+    row_versions: HashMap<Fingerprint, u64>,
+    /// When this instance last admitted an attempt of each request on probation.
+    probation_attempts: HashMap<Fingerprint, MonoMs>,
+    /// Requests whose row differs from the evidence of this instance.
     dirty: BTreeSet<Fingerprint>,
 }
 
-/// Evidence of all instances, cheap to clone.
+/// Crash evidence of all instances; cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct Crashes {
-    known: Arc<Mutex<Known>>,
-    changed: Arc<Notify>,
+pub struct CrashTracker {
+    state: Arc<Mutex<CrashState>>,
+    dirty_added: Arc<Notify>,
 }
 
-impl Crashes {
-    /// Whether nothing is known against any request.
+impl CrashTracker {
+    /// Whether there is no evidence against any request.
     pub fn is_empty(&self) -> bool {
-        self.known.lock().book.is_empty()
+        self.state.lock().registry.is_empty()
     }
 
-    /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint, now: WallMs) -> Standing {
-        self.known.lock().book.standing(fingerprint, now)
+    /// Whether a request may run, is on probation or is refused.
+    pub fn status(&self, fingerprint: Fingerprint, now: WallMs) -> Standing {
+        self.state.lock().registry.standing(fingerprint, now)
     }
 
-    /// Whether a request on probation may run now: one at a time.
+    /// Admits an attempt of a request on probation. At most one is admitted at a time.
     pub fn admit_on_probation(&self, fingerprint: Fingerprint, now: MonoMs) -> bool {
-        let mut known = self.known.lock();
-        let before = known.probation_runs.get(&fingerprint);
-        if before.is_some_and(|at| now.since_ms(*at) < PROBATION_RUN_MS) {
+        let mut state = self.state.lock();
+        let last_admitted = state.probation_attempts.get(&fingerprint);
+        if last_admitted.is_some_and(|at| now.since_ms(*at) < PROBATION_INTERVAL_MS) {
             return false;
         }
-        known.probation_runs.insert(fingerprint, now);
+        state.probation_attempts.insert(fingerprint, now);
         true
     }
 
-    /// How many backend servers a request has crashed.
-    pub fn count(&self, fingerprint: Fingerprint) -> usize {
-        self.known.lock().book.crashes(fingerprint)
+    /// Number of backend servers that crashed under a request.
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
+        self.state.lock().registry.crashes(fingerprint)
     }
 
-    /// Notes a crash that this instance saw; returns what others should hear.
-    pub fn crashed(
+    /// Records a crash seen by this instance. Returns the evidence to send to other instances, or
+    /// `None` if the crash was known.
+    pub fn record_crash(
         &self,
         fingerprint: Fingerprint,
         crash: CrashId,
         now: WallMs,
     ) -> Option<Evidence> {
-        let mut known = self.known.lock();
+        let mut state = self.state.lock();
         let backend = crash.backend.clone();
-        let evidence = known.book.crashed(fingerprint, crash, now)?.clone();
+        let evidence = state.registry.crashed(fingerprint, crash, now)?.clone();
         let crashes = evidence.crashes.len();
         log::warn!(
             fingerprint:% = fingerprint, backend = backend.as_str(), crashes = crashes,
             refused = crashes >= MOST_CRASHES;
-            "a backend server was lost under a request"
+            "backend server crashed under a request"
         );
-        if crashes >= PERSISTED_CRASHES {
-            known.dirty.insert(fingerprint);
-            self.changed.notify_one();
+        if crashes >= MIN_PERSISTED_CRASHES {
+            state.dirty.insert(fingerprint);
+            self.dirty_added.notify_one();
         }
         Some(evidence)
     }
 
-    /// Merges what another instance knows.
+    /// Merges the evidence of another instance.
     pub fn merge(&self, fingerprint: Fingerprint, evidence: &Evidence) {
-        self.known.lock().book.join(fingerprint, evidence);
+        self.state.lock().registry.join(fingerprint, evidence);
     }
 
-    /// Notes that a request was seen to run; returns whether others should hear of it. One crash is held
-    /// against every neighbour of one, does no harm and expires.
+    /// Clears a request that was seen to run. Returns whether other instances need to know. A
+    /// single crash need not be announced: it is held against every request at the same backend
+    /// server, restricts none of them and expires.
     pub fn clear(&self, fingerprint: Fingerprint) -> bool {
-        let mut known = self.known.lock();
-        let crashes = known.book.crashes(fingerprint);
-        known.book.clear(fingerprint);
-        known.probation_runs.remove(&fingerprint);
-        if known.rows.contains_key(&fingerprint) {
-            known.dirty.insert(fingerprint);
-            self.changed.notify_one();
+        let mut state = self.state.lock();
+        let crashes = state.registry.crashes(fingerprint);
+        state.registry.clear(fingerprint);
+        state.probation_attempts.remove(&fingerprint);
+        if state.row_versions.contains_key(&fingerprint) {
+            state.dirty.insert(fingerprint);
+            self.dirty_added.notify_one();
         }
-        crashes >= PERSISTED_CRASHES
+        crashes >= MIN_PERSISTED_CRASHES
     }
 
-    /// Takes a row; `key` is without its prefix.
-    pub fn take_row(&self, key: &str, row: &VersionedRow) {
+    /// Applies a row of the store; `key` has no prefix.
+    pub fn apply_row(&self, key: &str, row: &VersionedRow) {
         let fingerprint: Fingerprint = match key.parse() {
             Ok(fingerprint) => fingerprint,
             Err(error) => {
-                log::warn!("row {CRASH_PREFIX}{key} has no fingerprint: {error}");
+                log::warn!("ignoring row {CRASH_PREFIX}{key}, its key has no fingerprint: {error}");
                 return;
             }
         };
-        let mut known = self.known.lock();
-        if known
-            .rows
+        let mut state = self.state.lock();
+        if state
+            .row_versions
             .get(&fingerprint)
             .is_some_and(|version| *version >= row.version)
         {
             return;
         }
         let Some(value) = &row.value else {
-            known.rows.remove(&fingerprint);
-            known.book.clear(fingerprint);
+            state.row_versions.remove(&fingerprint);
+            state.registry.clear(fingerprint);
             return;
         };
-        known.rows.insert(fingerprint, row.version);
+        state.row_versions.insert(fingerprint, row.version);
         match serde_json::from_slice::<Evidence>(value) {
             Ok(evidence) => {
-                known.book.join(fingerprint, &evidence);
+                state.registry.join(fingerprint, &evidence);
             }
-            Err(error) => log::warn!("evidence {fingerprint} cannot be read: {error}"),
+            Err(error) => log::warn!("cannot decode crash evidence of {fingerprint}: {error}"),
         }
     }
 
     /// Waits until a row has to be written or deleted.
-    pub async fn changed(&self) {
-        self.changed.notified().await;
+    pub async fn wait_dirty(&self) {
+        self.dirty_added.notified().await;
     }
 
-    /// Takes the rows that have to be written or deleted.
+    /// Takes the fingerprints whose rows have to be written or deleted.
     pub fn take_dirty(&self) -> BTreeSet<Fingerprint> {
-        std::mem::take(&mut self.known.lock().dirty)
+        std::mem::take(&mut self.state.lock().dirty)
     }
 
-    /// A row as it should be, `None` where it should be deleted, and the version that it has, 0 where
-    /// there is none.
-    pub fn row(&self, fingerprint: Fingerprint) -> (Option<Evidence>, u64) {
-        let known = self.known.lock();
-        let version = known.rows.get(&fingerprint).copied().unwrap_or(0);
-        (known.book.evidence(fingerprint).cloned(), version)
+    /// Returns the evidence to store, `None` if the row has to be deleted, and the version of the
+    /// stored row, 0 if there is none.
+    pub fn desired_row(&self, fingerprint: Fingerprint) -> (Option<Evidence>, u64) {
+        let state = self.state.lock();
+        let version = state.row_versions.get(&fingerprint).copied().unwrap_or(0);
+        (state.registry.evidence(fingerprint).cloned(), version)
     }
 
-    /// Notes the version of a row that was written; `None`: it was deleted.
-    pub fn persisted(&self, fingerprint: Fingerprint, version: Option<u64>) {
-        let mut known = self.known.lock();
+    /// Records the version of a row that was written; `None` if it was deleted.
+    pub fn record_persisted(&self, fingerprint: Fingerprint, version: Option<u64>) {
+        let mut state = self.state.lock();
         match version {
-            Some(version) => known.rows.insert(fingerprint, version),
-            None => known.rows.remove(&fingerprint),
+            Some(version) => state.row_versions.insert(fingerprint, version),
+            None => state.row_versions.remove(&fingerprint),
         };
     }
 
-    /// Forgets what has expired; returns the fingerprints of rows without evidence.
+    /// Drops expired evidence. Returns the fingerprints of rows that no longer have any.
     pub fn expire(&self, now: WallMs) -> Vec<Fingerprint> {
-        let mut known = self.known.lock();
-        for fingerprint in known.book.expire(now) {
-            known.probation_runs.remove(&fingerprint);
+        let mut state = self.state.lock();
+        for fingerprint in state.registry.expire(now) {
+            state.probation_attempts.remove(&fingerprint);
         }
-        let is_over = |fingerprint: &&Fingerprint| known.book.evidence(**fingerprint).is_none();
-        known.rows.keys().filter(is_over).copied().collect()
+        let is_empty_row =
+            |fingerprint: &&Fingerprint| state.registry.evidence(**fingerprint).is_none();
+        state
+            .row_versions
+            .keys()
+            .filter(is_empty_row)
+            .copied()
+            .collect()
     }
 }
--- a/crates/foxtailhold-relay/src/dialect.rs
+++ b/crates/foxtailhold-relay/src/dialect.rs
@@ -1,59 +1,59 @@
-//! How backend servers are spoken to.
+//! HTTP headers exchanged with backend servers.
 
 use foxtailhold::ids::BackendId;
 use http::{HeaderMap, Response, StatusCode};
 
-/// What the product puts into a request.
+/// Metadata added to a request for a backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestMetadata<'a> {
-    /// Identity of the request, echoed by the backend server.
+    /// Identifier of the request, echoed by the backend server.
     pub request_id: &'a str,
-    /// Identity of the only backend server that may run it.
+    /// Identity of the only backend server that may run the request.
     pub backend: &'a BackendId,
-    /// Time left for the answer.
+    /// Time left for the response.
     pub left_ms: u64,
-    /// The event after which a stream goes on.
+    /// Event after which a stream resumes; `None` from the start.
     pub after_event: Option<u64>,
 }
 
-/// What the head of an answer says.
+/// What the head of a response states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseCheck {
-    /// The answer to this request.
+    /// It answers this request.
     Valid,
-    /// The backend server did not run the request and never will: it is full or leaving.
+    /// The backend server did not run the request and will not: it is full or leaving.
     NotRun,
-    /// Another backend server has the address; not run.
+    /// Another backend server has the address. The request did not run.
     WrongBackend,
-    /// An answer to another request, or one that cannot be trusted.
+    /// It answers another request, or cannot be trusted.
     Mismatched,
 }
 
-/// A backend server's load, as an answer tells it.
+/// Load of a backend server as stated in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are waiting.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrently running requests.
     pub slots: u32,
 }
 
-/// Names and meanings of headers towards backend servers.
+/// Names and meanings of the headers exchanged with backend servers.
 pub trait Dialect: Clone + Send + Sync + 'static {
-    /// Sets the product's headers in a request that carries the caller's.
+    /// Adds the metadata to the headers of the caller.
     fn write(&self, outgoing: &RequestMetadata<'_>, headers: &mut HeaderMap);
 
-    /// Reads the head of an answer.
+    /// Checks the head of a response to the request `request_id`.
     fn read<B>(&self, request_id: &str, response: &Response<B>) -> ResponseCheck;
 
-    /// The load that an answer tells.
+    /// Load stated in a response; `None` if it states none.
     fn load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
-    /// Whether this answer to a batch item means that it can never be done.
+    /// Whether this response to a batch item means that the item can never be completed.
     fn is_impossible(&self, status: StatusCode) -> bool;
 
-    /// Removes from an answer what is meant for this process only.
+    /// Removes headers that are meant for this process only.
     fn strip(&self, headers: &mut HeaderMap);
 }
--- a/crates/foxtailhold-relay/src/dispatch.rs
+++ b/crates/foxtailhold-relay/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Opaque requests: which backend server, how often, until when.
+//! Serves opaque requests: chooses backend servers and retries within the limits of the route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,61 +12,64 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use crate::attempts::Attempts;
-use crate::connections::InUse;
+use crate::attempts::AttemptBudget;
+use crate::connections::BusyConnection;
 use crate::dialect::Dialect;
-use crate::events::{EventReader, Step};
+use crate::events::{EventReader, StreamRead};
 use crate::fleet::BackendServer;
-use crate::metrics::RunEnd;
-use crate::peers::{NoPlace, Place, PlaceQuery};
-use crate::plain::PlainLoads;
-use crate::relay::{FIRST_EVENT_PATIENCE_MS, LostRun, PLAIN_RETRY_AFTER_MS, Relay, exchange};
+use crate::metrics::AttemptOutcome;
+use crate::peers::{Slot, SlotError, SlotQuery};
+use crate::plain::PlainServiceLoads;
+use crate::relay::{
+    FIRST_EVENT_TIMEOUT_MS, FailedAttempt, PLAIN_RETRY_AFTER_MS, Relay, upstream_request,
+};
 use crate::request::{NotRunReason, OpaqueRequest, RelayOutcome, Unserved};
-use crate::stream::{Leg, Pump};
-use crate::upstream::{self, Miss};
+use crate::stream::{StreamAttempt, StreamForwarder};
+use crate::upstream::{self, AttemptFailure};
 
-/// The answer must be on its way this long before the caller gives up.
-const RETURN_MS: u64 = 15;
-/// An idempotent whole answer is tried elsewhere after so many objectives.
-const WHOLE_PATIENCE_OBJECTIVES: u64 = 2;
-/// Callers come back after this time where no backend server is known.
+/// Time reserved for returning the response before the caller's timeout.
+const RETURN_MARGIN_MS: u64 = 15;
+/// An attempt of an idempotent request with a buffered response times out after this many times the
+/// latency objective of the route; the request is then retried at another backend server.
+const BUFFERED_TIMEOUT_OBJECTIVES: u64 = 2;
+/// Retry delay given to callers if no backend server is known.
 const NO_BACKEND_RETRY_AFTER_MS: u64 = 400;
 
-/// The way of one request so far.
+/// State of one request while it is being served.
 #[derive(Debug)]
-pub struct Progress {
-    /// How often it ran.
-    pub attempts: Attempts,
-    /// Who answered.
+pub struct RequestProgress {
+    /// Attempts made and left.
+    pub attempts: AttemptBudget,
+    /// Backend server whose response is passed on; `None` while there is none.
     pub served_by: Option<BackendId>,
-    /// Time spent waiting for places.
+    /// Total time spent waiting for slots.
     pub waited_ms: u64,
 }
 
-impl Progress {
+impl RequestProgress {
     fn new(request: &OpaqueRequest, route: &Route) -> Self {
         let mut left_ms = u64::MAX >> 20;
         if route.timeout_ms > 0 {
             left_ms = route.timeout_ms;
         }
         if let Some(caller_timeout_ms) = request.caller_timeout_ms {
-            left_ms = left_ms.min(caller_timeout_ms.saturating_sub(RETURN_MS));
+            left_ms = left_ms.min(caller_timeout_ms.saturating_sub(RETURN_MARGIN_MS));
         }
-        Progress {
-            attempts: Attempts::new(request.received + Duration::from_millis(left_ms)),
+        RequestProgress {
+            attempts: AttemptBudget::new(request.received + Duration::from_millis(left_ms)),
             served_by: None,
             waited_ms: 0,
         }
     }
 
     fn unserved(&self, reason: NotRunReason, retry_after_ms: u64) -> Unserved {
-        if self.attempts.runs == 0 {
+        if self.attempts.maybe_executed == 0 {
             return Unserved::NotRun {
                 reason,
                 retry_after_ms,
             };
         }
-        if Instant::now() >= self.attempts.until {
+        if Instant::now() >= self.attempts.deadline {
             return Unserved::TimedOut;
         }
         Unserved::MayHaveRun
@@ -74,14 +77,14 @@
 }
 
 impl<D: Dialect> Relay<D> {
-    /// Answers a request of a route.
+    /// Serves one request of `route`.
     pub async fn serve(self: &Arc<Self>, route: &Route, request: OpaqueRequest) -> RelayOutcome {
-        let mut progress = Progress::new(&request, route);
-        if let Some(retry_after_ms) = self.refused_ms(&request) {
+        let mut progress = RequestProgress::new(&request, route);
+        if let Some(retry_after_ms) = self.refusal_ms(&request) {
             let reason = NotRunReason::Crashing;
-            let answer = RelayOutcome::Unserved(progress.unserved(reason, retry_after_ms));
-            self.note(route, &request.id, request.received, &progress, &answer);
-            return answer;
+            let result = RelayOutcome::Unserved(progress.unserved(reason, retry_after_ms));
+            self.record_outcome(route, &request.id, request.received, &progress, &result);
+            return result;
         }
         let service = route.service(rand::random()).clone();
         let is_engine = self
@@ -90,34 +93,34 @@
             .service(&service)
             .is_some_and(|bounds| bounds.is_engine);
         let (id, received) = (request.id.clone(), request.received);
-        let answer = if is_engine {
+        let result = if is_engine {
             self.serve_engine(route, &service, request, &mut progress)
                 .await
         } else {
             self.serve_plain(route, &service, &request, &mut progress)
                 .await
         };
-        self.note(route, &id, received, &progress, &answer);
-        answer
+        self.record_outcome(route, &id, received, &progress, &result);
+        result
     }
 
-    fn note(
+    fn record_outcome(
         &self,
         route: &Route,
         id: &str,
         received: Instant,
-        progress: &Progress,
-        answer: &RelayOutcome,
+        progress: &RequestProgress,
+        result: &RelayOutcome,
     ) {
-        let outcome = match answer {
+        let outcome = match result {
             RelayOutcome::Served(_) => "served",
             RelayOutcome::Unserved(Unserved::NotRun { .. }) => "not_run",
             RelayOutcome::Unserved(Unserved::MayHaveRun) => "may_have_run",
             RelayOutcome::Unserved(Unserved::TimedOut) => "timed_out",
         };
         let took_ms = received.elapsed().as_millis() as u64;
-        self.metrics.answered(&route.name, outcome, took_ms);
-        let (reason, retry_after_ms) = match answer {
+        self.metrics.record_response(&route.name, outcome, took_ms);
+        let (reason, retry_after_ms) = match result {
             RelayOutcome::Unserved(Unserved::NotRun {
                 reason,
                 retry_after_ms,
@@ -143,31 +146,33 @@
             backend = progress.served_by.as_ref().map(BackendId::as_str),
             retry_after_ms = retry_after_ms,
             allocator = allocator.as_ref().map_or("self", |instance| instance.as_str()),
-            attempts = progress.attempts.runs,
-            not_run = progress.attempts.not_run,
-            missed = progress.attempts.tried_names(),
+            attempts = progress.attempts.maybe_executed,
+            not_run = progress.attempts.not_executed,
+            missed = progress.attempts.failed_backend_names(),
             config = self.routes.load().version();
-            "answered"
+            "request answered"
         );
     }
 
-    /// Notes a lost run; `true`: the request may run once more.
-    fn may_go_on(
+    /// Records a failed attempt. Returns whether the request may be retried.
+    fn record_failed_attempt(
         &self,
         route: &Route,
         request: &OpaqueRequest,
-        progress: &mut Progress,
+        progress: &mut RequestProgress,
         backend: &BackendServer,
-        miss: Miss,
+        failure: AttemptFailure,
     ) -> bool {
-        let lost = LostRun {
+        let failed = FailedAttempt {
             backend,
-            cause: miss,
+            cause: failure,
             events: 0,
         };
-        self.note_miss(request, &lost, &progress.attempts);
-        let may_go_on = progress.attempts.lost(miss, &backend.id, route);
-        may_go_on && self.refused_ms(request).is_none()
+        self.log_failed_attempt(request, &failed, &progress.attempts);
+        let may_retry = progress
+            .attempts
+            .record_failure(failure, &backend.id, route);
+        may_retry && self.refusal_ms(request).is_none()
     }
 
     async fn serve_plain(
@@ -175,14 +180,14 @@
         route: &Route,
         service: &TargetName,
         request: &OpaqueRequest,
-        progress: &mut Progress,
+        progress: &mut RequestProgress,
     ) -> RelayOutcome {
         loop {
             let now = self.clock.mono();
             let chosen = {
                 let backends = self.backends.load();
-                let (all, zone) = (backends.of(service), self.peers.zone());
-                let tried = &progress.attempts.tried;
+                let (all, zone) = (backends.for_service(service), self.peers.zone());
+                let tried = &progress.attempts.failed_backends;
                 self.plain.choose(now, all, tried, zone, rand::random())
             };
             let Some(backend) = chosen else {
@@ -191,44 +196,55 @@
                     progress.unserved(reason, NO_BACKEND_RETRY_AFTER_MS),
                 );
             };
-            let mut counted = Counted {
+            let mut in_flight = InFlightGuard {
                 loads: &self.plain,
                 clock: &self.clock,
                 backend: &backend.id,
                 outcome: Outcome::Abandoned,
             };
-            let begun = Instant::now();
-            let unsettled = self.watch_run(request, &backend);
-            let exchanged = self.whole(route, request, progress, &backend).await;
-            unsettled.settle();
-            match exchanged {
+            let started = Instant::now();
+            let pending = self.track_attempt(request, &backend);
+            let response = self
+                .fetch_buffered(route, request, progress, &backend)
+                .await;
+            pending.resolve();
+            match response {
                 Ok(response) => {
                     let load = self.dialect.load(response.headers());
                     if let Some(load) = load {
-                        self.plain.told(self.clock.mono(), &backend.id, load);
+                        self.plain.record_load(self.clock.mono(), &backend.id, load);
                     }
                     let has_failed = response.status().is_server_error();
                     self.metrics
-                        .run_ended(&backend.id, whole_end(has_failed), begun);
-                    counted.outcome = match has_failed {
+                        .attempt_ended(&backend.id, buffered_outcome(has_failed), started);
+                    in_flight.outcome = match has_failed {
                         true => Outcome::Broken,
                         false => Outcome::Done { held_ms: 0 },
                     };
                     if !has_failed {
-                        self.note_run(|| request.fingerprint());
+                        self.record_execution(|| request.fingerprint());
                     }
                     let is_final = !has_failed
-                        || !self.may_go_on(route, request, progress, &backend, Miss::Failed);
+                        || !self.record_failed_attempt(
+                            route,
+                            request,
+                            progress,
+                            &backend,
+                            AttemptFailure::Failed,
+                        );
                     if is_final {
                         progress.served_by = Some(backend.id.clone());
-                        return self.passed_on(response.map(body::whole));
+                        return self.relay_response(response.map(body::whole));
                     }
                 }
-                Err(miss) => {
-                    self.metrics
-                        .run_ended(&backend.id, RunEnd::Lost(miss), begun);
-                    counted.outcome = miss.outcome();
-                    if !self.may_go_on(route, request, progress, &backend, miss) {
+                Err(failure) => {
+                    self.metrics.attempt_ended(
+                        &backend.id,
+                        AttemptOutcome::Failed(failure),
+                        started,
+                    );
+                    in_flight.outcome = failure.outcome();
+                    if !self.record_failed_attempt(route, request, progress, &backend, failure) {
                         let reason = NotRunReason::NotTaken;
                         return RelayOutcome::Unserved(
                             progress.unserved(reason, PLAIN_RETRY_AFTER_MS),
@@ -239,24 +255,29 @@
         }
     }
 
-    async fn whole(
+    async fn fetch_buffered(
         &self,
         route: &Route,
         request: &OpaqueRequest,
-        progress: &Progress,
+        progress: &RequestProgress,
         backend: &BackendServer,
-    ) -> Result<Response<bytes::Bytes>, Miss> {
-        let patience_ms = route.objective_ms * WHOLE_PATIENCE_OBJECTIVES;
-        let patience_until = progress.attempts.patience_until(route, patience_ms);
-        let sent = exchange(request, route, request.after_event);
-        let (response, in_use) = self
-            .send_to(backend, &sent, progress.attempts.until, patience_until)
+    ) -> Result<Response<bytes::Bytes>, AttemptFailure> {
+        let timeout_ms = route.objective_ms * BUFFERED_TIMEOUT_OBJECTIVES;
+        let response_deadline = progress.attempts.response_deadline(route, timeout_ms);
+        let to_send = upstream_request(request, route, request.after_event);
+        let (response, connection) = self
+            .send_to(
+                backend,
+                &to_send,
+                progress.attempts.deadline,
+                response_deadline,
+            )
             .await?;
-        upstream::read_whole(response, in_use, patience_until).await
+        upstream::read_whole(response, connection, response_deadline).await
     }
 
-    /// Marks an answer as the backend server's own.
-    fn passed_on(&self, mut response: Response<body::AnswerBody>) -> RelayOutcome {
+    /// Removes the headers meant for this process and passes the response on to the caller.
+    fn relay_response(&self, mut response: Response<body::AnswerBody>) -> RelayOutcome {
         self.dialect.strip(response.headers_mut());
         RelayOutcome::Served(response)
     }
@@ -266,30 +287,30 @@
         route: &Route,
         service: &TargetName,
         request: OpaqueRequest,
-        progress: &mut Progress,
+        progress: &mut RequestProgress,
     ) -> RelayOutcome {
         loop {
             let spent_ms = request.received.elapsed().as_millis() as u64;
-            let asked = Instant::now();
-            let (place, backend) = {
-                let query = PlaceQuery {
+            let requested = Instant::now();
+            let (slot, backend) = {
+                let query = SlotQuery {
                     pool: service,
                     urgency: Urgency::Online {
                         priority: route.priority,
                     },
                     slack_ms: route.objective_ms.saturating_sub(spent_ms),
-                    avoid: &progress.attempts.tried,
-                    until: progress.attempts.until,
+                    avoid: &progress.attempts.failed_backends,
+                    deadline: progress.attempts.deadline,
                 };
-                let found = self.place(&query).await;
-                progress.waited_ms += asked.elapsed().as_millis() as u64;
-                match found {
-                    Ok(found) => found,
-                    Err(NoPlace::Refused { retry_after_ms }) => {
-                        let reason = NotRunReason::NoPlace;
+                let granted = self.acquire_slot(&query).await;
+                progress.waited_ms += requested.elapsed().as_millis() as u64;
+                match granted {
+                    Ok(granted) => granted,
+                    Err(SlotError::Refused { retry_after_ms }) => {
+                        let reason = NotRunReason::NoSlot;
                         return RelayOutcome::Unserved(progress.unserved(reason, retry_after_ms));
                     }
-                    Err(NoPlace::TimedOut) => {
+                    Err(SlotError::TimedOut) => {
                         let reason = NotRunReason::Waited;
                         return RelayOutcome::Unserved(
                             progress.unserved(reason, PLAIN_RETRY_AFTER_MS),
@@ -297,55 +318,66 @@
                     }
                 }
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             progress.served_by = Some(backend.id.clone());
-            let unsettled = self.watch_run(&request, &backend);
-            let opened = self.open(route, &request, progress, &backend, &place).await;
-            unsettled.settle();
-            match opened {
-                Ok(Opened::Whole(response)) => {
+            let pending = self.track_attempt(&request, &backend);
+            let response = self
+                .open_response(route, &request, progress, &backend, &slot)
+                .await;
+            pending.resolve();
+            match response {
+                Ok(OpenedResponse::Buffered(response)) => {
                     let has_failed = response.status().is_server_error();
                     self.metrics
-                        .run_ended(&backend.id, whole_end(has_failed), begun);
-                    place.close(match has_failed {
+                        .attempt_ended(&backend.id, buffered_outcome(has_failed), started);
+                    slot.close(match has_failed {
                         true => Outcome::Broken,
                         false => Outcome::Done {
-                            held_ms: begun.elapsed().as_millis() as u64,
+                            held_ms: started.elapsed().as_millis() as u64,
                         },
                     });
                     if !has_failed {
-                        self.note_run(|| request.fingerprint());
-                    } else if self.may_go_on(route, &request, progress, &backend, Miss::Failed) {
+                        self.record_execution(|| request.fingerprint());
+                    } else if self.record_failed_attempt(
+                        route,
+                        &request,
+                        progress,
+                        &backend,
+                        AttemptFailure::Failed,
+                    ) {
                         continue;
                     }
-                    return self.passed_on(response.map(body::whole));
+                    return self.relay_response(response.map(body::whole));
                 }
-                Ok(Opened::Stream(head, reader, first)) => {
+                Ok(OpenedResponse::Stream(head, reader, first)) => {
                     let (sender, stream) = body::streamed();
-                    let pump = Pump {
+                    let forwarder = StreamForwarder {
                         relay: Arc::clone(self),
                         route: route.clone(),
                         service: service.clone(),
                         request,
                         attempts: progress.attempts.clone(),
                     };
-                    let leg = Leg {
-                        place,
+                    let attempt = StreamAttempt {
+                        slot,
                         backend,
-                        begun,
+                        started,
                         reader,
                         events: 0,
                     };
-                    tokio::spawn(pump.run(sender, leg, first));
+                    tokio::spawn(forwarder.run(sender, attempt, first));
                     let response = Response::from_parts(head, stream);
-                    return self.passed_on(response);
+                    return self.relay_response(response);
                 }
-                Err(miss) => {
-                    self.metrics
-                        .run_ended(&backend.id, RunEnd::Lost(miss), begun);
-                    place.close(miss.outcome());
+                Err(failure) => {
+                    self.metrics.attempt_ended(
+                        &backend.id,
+                        AttemptOutcome::Failed(failure),
+                        started,
+                    );
+                    slot.close(failure.outcome());
                     progress.served_by = None;
-                    if !self.may_go_on(route, &request, progress, &backend, miss) {
+                    if !self.record_failed_attempt(route, &request, progress, &backend, failure) {
                         let reason = NotRunReason::NotTaken;
                         return RelayOutcome::Unserved(
                             progress.unserved(reason, PLAIN_RETRY_AFTER_MS),
@@ -356,75 +388,82 @@
         }
     }
 
-    async fn open(
+    async fn open_response(
         &self,
         route: &Route,
         request: &OpaqueRequest,
-        progress: &Progress,
+        progress: &RequestProgress,
         backend: &BackendServer,
-        place: &Place,
-    ) -> Result<Opened, Miss> {
-        let patience_until = progress
+        slot: &Slot,
+    ) -> Result<OpenedResponse, AttemptFailure> {
+        let response_deadline = progress
             .attempts
-            .patience_until(route, FIRST_EVENT_PATIENCE_MS);
-        let sent = exchange(request, route, request.after_event);
-        let (response, in_use) = self
-            .send_to(backend, &sent, progress.attempts.until, patience_until)
+            .response_deadline(route, FIRST_EVENT_TIMEOUT_MS);
+        let to_send = upstream_request(request, route, request.after_event);
+        let (response, connection) = self
+            .send_to(
+                backend,
+                &to_send,
+                progress.attempts.deadline,
+                response_deadline,
+            )
             .await?;
-        place.sign();
+        slot.record_activity();
         if !route.repeat.is_stream() || !response.status().is_success() {
-            let whole = upstream::read_whole(response, in_use, progress.attempts.until).await?;
-            return Ok(Opened::Whole(whole));
+            let buffered =
+                upstream::read_whole(response, connection, progress.attempts.deadline).await?;
+            return Ok(OpenedResponse::Buffered(buffered));
         }
-        self.first_event(response, in_use, request.after_event, patience_until)
+        self.first_event(response, connection, request.after_event, response_deadline)
             .await
     }
 
     async fn first_event(
         &self,
         response: Response<Incoming>,
-        in_use: InUse,
+        connection: BusyConnection,
         after: Option<u64>,
-        patience_until: Instant,
-    ) -> Result<Opened, Miss> {
+        response_deadline: Instant,
+    ) -> Result<OpenedResponse, AttemptFailure> {
         let (head, body) = response.into_parts();
-        let mut reader = EventReader::new(body, in_use, after);
-        let patience_ms = patience_until
+        let mut reader = EventReader::new(body, connection, after);
+        let timeout_ms = response_deadline
             .saturating_duration_since(Instant::now())
             .as_millis() as u64;
-        match reader.next(patience_ms, patience_until).await {
-            Step::Silent => Err(Miss::Silent),
-            Step::Closed => Err(Miss::Closed),
-            Step::Broken => Err(Miss::Broken),
-            first => Ok(Opened::Stream(head, Box::new(reader), first)),
+        match reader.read_event(timeout_ms, response_deadline).await {
+            StreamRead::Silent => Err(AttemptFailure::Silent),
+            StreamRead::Closed => Err(AttemptFailure::Closed),
+            StreamRead::Broken => Err(AttemptFailure::Broken),
+            first => Ok(OpenedResponse::Stream(head, Box::new(reader), first)),
         }
     }
 }
 
-fn whole_end(has_failed: bool) -> RunEnd {
+fn buffered_outcome(has_failed: bool) -> AttemptOutcome {
     match has_failed {
-        true => RunEnd::Lost(Miss::Failed),
-        false => RunEnd::Done,
+        true => AttemptOutcome::Failed(AttemptFailure::Failed),
+        false => AttemptOutcome::Done,
     }
 }
 
-enum Opened {
-    Whole(Response<bytes::Bytes>),
-    Stream(http::response::Parts, Box<EventReader>, Step),
+enum OpenedResponse {
+    Buffered(Response<bytes::Bytes>),
+    Stream(http::response::Parts, Box<EventReader>, StreamRead),
 }
 
-/// A request counted at a plain backend server until it ends, also where its caller leaves.
-struct Counted<'a> {
-    loads: &'a PlainLoads,
+/// Counts a request as in flight at a plain backend server until dropped, which also covers callers
+/// that disconnect.
+struct InFlightGuard<'a> {
+    loads: &'a PlainServiceLoads,
     clock: &'a Clock,
     backend: &'a BackendId,
     outcome: Outcome,
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let now = self.clock.mono();
         self.loads
-            .done(now, self.backend, self.outcome, rand::random());
+            .record_end(now, self.backend, self.outcome, rand::random());
     }
 }
--- a/crates/foxtailhold-relay/src/events.rs
+++ b/crates/foxtailhold-relay/src/events.rs
@@ -1,4 +1,4 @@
-//! Events of a stream, whole and in order.
+//! Reads the events of a stream, complete and in order.
 
 use std::time::Duration;
 
@@ -7,65 +7,65 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use crate::connections::InUse;
+use crate::connections::BusyConnection;
 
-/// What comes next in a stream.
+/// Result of reading from a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
-    /// A whole event.
+pub enum StreamRead {
+    /// A complete event.
     Event(RawEvent),
     /// The stream is complete.
     End,
-    /// The connection ended before the stream did.
+    /// The connection ended in the middle of the stream.
     Closed,
-    /// An event is missing or comes twice, or is too large.
+    /// An event is missing, repeated or too large.
     Broken,
-    /// Nothing came for too long.
+    /// Nothing was received before the time limit.
     Silent,
 }
 
-/// Reads the events of one answer.
+/// Reads the events of one response.
 #[derive(Debug)]
 pub struct EventReader {
     body: Incoming,
-    in_use: InUse,
+    connection: BusyConnection,
     cutter: EventCutter,
     last_id: Option<u64>,
 }
 
 impl EventReader {
-    /// Reads an answer that goes on after the event `after`, if given.
-    pub fn new(body: Incoming, in_use: InUse, after: Option<u64>) -> Self {
+    /// Reads a response that continues after the event `after`, or from the start.
+    pub fn new(body: Incoming, connection: BusyConnection, after: Option<u64>) -> Self {
         EventReader {
             body,
-            in_use,
+            connection,
             cutter: EventCutter::default(),
             last_id: after,
         }
     }
 
-    /// Identifier of the last event.
+    /// Identifier of the last event; `None` if there is none.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// The next step, at most `patience_ms` from now and not after `until`.
-    pub async fn next(&mut self, patience_ms: u64, until: Instant) -> Step {
-        let limit = until.min(Instant::now() + Duration::from_millis(patience_ms));
+    /// Reads the next event, for at most `timeout_ms` and not beyond `deadline`.
+    pub async fn read_event(&mut self, timeout_ms: u64, deadline: Instant) -> StreamRead {
+        let read_deadline = deadline.min(Instant::now() + Duration::from_millis(timeout_ms));
         loop {
             if let Some(event) = self.cutter.next_event() {
-                return self.checked(event);
+                return self.check_order(event);
             }
             if self.cutter.is_oversized() {
-                return Step::Broken;
+                return StreamRead::Broken;
             }
-            let frame = match tokio::time::timeout_at(limit, self.body.frame()).await {
-                Err(_) => return Step::Silent,
-                Ok(None) if self.cutter.pending_bytes() > 0 => return Step::Closed,
-                Ok(None) => return Step::End,
+            let frame = match tokio::time::timeout_at(read_deadline, self.body.frame()).await {
+                Err(_) => return StreamRead::Silent,
+                Ok(None) if self.cutter.pending_bytes() > 0 => return StreamRead::Closed,
+                Ok(None) => return StreamRead::End,
                 Ok(Some(Err(error))) => {
-                    log::debug!("a stream broke off: {error}");
-                    return Step::Closed;
+                    log::debug!("connection of a stream failed: {error}");
+                    return StreamRead::Closed;
                 }
                 Ok(Some(Ok(frame))) => frame,
             };
@@ -75,31 +75,34 @@
         }
     }
 
-    fn checked(&mut self, event: RawEvent) -> Step {
+    fn check_order(&mut self, event: RawEvent) -> StreamRead {
         let Some(id) = event_id(&event) else {
-            return Step::Event(event);
+            return StreamRead::Event(event);
         };
         if self.last_id.is_some_and(|last| id != last + 1) {
-            log::warn!("event {id} came after {:?}", self.last_id);
-            return Step::Broken;
+            log::warn!(
+                "event {id} out of order in a stream, last event was {:?}",
+                self.last_id
+            );
+            return StreamRead::Broken;
         }
         self.last_id = Some(id);
-        Step::Event(event)
+        StreamRead::Event(event)
     }
 
-    /// Keeps the connection after the end of the stream.
+    /// Returns the connection for reuse after the end of the stream.
     pub fn close(self) {
-        self.in_use.put_back();
+        self.connection.put_back();
     }
 }
 
-/// The identifier of an event.
+/// Numeric identifier of an event; `None` if it has none.
 pub fn event_id(event: &RawEvent) -> Option<u64> {
     let text = std::str::from_utf8(event.field("id")?).ok()?;
     text.trim().parse().ok()
 }
 
-/// Appends the data lines of an event, separated by line feeds.
+/// Appends the data lines of an event to `text`, separated by line feeds.
 pub fn push_data(text: &mut Vec<u8>, event: &RawEvent, is_first: bool) {
     let mut is_first = is_first;
     for line in event.raw.split(|byte| *byte == b'\n') {
--- a/crates/foxtailhold-relay/src/feeds.rs
+++ b/crates/foxtailhold-relay/src/feeds.rs
@@ -1,4 +1,4 @@
-//! What an instance learns from the platform's tables: routes, backend servers, other instances.
+//! Applies the platform's tables of routes, backend servers and instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,104 +12,106 @@
 
 use crate::crashes::CRASH_PREFIX;
 use crate::dialect::Dialect;
-use crate::fleet::{BackendServer, FleetBook};
-use crate::follow::Sink;
+use crate::fleet::{BackendServer, FleetTable};
+use crate::follow::TableSink;
 use crate::peers::{Member, Peers};
 use crate::platform_tables::PlatformTables;
 use crate::relay::Relay;
 
-/// Pause between two looks at entries that time alone changes.
-const LOOK_MS: u64 = 200;
+/// Interval between checks of entries that only expire by time.
+const EXPIRY_CHECK_MS: u64 = 200;
 
-/// Feeds routes.
+/// Applies changes of the route table.
 pub(crate) struct RoutesSink<D, R> {
     pub(crate) relay: Arc<Relay<D>>,
-    pub(crate) fleet: Fleet<D, R>,
-    pub(crate) sources: R,
+    pub(crate) backends_sink: BackendsSink<D, R>,
+    pub(crate) tables: R,
 }
 
 impl<D: Dialect, R: PlatformTables> RoutesSink<D, R> {
-    fn take(&self, rows: &[VersionedRow]) {
-        let key = self.sources.routes_location().1;
+    fn apply_rows(&self, rows: &[VersionedRow]) {
+        let key = self.tables.routes_location().1;
         for row in rows {
             if row.key.key != key {
                 continue;
             }
             let Some(value) = &row.value else {
-                log::warn!("the routes were deleted; the last ones stay in force");
+                log::warn!("route table deleted from the store, keeping the current one");
                 continue;
             };
-            match self.sources.read_routes(value) {
-                Ok(table) => self.apply(table),
-                Err(error) => log::error!(row = row.version; "routes refused: {error}"),
+            match self.tables.read_routes(value) {
+                Ok(table) => self.apply_table(table),
+                Err(error) => {
+                    log::error!(row = row.version; "route table rejected, keeping the current one: {error}")
+                }
             }
         }
     }
 
-    fn apply(&self, table: RouteTable) {
-        let known = self.relay.routes.load().version();
-        if table.version() <= known {
+    fn apply_table(&self, table: RouteTable) {
+        let current = self.relay.routes.load().version();
+        if table.version() <= current {
             return;
         }
-        log::info!(version = table.version(), before = known; "routes in force");
+        log::info!(version = table.version(), before = current; "route table in effect");
         self.relay.routes.store(Arc::new(table));
-        self.fleet.publish();
+        self.backends_sink.publish();
     }
 }
 
-impl<D: Dialect, R: PlatformTables> Sink for RoutesSink<D, R> {
+impl<D: Dialect, R: PlatformTables> TableSink for RoutesSink<D, R> {
     fn replace(&mut self, snapshot: Snapshot) {
-        self.take(&snapshot.rows);
+        self.apply_rows(&snapshot.rows);
     }
 
     fn change(&mut self, rows: Vec<VersionedRow>) {
-        self.take(&rows);
+        self.apply_rows(&rows);
     }
 
-    fn answered(&mut self, is_sound: bool) {
-        if is_sound {
+    fn call_ended(&mut self, is_ok: bool) {
+        if is_ok {
             self.relay.metrics.config_confirmed();
         }
     }
 }
 
-/// What a row says of a backend server.
+/// Decoded row of a backend server.
 enum Entry {
     Backend(BackendServer),
-    /// Of another writer: it names no backend server to use.
+    /// Written by something other than a backend server; names none that can be used.
     Unreadable,
     Deleted,
 }
 
-/// Feeds backend servers.
-pub(crate) struct Fleet<D, R> {
+/// Applies changes of the backend servers.
+pub(crate) struct BackendsSink<D, R> {
     pub(crate) relay: Arc<Relay<D>>,
-    pub(crate) book: Arc<Mutex<FleetBook>>,
-    pub(crate) sources: R,
-    pub(crate) known: watch::Sender<bool>,
+    pub(crate) table: Arc<Mutex<FleetTable>>,
+    pub(crate) tables: R,
+    pub(crate) loaded: watch::Sender<bool>,
 }
 
-impl<D, R: Clone> Clone for Fleet<D, R> {
+impl<D, R: Clone> Clone for BackendsSink<D, R> {
     fn clone(&self) -> Self {
-        Fleet {
+        BackendsSink {
             relay: Arc::clone(&self.relay),
-            book: Arc::clone(&self.book),
-            sources: self.sources.clone(),
-            known: self.known.clone(),
+            table: Arc::clone(&self.table),
+            tables: self.tables.clone(),
+            loaded: self.loaded.clone(),
         }
     }
 }
 
-impl<D: Dialect, R: PlatformTables> Fleet<D, R> {
-    fn book(&self) -> MutexGuard<'_, FleetBook> {
-        self.book.lock()
+impl<D: Dialect, R: PlatformTables> BackendsSink<D, R> {
+    fn table(&self) -> MutexGuard<'_, FleetTable> {
+        self.table.lock()
     }
 
-    fn read(&self, row: &VersionedRow) -> Entry {
+    fn decode(&self, row: &VersionedRow) -> Entry {
         let Some(value) = row.value.as_ref() else {
             return Entry::Deleted;
         };
-        match self.sources.read_backend(&row.key.key, value) {
+        match self.tables.read_backend(&row.key.key, value) {
             Ok(backend) => Entry::Backend(backend),
             Err(error) => {
                 self.relay.metrics.unreadable_row();
@@ -119,122 +121,125 @@
         }
     }
 
-    fn take(&self, now: MonoMs, row: &VersionedRow) {
+    fn apply_row(&self, now: MonoMs, row: &VersionedRow) {
         let identity = match BackendId::try_from(row.key.key.as_str()) {
             Ok(identity) => identity,
             Err(error) => {
-                log::warn!("row {}: {error}", row.key.key);
+                log::warn!("ignoring row {} of a backend server: {error}", row.key.key);
                 return;
             }
         };
-        match self.read(row) {
+        match self.decode(row) {
             Entry::Backend(backend) => {
                 log::info!(
                     backend = backend.id.as_str(), leaving = backend.is_leaving,
                     version = row.version; "backend server listed"
                 );
-                self.book().put(now, backend);
+                self.table().put(now, backend);
             }
-            Entry::Unreadable => self.book().refuse(&identity),
+            Entry::Unreadable => self.table().remove_unreadable(&identity),
             Entry::Deleted => {
                 log::info!(backend = identity.as_str(), version = row.version; "backend server removed");
-                self.book().remove(now, &identity);
+                self.table().remove(now, &identity);
             }
         }
     }
 
-    /// Notes the crashes that showed by a new start only.
-    fn settle_runs(&self) {
+    /// Records the crashes that only show by a new start of the backend server.
+    fn report_restart_crashes(&self) {
         let now = self.relay.clock.mono();
         let crashed = {
-            let book = self.book();
-            let newest_start = |identity: &BackendId| book.newest_start(identity);
-            self.relay.unsettled_runs.take_crashed(now, newest_start)
+            let table = self.table();
+            let newest_start = |identity: &BackendId| table.newest_start(identity);
+            self.relay.pending_attempts.take_crashed(now, newest_start)
         };
         for (fingerprint, crash) in crashed {
-            self.relay.peers.crashed(fingerprint, crash);
+            self.relay.peers.record_crash(fingerprint, crash);
         }
     }
 
-    /// Publishes who takes new work.
+    /// Publishes the backend servers that accept new work.
     fn publish(&self) {
-        self.settle_runs();
-        let snapshot = self.book().snapshot();
+        self.report_restart_crashes();
+        let snapshot = self.table().snapshot();
         let routes = self.relay.routes.load();
         for engine in routes.engines() {
-            let places = snapshot.places(engine);
-            self.relay.peers.set_backends(engine, &places);
+            let slots = snapshot.slots(engine);
+            self.relay.peers.set_backends(engine, &slots);
         }
-        self.relay.connections.keep_only(|id| snapshot.has(id));
-        self.relay.plain.keep_only(|id| snapshot.has(id));
-        self.relay.metrics.keep_only(|id| snapshot.has(id));
+        self.relay.connections.keep_only(|id| snapshot.contains(id));
+        self.relay.plain.keep_only(|id| snapshot.contains(id));
+        self.relay.metrics.keep_only(|id| snapshot.contains(id));
         self.relay.backends.store(Arc::new(snapshot));
-        self.known.send_replace(true);
+        self.loaded.send_replace(true);
     }
 
-    /// Drops entries that have been missing for too long.
+    /// Drops entries that have been missing for too long, until aborted.
     pub(crate) async fn expire(self) {
         loop {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(EXPIRY_CHECK_MS)).await;
             let now = self.relay.clock.mono();
-            if self.book().expire(now) {
+            if self.table().expire(now) {
                 self.publish();
             }
-            self.settle_runs();
+            self.report_restart_crashes();
         }
     }
 }
 
-impl<D: Dialect, R: PlatformTables> Sink for Fleet<D, R> {
+impl<D: Dialect, R: PlatformTables> TableSink for BackendsSink<D, R> {
     fn replace(&mut self, snapshot: Snapshot) {
         let now = self.relay.clock.mono();
         let mut all = Vec::new();
         for row in &snapshot.rows {
-            match self.read(row) {
+            match self.decode(row) {
                 Entry::Backend(backend) => all.push(backend),
                 Entry::Unreadable | Entry::Deleted => {
                     let identity = BackendId::try_from(row.key.key.as_str());
                     identity
                         .iter()
-                        .for_each(|identity| self.book().refuse(identity));
+                        .for_each(|identity| self.table().remove_unreadable(identity));
                 }
             }
         }
         log::info!(backends = all.len(), version = snapshot.version; "backend servers read");
-        self.book().replace(now, all);
+        self.table().replace(now, all);
         self.publish();
     }
 
     fn change(&mut self, rows: Vec<VersionedRow>) {
         let now = self.relay.clock.mono();
         for row in &rows {
-            self.take(now, row);
+            self.apply_row(now, row);
         }
         self.publish();
     }
 
-    fn answered(&mut self, is_sound: bool) {
+    fn call_ended(&mut self, is_ok: bool) {
         let now = self.relay.clock.mono();
-        match is_sound {
-            true => self.book().store_answered(now),
-            false => self.book().store_failed(),
+        match is_ok {
+            true => self.table().store_answered(now),
+            false => self.table().store_failed(),
         }
     }
 }
 
-/// Feeds instances.
+/// Applies changes of the instances and of the crash evidence.
 pub(crate) struct MembersSink(pub(crate) Peers);
 
 impl MembersSink {
-    fn take(&self, rows: &[VersionedRow]) {
+    fn apply_rows(&self, rows: &[VersionedRow]) {
         let mut members = self.0.members();
         for row in rows {
             if let Some(key) = row.key.key.strip_prefix(CRASH_PREFIX) {
-                self.0.crashes().take_row(key, row);
+                self.0.crashes().apply_row(key, row);
                 continue;
             }
             let Ok(instance) = InstanceId::try_from(row.key.key.as_str()) else {
-                log::warn!("row {} is no instance", row.key.key);
+                log::warn!(
+                    "ignoring row {} in the table of instances: unknown key",
+                    row.key.key
+                );
                 continue;
             };
             let Some(value) = &row.value else {
@@ -243,7 +248,7 @@
             };
             match serde_json::from_slice::<Member>(value) {
                 Ok(member) => members.put(row.version, member),
-                Err(error) => log::warn!("instance {instance} cannot be read: {error}"),
+                Err(error) => log::warn!("cannot decode row of instance {instance}: {error}"),
             }
         }
         drop(members);
@@ -251,16 +256,16 @@
     }
 }
 
-impl Sink for MembersSink {
+impl TableSink for MembersSink {
     fn replace(&mut self, snapshot: Snapshot) {
         self.0.members().clear();
-        self.take(&snapshot.rows);
-        self.0.table_read();
+        self.apply_rows(&snapshot.rows);
+        self.0.set_table_read();
     }
 
     fn change(&mut self, rows: Vec<VersionedRow>) {
-        self.take(&rows);
+        self.apply_rows(&rows);
     }
 
-    fn answered(&mut self, _is_sound: bool) {}
+    fn call_ended(&mut self, _is_sound: bool) {}
 }
--- a/crates/foxtailhold-relay/src/fleet.rs
+++ b/crates/foxtailhold-relay/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the platform lists them, and how long a missing entry is still used.
+//! Backend servers listed by the platform, and how long a missing entry is still used.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,39 +9,39 @@
 use foxtailhold::slots::Places;
 use foxtailhold::time::MonoMs;
 
-/// Entries that lapse while the platform's store is away are back within about this time after its
-/// return, if the backend server lives.
-pub const LAPSED_ENTRY_MS: u64 = 2_000;
-/// The store counts as sound after it has answered for this time without a fault.
-pub const STORE_SOUND_MS: u64 = 3_000;
+/// Time after the return of the platform's store within which entries that expired during its
+/// outage are written again, if their backend server is alive.
+pub const MISSING_ENTRY_TTL_MS: u64 = 2_000;
+/// The store counts as healthy after it has answered without an error for this time.
+pub const STORE_HEALTHY_MS: u64 = 3_000;
 
-/// The newest start of an identity is remembered for this time after its entry has gone: longer than any
-/// message or entry of an older one can be late.
-const KNOWN_START_MS: u64 = 600_000;
+/// Time for which the newest start of an identity is remembered after its entry is gone. It is
+/// longer than any message or entry of an older start can be delayed.
+const START_RETENTION_MS: u64 = 600_000;
 
 /// One start of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendServer {
-    /// Its identifier, another one for each start ([`BackendId::of_start`]).
+    /// Identifier, different for each start ([`BackendId::of_start`]).
     pub id: BackendId,
-    /// Its identity, which it may keep when it starts again.
+    /// Identity, which a backend server may keep across restarts.
     pub identity: BackendId,
-    /// The service that it serves.
+    /// Service that it serves.
     pub service: TargetName,
-    /// Where it listens.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the backend server.
     pub zone: AvailabilityZone,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrently running requests.
     pub slots: u32,
-    /// Whether it has said that it is leaving.
+    /// Whether it has announced that it is leaving.
     pub is_leaving: bool,
-    /// Unix milliseconds of its start, 0 where it does not say.
+    /// Unix milliseconds of its start, 0 if it does not state it.
     pub started_unix_ms: u64,
 }
 
 impl BackendServer {
-    /// What tells a crash of this start from others.
+    /// Identifies a crash of this start.
     pub fn crash_id(&self) -> CrashId {
         CrashId {
             backend: self.id.clone(),
@@ -50,121 +50,127 @@
     }
 }
 
-/// The backend servers that may be used, as one moment's snapshot.
+/// Snapshot of the backend servers that accept new work.
 #[derive(Debug, Clone, Default)]
 pub struct Backends {
     services: HashMap<TargetName, Vec<Arc<BackendServer>>>,
 }
 
 impl Backends {
-    /// The backend servers of a service that take new work.
-    pub fn of(&self, service: &TargetName) -> &[Arc<BackendServer>] {
+    /// Backend servers of a service that accept new work.
+    pub fn for_service(&self, service: &TargetName) -> &[Arc<BackendServer>] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// One of them.
+    /// A backend server of a service; `None` if it accepts no new work.
     pub fn find(&self, service: &TargetName, id: &BackendId) -> Option<&Arc<BackendServer>> {
-        self.of(service).iter().find(|backend| backend.id == *id)
+        self.for_service(service)
+            .iter()
+            .find(|backend| backend.id == *id)
     }
 
-    /// Whether a backend server takes new work, for whatever service.
-    pub fn has(&self, id: &BackendId) -> bool {
+    /// Whether a backend server accepts new work for any service.
+    pub fn contains(&self, id: &BackendId) -> bool {
         let mut all = self.services.values().flatten();
         all.any(|backend| backend.id == *id)
     }
 
-    /// The places of a service.
-    pub fn places(&self, service: &TargetName) -> Vec<Places> {
-        let places = self.of(service).iter().map(|backend| Places {
+    /// Slots of the backend servers of a service.
+    pub fn slots(&self, service: &TargetName) -> Vec<Places> {
+        let slots = self.for_service(service).iter().map(|backend| Places {
             backend: backend.id.clone(),
             zone: backend.zone.clone(),
             slots: backend.slots,
         });
-        places.collect()
+        slots.collect()
     }
 }
 
 #[derive(Debug)]
-struct Entry {
+struct FleetEntry {
     backend: Arc<BackendServer>,
-    /// When its entry went missing.
+    /// When the entry was deleted or was missing from a complete list.
     missing_since: Option<MonoMs>,
 }
 
-/// The newest start seen of one identity.
+/// Newest known start of one identity.
 #[derive(Debug)]
-struct Start {
+struct NewestStart {
     started_unix_ms: u64,
-    seen: MonoMs,
+    seen_at: MonoMs,
 }
 
-/// The list of backend servers, by identity, with the entries that have gone missing.
+/// Listed backend servers by identity, including entries that are missing for the moment.
 #[derive(Debug, Default)]
-pub struct FleetBook {
-    entries: BTreeMap<BackendId, Entry>,
-    starts: HashMap<BackendId, Start>,
-    sound_since: Option<MonoMs>,
-    /// Whether the store has failed here since this process began.
+pub struct FleetTable {
+    entries: BTreeMap<BackendId, FleetEntry>,
+    newest_starts: HashMap<BackendId, NewestStart>,
+    healthy_since: Option<MonoMs>,
+    /// Whether a store call has failed since the start of this process.
     has_failed: bool,
 }
 
-impl FleetBook {
-    /// Notes that the store does not answer.
+impl FleetTable {
+    /// Records a failed store call.
     pub fn store_failed(&mut self) {
-        self.sound_since = None;
+        self.healthy_since = None;
         self.has_failed = true;
     }
 
-    /// Notes that the store answers.
+    /// Records an answered store call.
     pub fn store_answered(&mut self, now: MonoMs) {
-        self.sound_since.get_or_insert(now);
+        self.healthy_since.get_or_insert(now);
     }
 
-    /// A process that has just begun and met no fault has no reason to take a deletion for a lapse, and
-    /// waiting for one would send to a backend server that has left for too long.
-    fn is_store_sound(&self, now: MonoMs) -> bool {
-        let is_long = |since| now.since_ms(since) >= STORE_SOUND_MS;
-        self.sound_since
+    /// Whether a deletion can be taken at its word. A process that has just started and seen no
+    /// error has no reason to take a deletion for an expiry; waiting would send requests to a
+    /// backend server that has left.
+    fn is_store_healthy(&self, now: MonoMs) -> bool {
+        let is_long = |since| now.since_ms(since) >= STORE_HEALTHY_MS;
+        self.healthy_since
             .is_some_and(|since| !self.has_failed || is_long(since))
     }
 
-    /// Takes a new or changed entry. One of an older start than the newest seen is late and changes
-    /// nothing; one without a start, where others of the identity had one, is not its own.
+    /// Applies a new or changed entry. An entry with an older start than the newest known one is
+    /// late and is ignored. An entry without a start, of an identity that has stated one, was not
+    /// written by the backend server and removes the entry.
     pub fn put(&mut self, now: MonoMs, backend: BackendServer) {
         let started_unix_ms = backend.started_unix_ms;
-        let newest = self.starts.get(&backend.identity);
+        let newest = self.newest_starts.get(&backend.identity);
         let newest_unix_ms = newest.map_or(0, |start| start.started_unix_ms);
         if started_unix_ms < newest_unix_ms {
             if started_unix_ms == 0 {
-                self.refuse(&backend.identity);
+                self.remove_unreadable(&backend.identity);
             }
             return;
         }
-        let start = Start {
+        let start = NewestStart {
             started_unix_ms,
-            seen: now,
+            seen_at: now,
         };
-        self.starts.insert(backend.identity.clone(), start);
-        let entry = Entry {
+        self.newest_starts.insert(backend.identity.clone(), start);
+        let entry = FleetEntry {
             backend: Arc::new(backend),
             missing_since: None,
         };
         self.entries.insert(entry.backend.identity.clone(), entry);
     }
 
-    /// Unix milliseconds of the newest start of an identity.
+    /// Unix milliseconds of the newest known start of an identity.
     pub fn newest_start(&self, identity: &BackendId) -> Option<u64> {
-        self.starts.get(identity).map(|start| start.started_unix_ms)
+        self.newest_starts
+            .get(identity)
+            .map(|start| start.started_unix_ms)
     }
 
-    /// Drops an entry that cannot be read: it names no backend server to use.
-    pub fn refuse(&mut self, identity: &BackendId) {
+    /// Removes an entry that cannot be decoded and so names no usable backend server.
+    pub fn remove_unreadable(&mut self, identity: &BackendId) {
         self.entries.remove(identity);
     }
 
-    /// Takes a deleted entry: gone at once while the store is sound, else after a while.
+    /// Applies a deletion: at once if the store is healthy, otherwise after a delay.
     pub fn remove(&mut self, now: MonoMs, identity: &BackendId) {
-        if self.is_store_sound(now) {
+        if self.is_store_healthy(now) {
             self.entries.remove(identity);
             return;
         }
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Takes the whole list.
+    /// Applies the complete list.
     pub fn replace(&mut self, now: MonoMs, all: Vec<BackendServer>) {
         let missing: Vec<BackendId> = self
             .entries
@@ -189,35 +195,37 @@
         }
     }
 
-    /// Drops entries that have been missing for too long while the store answers; returns whether
+    /// Drops entries that have been missing for too long while the store answers. Returns whether
     /// any was dropped.
     pub fn expire(&mut self, now: MonoMs) -> bool {
         let entries = &self.entries;
-        self.starts.retain(|identity, start| {
-            entries.contains_key(identity) || now.since_ms(start.seen) < KNOWN_START_MS
+        self.newest_starts.retain(|identity, start| {
+            entries.contains_key(identity) || now.since_ms(start.seen_at) < START_RETENTION_MS
         });
-        let Some(sound_since) = self.sound_since else {
+        let Some(healthy_since) = self.healthy_since else {
             return false;
         };
         let before = self.entries.len();
         self.entries.retain(|_, entry| {
-            let since = entry.missing_since.map(|missing| missing.max(sound_since));
-            since.is_none_or(|since| now.since_ms(since) < LAPSED_ENTRY_MS)
+            let since = entry
+                .missing_since
+                .map(|missing| missing.max(healthy_since));
+            since.is_none_or(|since| now.since_ms(since) < MISSING_ENTRY_TTL_MS)
         });
         self.entries.len() != before
     }
 
-    /// A snapshot of those that take new work. Where some of a service say when they started all do, and
-    /// an entry that does not is of another writer.
+    /// Returns the backend servers that accept new work. If some backend servers of a service state
+    /// their start, all do; an entry of the service without one has another writer and is left out.
     pub fn snapshot(&self) -> Backends {
         let all = self.entries.values().map(|entry| &entry.backend);
-        let saying = all.filter(|backend| backend.started_unix_ms > 0);
-        let saying: HashSet<&TargetName> = saying.map(|backend| &backend.service).collect();
+        let with_start = all.filter(|backend| backend.started_unix_ms > 0);
+        let with_start: HashSet<&TargetName> = with_start.map(|backend| &backend.service).collect();
         let mut backends = Backends::default();
         for entry in self.entries.values() {
             let lacks_start = entry.backend.started_unix_ms == 0;
-            let is_foreign = lacks_start && saying.contains(&entry.backend.service);
-            if entry.backend.is_leaving || is_foreign {
+            let has_other_writer = lacks_start && with_start.contains(&entry.backend.service);
+            if entry.backend.is_leaving || has_other_writer {
                 continue;
             }
             let service = entry.backend.service.clone();
--- a/crates/foxtailhold-relay/src/instance.rs
+++ b/crates/foxtailhold-relay/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: what it follows, when it is ready, how it stops.
+//! One instance: the tables that it follows, its readiness and its planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use crate::connections::Connections;
 use crate::crash_rows::persist_crashes;
 use crate::dialect::Dialect;
-use crate::feeds::{Fleet, MembersSink, RoutesSink};
-use crate::fleet::{Backends, FleetBook};
+use crate::feeds::{BackendsSink, MembersSink, RoutesSink};
+use crate::fleet::{Backends, FleetTable};
 use crate::follow::follow;
-use crate::jobs::{BookSink, JOBS_TABLE, JobBook, JobStore, Jobs, own_jobs, sweep_jobs};
+use crate::jobs::{JOBS_TABLE, JobCache, JobCacheSink, JobStore, Jobs, own_jobs, sweep_jobs};
 use crate::metrics::{GaugeValues, RelayMetrics};
 use crate::peers::{INSTANCES_TABLE, Member, Peers};
-use crate::pending_attempts::UnsettledRuns;
-use crate::plain::PlainLoads;
+use crate::pending_attempts::PendingAttempts;
+use crate::plain::PlainServiceLoads;
 use crate::platform_tables::PlatformTables;
 use crate::relay::Relay;
 use crate::shared_store::SharedStore;
@@ -35,66 +35,66 @@
 /// Result of starting an instance.
 pub type Result<T> = std::result::Result<T, InstanceError>;
 
-/// Rows of instances that are down for this time are deleted.
-const LAPSED_MS: u64 = 15_000;
-/// Pause before a failed write of the own row is tried again.
-const PAUSE_MS: u64 = 250;
+/// Rows of instances that have been down for this time are deleted.
+const DOWN_ROW_TTL_MS: u64 = 15_000;
+/// Delay before a failed write of this instance's row is retried.
+const RETRY_DELAY_MS: u64 = 250;
 
 /// Why an instance could not start.
 #[derive(Debug, Error)]
 pub enum InstanceError {
-    /// The address for other instances cannot be used.
+    /// The UDP socket for messages of other instances cannot be opened.
     #[error("cannot take datagrams at {address}: {source}")]
     Bind {
-        /// The address.
+        /// Configured peer address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The address for calls of other instances cannot be used.
+    /// The server for calls of other instances cannot be started.
     #[error(transparent)]
     Serve(#[from] ServerError),
 }
 
-/// Who this instance is.
+/// Identity and settings of an instance.
 #[derive(Debug, Clone)]
 pub struct InstanceIdentity {
-    /// Its identity, new at each start.
+    /// Identifier, new at each start.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: AvailabilityZone,
-    /// Where it takes datagrams of other instances.
+    /// Address for datagrams and calls of other instances.
     pub peer_address: SocketAddr,
-    /// Where it takes requests of callers.
+    /// Address for requests of callers.
     pub caller_address: SocketAddr,
-    /// Its share of a core, in thousandths.
+    /// CPU share, in thousandths of a core.
     pub core_permille: u32,
-    /// How long batch jobs stay readable after their acceptance.
+    /// Time for which batch jobs stay readable after their acceptance.
     pub job_retention_ms: u64,
 }
 
 /// A running instance.
 #[derive(Debug)]
 pub struct Instance<S, D> {
-    /// Passes requests on.
+    /// Forwards opaque requests.
     pub relay: Arc<Relay<D>>,
-    /// Batch jobs.
+    /// Batch jobs of all instances.
     pub jobs: Arc<Jobs<SharedStore<S>, D>>,
     identity: InstanceIdentity,
     store: SharedStore<S>,
     peer_server: Server,
-    backends_known: watch::Receiver<bool>,
+    backends_loaded: watch::Receiver<bool>,
     leaving: CancellationToken,
-    jobs_leave: CancellationToken,
+    hand_over: CancellationToken,
 }
 
 impl<S: RowStore + ObjectStore, D: Dialect> Instance<S, D> {
-    /// Starts following the platform and talking to other instances.
+    /// Starts following the platform's tables and communicating with other instances.
     pub async fn start<R: PlatformTables>(
         identity: InstanceIdentity,
         store: S,
         dialect: D,
-        sources: R,
+        tables: R,
         metrics: RelayMetrics,
     ) -> Result<Arc<Self>> {
         let address = identity.peer_address;
@@ -110,72 +110,76 @@
             dialect,
             connections: Connections::default(),
             peers: peers.clone(),
-            plain: PlainLoads::default(),
+            plain: PlainServiceLoads::default(),
             backends: Arc::new(ArcSwap::from_pointee(Backends::default())),
             routes: Arc::new(ArcSwap::from_pointee(RouteTable::default())),
             clock,
-            unsettled_runs: UnsettledRuns::default(),
+            pending_attempts: PendingAttempts::default(),
             metrics,
         });
-        let book = Arc::new(JobBook::default());
+        let cache = Arc::new(JobCache::default());
         let jobs = Arc::new(Jobs {
             store: JobStore::new(store.clone()),
-            book: Arc::clone(&book),
+            cache: Arc::clone(&cache),
             relay: Arc::clone(&relay),
             pace: Mutex::default(),
         });
-        let (known, backends_known) = watch::channel(false);
-        let fleet = Fleet {
+        let (loaded, backends_loaded) = watch::channel(false);
+        let backends_sink = BackendsSink {
             relay: Arc::clone(&relay),
-            book: Arc::new(Mutex::new(FleetBook::default())),
-            sources: sources.clone(),
-            known,
+            table: Arc::new(Mutex::new(FleetTable::default())),
+            tables: tables.clone(),
+            loaded,
         };
         let routes = RoutesSink {
             relay: Arc::clone(&relay),
-            fleet: fleet.clone(),
-            sources: sources.clone(),
+            backends_sink: backends_sink.clone(),
+            tables: tables.clone(),
         };
-        tokio::spawn(follow(store.clone(), sources.routes_location().0, routes));
-        let followed = follow(store.clone(), sources.backends_table(), fleet.clone());
+        tokio::spawn(follow(store.clone(), tables.routes_location().0, routes));
+        let followed = follow(
+            store.clone(),
+            tables.backends_table(),
+            backends_sink.clone(),
+        );
         tokio::spawn(followed);
         let members = MembersSink(peers.clone());
         tokio::spawn(follow(store.clone(), INSTANCES_TABLE, members));
-        let sink = BookSink::new(book, peers.clone());
+        let sink = JobCacheSink::new(cache, peers.clone());
         tokio::spawn(follow(store.clone(), JOBS_TABLE, sink));
         tokio::spawn(peers.run());
-        tokio::spawn(fleet.expire());
+        tokio::spawn(backends_sink.expire());
         tokio::spawn(persist_crashes(store.clone(), relay.peers.clone()));
         tokio::spawn(sweep_jobs(Arc::clone(&jobs), identity.job_retention_ms));
-        let (leaving, jobs_leave) = (CancellationToken::new(), CancellationToken::new());
-        tokio::spawn(own_jobs(Arc::clone(&jobs), jobs_leave.clone()));
+        let (leaving, hand_over) = (CancellationToken::new(), CancellationToken::new());
+        tokio::spawn(own_jobs(Arc::clone(&jobs), hand_over.clone()));
         let instance = Arc::new(Instance {
             relay,
             jobs,
             identity,
             store,
             peer_server,
-            backends_known,
+            backends_loaded,
             leaving,
-            jobs_leave,
+            hand_over,
         });
         tokio::spawn(Arc::clone(&instance).announce());
         tokio::spawn(Arc::clone(&instance).sweep_members());
         Ok(instance)
     }
 
-    /// Whether it has read what it needs to serve: routes, backend servers, and what all instances know.
+    /// Whether the tables needed for serving have been read: routes, backend servers and instances.
     pub fn has_loaded_tables(&self) -> bool {
         let knows_routes = self.relay.routes.load().version() > 0;
-        knows_routes && *self.backends_known.borrow() && self.relay.peers.is_table_read()
+        knows_routes && *self.backends_loaded.borrow() && self.relay.peers.is_table_read()
     }
 
-    /// Whether it should get requests.
+    /// Whether callers should be sent to this instance.
     pub fn is_ready(&self) -> bool {
         self.has_loaded_tables() && !self.leaving.is_cancelled()
     }
 
-    /// Addresses that callers should use, this instance's own where nobody else is known.
+    /// Addresses for callers; only this instance's own address if no other is known.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let now = self.relay.clock.mono();
         let members = self.relay.peers.members();
@@ -203,7 +207,7 @@
         };
         let key = RowKey::new(INSTANCES_TABLE, identity.instance.as_str());
         let value = serde_json::to_vec(&member).unwrap_or_else(|error| {
-            log::error!("the own row cannot be written: {error}");
+            log::error!("cannot encode the row of this instance: {error}");
             Vec::new()
         });
         (key, value.into())
@@ -217,31 +221,31 @@
         match self.store.commit(&changes).await {
             Ok(_) => true,
             Err(error) => {
-                log::warn!(leaving = is_leaving; "own row not written: {error}");
+                log::warn!(leaving = is_leaving; "row of this instance not written: {error}");
                 false
             }
         }
     }
 
-    /// Writes the own row until that is known to be done.
+    /// Writes the row of this instance, with retries until the write is confirmed.
     async fn announce(self: Arc<Self>) {
         while !self.leaving.is_cancelled() && !self.write_row(false).await {
-            tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
         }
     }
 
-    /// Deletes rows of instances that are long gone; one instance does so.
+    /// Deletes rows of instances that have been down for long. Only the allocator does so.
     async fn sweep_members(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(Duration::from_millis(LAPSED_MS / 3)).await;
+            tokio::time::sleep(Duration::from_millis(DOWN_ROW_TTL_MS / 3)).await;
             let now = self.relay.clock.mono();
-            let lapsed = {
+            let down_rows = {
                 let mut members = self.relay.peers.members();
                 let is_mine = members.allocator(now).is_none() && members.hears_others(now);
-                let lapsed = members.lapsed(now, LAPSED_MS);
-                if is_mine { lapsed } else { Vec::new() }
+                let down_rows = members.down_rows(now, DOWN_ROW_TTL_MS);
+                if is_mine { down_rows } else { Vec::new() }
             };
-            for (version, instance) in lapsed {
+            for (version, instance) in down_rows {
                 let key = RowKey::new(INSTANCES_TABLE, instance.as_str());
                 let changes = Changes {
                     expected: vec![(key.clone(), version)],
@@ -250,7 +254,7 @@
                 };
                 match self.store.commit(&changes).await {
                     Ok(Committed::At(_)) => {
-                        log::info!(instance = instance.as_str(); "an instance is gone");
+                        log::info!(instance = instance.as_str(); "row of an instance deleted because it is down");
                     }
                     Ok(Committed::Conflict(_)) => {}
                     Err(error) => log::debug!("row of {instance} not deleted: {error}"),
@@ -259,34 +263,34 @@
         }
     }
 
-    /// Begins a planned stop: no new callers are sent here, work goes on.
+    /// Begins a planned stop: callers are no longer sent here, accepted work continues.
     pub async fn leave(&self) {
         self.leaving.cancel();
         self.write_row(true).await;
     }
 
-    /// Hands batch jobs over to other instances.
+    /// Starts to hand over batch jobs to other instances.
     pub fn hand_over_jobs(&self) {
-        self.jobs_leave.cancel();
+        self.hand_over.cancel();
     }
 
-    /// What the metrics tell of the moment at which they are read.
+    /// Values of the gauges at this moment.
     pub fn gauge_values(&self) -> GaugeValues {
         let (places_in_use, requests_waiting) = self.slot_usage();
         GaugeValues {
             places_in_use,
             requests_waiting,
-            batch_jobs_open: self.jobs.book.open().len(),
+            batch_jobs_open: self.jobs.cache.open().len(),
             config_version: self.relay.routes.load().version(),
         }
     }
 
-    /// Places in use and requests that wait.
+    /// Number of slots held and of slot requests waiting.
     pub fn slot_usage(&self) -> (usize, usize) {
         self.relay.peers.slot_usage()
     }
 
-    /// Deletes the own row and stops making calls for other instances.
+    /// Stops serving calls of other instances and deletes the row of this instance.
     pub async fn close(self: Arc<Self>) {
         self.peer_server.end_connections();
         let changes = Changes {
@@ -294,7 +298,7 @@
             ..Changes::default()
         };
         if let Err(error) = self.store.commit(&changes).await {
-            log::info!("own row not deleted: {error}");
+            log::info!("row of this instance not deleted: {error}");
         }
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/accept.rs
+++ b/crates/foxtailhold-relay/src/jobs/accept.rs
@@ -1,4 +1,4 @@
-//! Taking in jobs, and ending them.
+//! Accepts batch jobs and ends them.
 
 use std::time::Duration;
 
@@ -8,28 +8,31 @@
 use tokio::time::Instant;
 
 use crate::dialect::Dialect;
-use crate::jobs::cache::{JOB_PREFIX, KnownJob, QuotaView, quota_view};
+use crate::jobs::cache::{CachedJob, JOB_PREFIX, QuotaView, parse_quota};
 use crate::jobs::{Job, JobError, Jobs, NewJob, QuotaRow, Result};
 
-/// Tries against others that change the same rows.
-const TRIES: u32 = 8;
-/// Time for the feed to bring the change that won.
-const CATCH_UP_MS: u64 = 500;
-/// A commit without an answer is looked for so long; later it counts as not known.
-const SETTLE_MS: u64 = 1_500;
-/// Pause between two looks.
-const LOOK_MS: u64 = 150;
-/// Items are given up this much later than allowed, for clocks that differ by seconds between instances.
+/// Attempts of a commit against concurrent changes of the same rows.
+const MAX_COMMIT_ATTEMPTS: u32 = 8;
+/// Time limit for the change feed to deliver the change that won a conflict.
+const CATCH_UP_TIMEOUT_MS: u64 = 500;
+/// Time for which a commit without a response is looked up; afterwards its outcome counts as
+/// unknown.
+const LOOKUP_TIMEOUT_MS: u64 = 1_500;
+/// Interval between two lookups.
+const LOOKUP_INTERVAL_MS: u64 = 150;
+/// Items are given up this much later than the contract allows, because the clocks of instances
+/// differ by seconds.
 const GIVE_UP_MARGIN_MS: u64 = 6_000;
-/// Results are due this much earlier inside, for the last commit and the caller's next read.
+/// The internal deadline of results is this much earlier than the promised one, for the last commit
+/// and the caller's next read.
 const DUE_MARGIN_MS: u64 = 300;
 
-/// What became of a job that was handed in.
+/// Outcome of submitting a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptOutcome {
-    /// It is kept from now on.
+    /// The job has been stored.
     Created,
-    /// It was kept before.
+    /// The job had been stored before.
     AlreadyAccepted,
 }
 
@@ -42,7 +45,7 @@
     if quota_tokens == 0 {
         return Ok(None);
     }
-    let waiting_tokens = view.most_waiting_tokens();
+    let waiting_tokens = view.max_waiting_tokens();
     if waiting_tokens + new_tokens > quota_tokens {
         return Err(JobError::OverQuota {
             waiting_tokens,
@@ -56,10 +59,10 @@
     Ok(Some((view.version, row)))
 }
 
-fn others_came_first(what: &str) -> JobError {
+fn lost_to_concurrent_changes(changes: &str) -> JobError {
     JobError::Unavailable(PlatformError::Unavailable {
         service: "row store",
-        detail: format!("other {what} came first each time"),
+        detail: format!("other {changes} came first each time"),
     })
 }
 
@@ -68,42 +71,43 @@
 }
 
 impl<S: RowStore + ObjectStore, D: Dialect> Jobs<S, D> {
-    /// Takes in a job, once, however often it is handed in.
+    /// Accepts a job exactly once, however often it is submitted.
     pub async fn accept(
         &self,
         route: &Route,
         bounds: BatchBounds,
         new: &NewJob,
     ) -> Result<AcceptOutcome> {
-        if self.book.get(&new.id).is_some() {
+        if self.cache.get(&new.id).is_some() {
             return Ok(AcceptOutcome::AlreadyAccepted);
         }
         let new_tokens: u64 = new.items.iter().map(|item| item.tokens).sum();
-        check_quota(&self.book.quota(&route.name), bounds, new_tokens)?;
+        check_quota(&self.cache.quota(&route.name), bounds, new_tokens)?;
         let bodies = self.store.put_bodies(new).await?;
-        let job = self.row(route, bounds, new);
+        let job = self.new_row(route, bounds, new);
         let mut newer: Option<QuotaView> = None;
-        for _ in 0..TRIES {
-            let quota = self.quota_for(route, bounds, new_tokens, newer).await?;
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
+            let quota = self.next_quota(route, bounds, new_tokens, newer).await?;
             let accepted = self.store.accept(&new.id, &job, &bodies, quota).await;
             match accepted {
                 Ok(Committed::At(version)) => {
-                    self.book.put(&new.id, job, version);
+                    self.cache.put(&new.id, job, version);
                     return Ok(AcceptOutcome::Created);
                 }
                 Ok(Committed::Conflict(rows)) => {
-                    // The quota's row goes into the book by the feed only, together with the job
-                    // that was accepted with it: ahead of that job the count would be too low.
+                    // The row of the quota reaches the cache only by the change feed, together with
+                    // the job that was accepted with it. Without that job the count of waiting
+                    // tokens would be too low.
                     for row in rows.iter().filter(|row| is_job(row)) {
-                        self.book.put_row(row);
+                        self.cache.put_row(row);
                     }
-                    if self.book.get(&new.id).is_some() {
+                    if self.cache.get(&new.id).is_some() {
                         return Ok(AcceptOutcome::AlreadyAccepted);
                     }
-                    newer = rows.iter().find_map(quota_view);
+                    newer = rows.iter().find_map(parse_quota);
                 }
                 Err(JobError::Unknown(error)) => {
-                    return match self.look_for(&new.id).await {
+                    return match self.look_up(&new.id).await {
                         true => Ok(AcceptOutcome::Created),
                         false => Err(JobError::Unknown(error)),
                     };
@@ -111,10 +115,10 @@
                 Err(error) => return Err(error),
             }
         }
-        Err(others_came_first("acceptances of the route"))
+        Err(lost_to_concurrent_changes("acceptances of the route"))
     }
 
-    fn row(&self, route: &Route, bounds: BatchBounds, new: &NewJob) -> Job {
+    fn new_row(&self, route: &Route, bounds: BatchBounds, new: &NewJob) -> Job {
         let now = self.relay.clock.wall().0;
         let items = new.items.iter();
         Job {
@@ -132,89 +136,90 @@
         }
     }
 
-    /// The row that the commit replaces and the new one. Where another acceptance came first, its row
-    /// tells enough as long as the job fits by it; else the job that came with it must be known.
-    async fn quota_for(
+    /// Returns the version of the quota row that the commit replaces, and the new row. After a
+    /// conflict the row that won suffices if the job fits by it; otherwise the job accepted with
+    /// that row must be known first.
+    async fn next_quota(
         &self,
         route: &Route,
         bounds: BatchBounds,
         new_tokens: u64,
         newer: Option<QuotaView>,
     ) -> Result<Option<(u64, QuotaRow)>> {
-        let mut view = self.book.quota(&route.name);
+        let mut view = self.cache.quota(&route.name);
         if let Some(newer) = newer.filter(|newer| newer.version > view.version) {
             if let Ok(quota) = check_quota(&newer, bounds, new_tokens) {
                 return Ok(quota);
             }
             self.catch_up().await;
-            view = self.book.quota(&route.name);
+            view = self.cache.quota(&route.name);
         }
         check_quota(&view, bounds, new_tokens)
     }
 
     async fn catch_up(&self) {
-        let mut changes = self.book.changes();
-        let wait = Duration::from_millis(CATCH_UP_MS);
+        let mut changes = self.cache.changes();
+        let wait = Duration::from_millis(CATCH_UP_TIMEOUT_MS);
         if tokio::time::timeout(wait, changes.changed()).await.is_err() {
-            log::debug!("no change of jobs came within {CATCH_UP_MS} ms");
+            log::debug!("no job change received within {CATCH_UP_TIMEOUT_MS} ms");
         }
     }
 
-    /// Looks for a job whose commit had no answer.
-    async fn look_for(&self, id: &JobId) -> bool {
-        let until = Instant::now() + Duration::from_millis(SETTLE_MS);
-        while Instant::now() < until {
-            if self.book.get(id).is_some() {
+    /// Looks up a job whose commit had no response.
+    async fn look_up(&self, id: &JobId) -> bool {
+        let deadline = Instant::now() + Duration::from_millis(LOOKUP_TIMEOUT_MS);
+        while Instant::now() < deadline {
+            if self.cache.get(id).is_some() {
                 return true;
             }
             if let Ok(Some(row)) = self.store.read_job(id).await {
-                self.book.put_row(&row);
+                self.cache.put_row(&row);
                 return true;
             }
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(LOOKUP_INTERVAL_MS)).await;
         }
         false
     }
 
-    /// A job, read from the store where the feed has not brought it yet.
-    pub async fn find(&self, id: &JobId) -> Result<Option<KnownJob>> {
-        if let Some(known) = self.book.get(id) {
-            return Ok(Some(known));
+    /// Returns a job, read from the store if the change feed has not delivered it yet.
+    pub async fn find(&self, id: &JobId) -> Result<Option<CachedJob>> {
+        if let Some(cached) = self.cache.get(id) {
+            return Ok(Some(cached));
         }
         if let Some(row) = self.store.read_job(id).await? {
-            self.book.put_row(&row);
+            self.cache.put_row(&row);
         }
-        Ok(self.book.get(id))
+        Ok(self.cache.get(id))
     }
 
-    /// Ends a job; what is listed stays.
+    /// Ends a job. Its listed results stay readable.
     pub async fn end(&self, id: &JobId) -> Result<()> {
-        for _ in 0..TRIES {
-            let Some(known) = self.find(id).await? else {
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
+            let Some(cached) = self.find(id).await? else {
                 return Err(JobError::NotFound);
             };
-            if known.job.is_ended {
+            if cached.job.is_ended {
                 return Ok(());
             }
             let ended = Job {
                 is_ended: true,
-                ..Job::clone(&known.job)
+                ..Job::clone(&cached.job)
             };
-            match self.store.update(id, &ended, known.version, 0, &[]).await {
+            match self.store.update(id, &ended, cached.version, 0, &[]).await {
                 Ok(Committed::At(version)) => {
-                    self.book.put(id, ended, version);
-                    log::info!(job = id.as_str(), listed = known.job.listed.len(); "job ended");
+                    self.cache.put(id, ended, version);
+                    log::info!(job = id.as_str(), listed = cached.job.listed.len(); "job ended");
                     return Ok(());
                 }
                 Ok(Committed::Conflict(rows)) => {
                     for row in &rows {
-                        self.book.put_row(row);
+                        self.cache.put_row(row);
                     }
                 }
-                // Ending is idempotent: the next try, or the caller's, finds out.
+                // Ending is idempotent, so a retry by the caller gives the outcome.
                 Err(error) => return Err(error),
             }
         }
-        Err(others_came_first("changes of the job"))
+        Err(lost_to_concurrent_changes("changes of the job"))
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/backoff.rs
+++ b/crates/foxtailhold-relay/src/jobs/backoff.rs
@@ -1,46 +1,47 @@
-//! Rests of a batch item under which backend servers crashed.
+//! Backoff of a batch item under which backend servers crashed.
 
 use std::time::Duration;
 
 use foxtailhold::crashes::{ItemRest, item_rest};
 use tokio::time::Instant;
 
-/// Rests are shortened by up to this part of their time.
-const JITTER_PART: u64 = 4;
+/// Delays are shortened by a random amount of up to one part in this many.
+const JITTER_DIVISOR: u64 = 4;
 
-/// The rest of one item.
+/// Backoff of one item.
 #[derive(Debug, Default)]
-pub(crate) struct CrashRest {
-    /// The crashes after which it last rested.
+pub(crate) struct CrashBackoff {
+    /// Number of crashes at the last backoff.
     crashes: usize,
-    until: Option<Instant>,
+    ends_at: Option<Instant>,
 }
 
-impl CrashRest {
-    /// Begins a rest where the item has crashed more backend servers than when it last rested; returns how
-    /// long it is. The item is given up in `left_ms`.
+impl CrashBackoff {
+    /// Starts a backoff if the item has crashed more backend servers than at the last one, and
+    /// returns its length. The item is given up in `left_ms`.
     pub(crate) fn begin(&mut self, crashes: usize, left_ms: u64) -> Option<u64> {
         if crashes <= self.crashes {
             return None;
         }
         self.crashes = crashes;
-        let rest_ms = match item_rest(crashes, left_ms) {
+        let delay_ms = match item_rest(crashes, left_ms) {
             ItemRest::None => return None,
-            ItemRest::Pause { pause_ms } => shortened_at_random(pause_ms),
+            ItemRest::Pause { pause_ms } => with_jitter(pause_ms),
             ItemRest::UntilGivenUp => left_ms,
         };
-        self.until = Some(Instant::now() + Duration::from_millis(rest_ms));
-        Some(rest_ms)
+        self.ends_at = Some(Instant::now() + Duration::from_millis(delay_ms));
+        Some(delay_ms)
     }
 
-    /// How long it still lasts.
-    pub(crate) fn left(&self) -> Duration {
-        let left = |until: Instant| until.saturating_duration_since(Instant::now());
-        self.until.map_or(Duration::ZERO, left)
+    /// Time left of the current backoff.
+    pub(crate) fn remaining(&self) -> Duration {
+        let remaining = |ends_at: Instant| ends_at.saturating_duration_since(Instant::now());
+        self.ends_at.map_or(Duration::ZERO, remaining)
     }
 }
 
-/// Items that lost the same engines must not come back together with the one that crashed them.
-fn shortened_at_random(rest_ms: u64) -> u64 {
-    rest_ms - rand::random_range(0..=rest_ms / JITTER_PART)
+/// Adds jitter, so that items interrupted by the same crash are not retried together with the item
+/// that caused it.
+fn with_jitter(delay_ms: u64) -> u64 {
+    delay_ms - rand::random_range(0..=delay_ms / JITTER_DIVISOR)
 }
--- a/crates/foxtailhold-relay/src/jobs/cache.rs
+++ b/crates/foxtailhold-relay/src/jobs/cache.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of all jobs.
+//! Cache of all jobs and quotas, kept up to date by the change feed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,40 +9,40 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::follow::Sink;
+use crate::follow::TableSink;
 use crate::jobs::QuotaRow;
 use crate::peers::Peers;
 
-/// Prefix of the keys of jobs.
+/// Key prefix of the rows of jobs.
 pub const JOB_PREFIX: &str = "job/";
-/// Prefix of the keys of quotas.
+/// Key prefix of the rows of quotas.
 pub const QUOTA_PREFIX: &str = "quota/";
 
-/// One job's row.
+/// The row of one job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// Name of its route.
+    /// Name of the route by which the job was accepted.
     pub route: String,
-    /// Host that it was sent to.
+    /// Host to which the job was sent.
     pub host: String,
-    /// A path of the route, by which the route is found again after a change of routes.
+    /// Path of the route, by which it is found again after a change of the route table.
     pub path: String,
-    /// Identities of the items and their tokens.
+    /// Identifiers and tokens of the items.
     pub items: Vec<(String, u64)>,
-    /// Who runs it.
+    /// Instance that runs the job.
     pub owner: InstanceId,
-    /// How many owners were lost with runs whose outcome they may not have written down.
+    /// Number of owners that were lost and may have left attempts with unrecorded outcomes.
     #[serde(default)]
     pub lost_owners: u32,
-    /// Indexes of the items that have results, by position.
+    /// Indexes of the items that have results, in the order of the results.
     pub listed: Vec<u16>,
-    /// Whether its caller has ended it.
+    /// Whether the caller has ended the job.
     pub is_ended: bool,
-    /// When it was accepted, by the time of day.
+    /// Unix milliseconds of acceptance.
     pub accepted_unix_ms: u64,
-    /// When results are due, by the time of day.
+    /// Unix milliseconds at which the results are due.
     pub due_unix_ms: u64,
-    /// When items may be given up.
+    /// Unix milliseconds from which unfinished items are given up.
     pub give_up_unix_ms: u64,
 }
 
@@ -52,7 +52,7 @@
         !self.is_ended && self.listed.len() < self.items.len()
     }
 
-    /// Tokens of the items without a result.
+    /// Tokens of the items without a result; 0 once the job has ended.
     pub fn waiting_tokens(&self) -> u64 {
         if self.is_ended {
             return 0;
@@ -67,35 +67,37 @@
     }
 }
 
-/// A job with the version of its row.
+/// A job and the version of its row.
 #[derive(Debug, Clone)]
-pub struct KnownJob {
-    /// The row.
+pub struct CachedJob {
+    /// Decoded row.
     pub job: Arc<Job>,
-    /// Its version.
+    /// Version of the row, for conditional changes.
     pub version: u64,
 }
 
-/// A route's quota as one instance knows it.
+/// Quota of a route as known to this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaView {
-    /// Version of the row, 0 where there is none.
+    /// Version of the row, 0 if there is none.
     pub version: u64,
-    /// The row.
+    /// Decoded row.
     pub row: QuotaRow,
-    /// Tokens that wait now; `None` where the job accepted with the row is not known yet.
+    /// Tokens of unfinished items now; `None` if the job accepted together with the row is not
+    /// known yet.
     pub waiting_tokens: Option<u64>,
 }
 
 impl QuotaView {
-    /// Tokens that wait, never too few: after an acceptance they only become fewer until the next.
-    pub fn most_waiting_tokens(&self) -> u64 {
+    /// Upper bound of the waiting tokens. After an acceptance their number only falls until the
+    /// next acceptance.
+    pub fn max_waiting_tokens(&self) -> u64 {
         self.waiting_tokens.unwrap_or(self.row.waiting_tokens)
     }
 }
 
-/// Reads a quota's row, from a conflict's answer.
-pub fn quota_view(row: &VersionedRow) -> Option<QuotaView> {
+/// Reads the quota row in the answer to a conflicting commit.
+pub fn parse_quota(row: &VersionedRow) -> Option<QuotaView> {
     row.key.key.strip_prefix(QUOTA_PREFIX)?;
     let value = row.value.as_deref()?;
     Some(QuotaView {
@@ -106,110 +108,117 @@
 }
 
 #[derive(Debug, Default)]
-struct Known {
-    jobs: HashMap<JobId, KnownJob>,
+struct CacheState {
+    jobs: HashMap<JobId, CachedJob>,
     quotas: HashMap<String, (u64, QuotaRow)>,
 }
 
-/// All jobs, kept up to date by the feed and by this instance's own writes.
+/// All jobs, updated by the change feed and by the writes of this instance.
 #[derive(Debug)]
-pub struct JobBook {
-    known: Mutex<Known>,
+pub struct JobCache {
+    state: Mutex<CacheState>,
     changed: watch::Sender<u64>,
 }
 
-impl Default for JobBook {
+impl Default for JobCache {
     fn default() -> Self {
-        JobBook {
-            known: Mutex::new(Known::default()),
+        JobCache {
+            state: Mutex::new(CacheState::default()),
             changed: watch::Sender::new(0),
         }
     }
 }
 
-impl JobBook {
-    /// A job.
-    pub fn get(&self, id: &JobId) -> Option<KnownJob> {
-        self.known.lock().jobs.get(id).cloned()
+impl JobCache {
+    /// A job with its version; `None` if it is not known.
+    pub fn get(&self, id: &JobId) -> Option<CachedJob> {
+        self.state.lock().jobs.get(id).cloned()
     }
 
     /// All jobs with items left to run.
-    pub fn open(&self) -> Vec<(JobId, KnownJob)> {
-        let known = self.known.lock();
-        let open = known.jobs.iter().filter(|(_, known)| known.job.is_open());
+    pub fn open(&self) -> Vec<(JobId, CachedJob)> {
+        let state = self.state.lock();
+        let open = state.jobs.iter().filter(|(_, cached)| cached.job.is_open());
         open.map(|(id, job)| (id.clone(), job.clone())).collect()
     }
 
     /// All jobs with nothing left to run.
-    pub fn closed(&self) -> Vec<(JobId, KnownJob)> {
-        let known = self.known.lock();
-        let closed = known.jobs.iter().filter(|(_, known)| !known.job.is_open());
+    pub fn closed(&self) -> Vec<(JobId, CachedJob)> {
+        let state = self.state.lock();
+        let closed = state
+            .jobs
+            .iter()
+            .filter(|(_, cached)| !cached.job.is_open());
         closed.map(|(id, job)| (id.clone(), job.clone())).collect()
     }
 
-    /// The row that serializes acceptances of a route, and the tokens that wait as of that row.
+    /// Returns the row that serializes the acceptances of a route, and the tokens waiting as of
+    /// that row.
     pub fn quota(&self, route: &str) -> QuotaView {
-        let known = self.known.lock();
-        let (version, row) = known.quotas.get(route).copied().unwrap_or_default();
-        let jobs = known.jobs.values().filter(|known| known.job.route == route);
+        let state = self.state.lock();
+        let (version, row) = state.quotas.get(route).copied().unwrap_or_default();
+        let jobs = state
+            .jobs
+            .values()
+            .filter(|cached| cached.job.route == route);
         QuotaView {
             version,
             row,
-            waiting_tokens: Some(jobs.map(|known| known.job.waiting_tokens()).sum()),
+            waiting_tokens: Some(jobs.map(|cached| cached.job.waiting_tokens()).sum()),
         }
     }
 
-    /// Wakes at each change.
+    /// Notified of every change.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Takes a job's row, unless a newer one is known.
+    /// Stores the row of a job unless a newer one is known.
     pub fn put(&self, id: &JobId, job: Job, version: u64) {
-        let mut known = self.known.lock();
-        put_job(&mut known, id, job, version);
-        drop(known);
+        let mut state = self.state.lock();
+        put_job(&mut state, id, job, version);
+        drop(state);
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Takes a row of the table.
+    /// Applies a row of the table of jobs.
     pub fn put_row(&self, row: &VersionedRow) {
-        put_row(&mut self.known.lock(), row);
+        put_row(&mut self.state.lock(), row);
         self.changed.send_modify(|count| *count += 1);
     }
 }
 
-fn put_job(known: &mut Known, id: &JobId, job: Job, version: u64) {
-    if known.jobs.get(id).is_some_and(|old| old.version >= version) {
+fn put_job(state: &mut CacheState, id: &JobId, job: Job, version: u64) {
+    if state.jobs.get(id).is_some_and(|old| old.version >= version) {
         return;
     }
     let job = Arc::new(job);
-    known.jobs.insert(id.clone(), KnownJob { job, version });
+    state.jobs.insert(id.clone(), CachedJob { job, version });
 }
 
-fn put_row(known: &mut Known, row: &VersionedRow) {
+fn put_row(state: &mut CacheState, row: &VersionedRow) {
     let key = row.key.key.as_str();
     if let Some(route) = key.strip_prefix(QUOTA_PREFIX) {
         let parsed = row.value.as_ref().map(|v| serde_json::from_slice(v));
         match parsed {
             Some(Ok(quota)) => {
-                known.quotas.insert(route.to_owned(), (row.version, quota));
+                state.quotas.insert(route.to_owned(), (row.version, quota));
             }
-            Some(Err(error)) => log::error!("quota of {route} cannot be read: {error}"),
+            Some(Err(error)) => log::error!("cannot decode quota row of route {route}: {error}"),
             None => {
-                known.quotas.remove(route);
+                state.quotas.remove(route);
             }
         }
         return;
     }
     let Some(id) = key.strip_prefix(JOB_PREFIX) else {
-        log::warn!("unknown row {key} among the jobs");
+        log::warn!("ignoring row {key} in the table of jobs: unknown key prefix");
         return;
     };
     let id = match JobId::try_from(id) {
         Ok(id) => id,
         Err(error) => {
-            log::error!("row {key}: {error}");
+            log::error!("ignoring row {key} in the table of jobs: {error}");
             return;
         }
     };
@@ -218,57 +227,59 @@
         .as_ref()
         .map(|value| serde_json::from_slice(value))
     {
-        Some(Ok(job)) => put_job(known, &id, job, row.version),
-        Some(Err(error)) => log::error!("job {id} cannot be read: {error}"),
+        Some(Ok(job)) => put_job(state, &id, job, row.version),
+        Some(Err(error)) => log::error!("cannot decode row of job {id}: {error}"),
         None => {
-            known.jobs.remove(&id);
+            state.jobs.remove(&id);
         }
     }
 }
 
-/// Pause after changes of jobs for each instance, and its bounds. All instances read each change: with
-/// 11 of them a pause of 250 ms instead of 60 cost 0.03 of the day's worth, as results are seen later;
-/// with 89 the calls cost more. The most is well within the second after which each must know.
-const REST_MS: u64 = 5;
-const REST_BOUNDS_MS: (u64, u64) = (60, 400);
+/// Delay after a batch of changes, per instance, and its bounds. All instances read every change:
+/// with 11 instances a delay of 250 ms instead of 60 ms lowered the score of a day by 0.03, because
+/// results are seen later; with 89 instances more frequent calls cost more. The upper bound is well
+/// within the second after which every instance must know a change.
+const BATCH_DELAY_PER_INSTANCE_MS: u64 = 5;
+const BATCH_DELAY_BOUNDS_MS: (u64, u64) = (60, 400);
 
-/// Feeds a book from its table.
+/// Applies the table of jobs to the cache.
 #[derive(Debug)]
-pub struct BookSink {
-    book: Arc<JobBook>,
+pub struct JobCacheSink {
+    cache: Arc<JobCache>,
     peers: Peers,
 }
 
-impl BookSink {
-    /// Feeds `book`, the more rarely the more instances there are.
-    pub fn new(book: Arc<JobBook>, peers: Peers) -> Self {
-        BookSink { book, peers }
+impl JobCacheSink {
+    /// Feeds `cache`, less often the more instances there are.
+    pub fn new(cache: Arc<JobCache>, peers: Peers) -> Self {
+        JobCacheSink { cache, peers }
     }
 }
 
-impl Sink for BookSink {
+impl TableSink for JobCacheSink {
     fn replace(&mut self, snapshot: Snapshot) {
-        let mut known = self.book.known.lock();
+        let mut state = self.cache.state.lock();
         for row in &snapshot.rows {
-            put_row(&mut known, row);
+            put_row(&mut state, row);
         }
-        drop(known);
-        self.book.changed.send_modify(|count| *count += 1);
+        drop(state);
+        self.cache.changed.send_modify(|count| *count += 1);
     }
 
     fn change(&mut self, rows: Vec<VersionedRow>) {
-        let mut known = self.book.known.lock();
+        let mut state = self.cache.state.lock();
         for row in &rows {
-            put_row(&mut known, row);
+            put_row(&mut state, row);
         }
-        drop(known);
-        self.book.changed.send_modify(|count| *count += 1);
+        drop(state);
+        self.cache.changed.send_modify(|count| *count += 1);
     }
 
-    fn answered(&mut self, _is_sound: bool) {}
+    fn call_ended(&mut self, _is_ok: bool) {}
 
-    fn rest_ms(&self) -> u64 {
+    fn batch_delay_ms(&self) -> u64 {
         let instances = self.peers.members().count() as u64;
-        (instances * REST_MS).clamp(REST_BOUNDS_MS.0, REST_BOUNDS_MS.1)
+        (instances * BATCH_DELAY_PER_INSTANCE_MS)
+            .clamp(BATCH_DELAY_BOUNDS_MS.0, BATCH_DELAY_BOUNDS_MS.1)
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/checkpoint.rs
+++ b/crates/foxtailhold-relay/src/jobs/checkpoint.rs
@@ -1,8 +1,8 @@
-//! What items have given so far, kept in the store so that another owner goes on from there.
+//! Checkpoints of unfinished items, stored so that another owner resumes from there.
 //!
-//! An item runs for seconds; without this each lost owner would cost all its items from the start.
-//! A piece is written once, for a range of events; overlapping pieces of two owners are harmless,
-//! since an item's output is the same at every backend server.
+//! An item runs for seconds; without checkpoints each lost owner would restart all its items. A
+//! checkpoint is written once, for a range of events. Overlapping checkpoints of two owners are
+//! harmless because the output of an item is the same at every backend server.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,62 +13,63 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// End of the key of an item's account; pieces have a range of events there.
-pub const ACCOUNT_KEY: &str = "account";
-/// An item is kept again when it has gone on by so many events, about a second of work.
-pub const KEEP_EVENTS: u64 = 40;
+/// Last part of the key of an item's attempt counts; checkpoints have a range of events there.
+pub const ATTEMPT_COUNTS_KEY: &str = "account";
+/// Events after which the next checkpoint of an item is written, about one second of work.
+pub const CHECKPOINT_EVENTS: u64 = 40;
 
-/// A piece of an item's output.
+/// A stored range of an item's output.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
-    /// The event before the first one.
+pub struct Checkpoint {
+    /// Event before the first one of the range.
     pub after: u64,
-    /// The last event.
+    /// Last event of the range.
     pub last: u64,
-    /// The data of the events, separated by line feeds.
+    /// Data of the events, separated by line feeds.
     pub text: String,
 }
 
-/// What an item has given so far.
+/// Output of an unfinished item.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Given {
-    /// The data of the events, separated by line feeds.
+pub struct PartialOutput {
+    /// Data of the events, separated by line feeds.
     pub text: Vec<u8>,
-    /// The last event, 0 before the first one.
+    /// Last event, 0 before the first one.
     pub last: u64,
-    /// Events and bytes that the store has.
-    kept: (u64, usize),
+    /// Last event and number of bytes in the stored checkpoints.
+    saved: (u64, usize),
 }
 
-impl Given {
-    /// Joins pieces in order, as far as nothing is missing.
-    pub fn from_pieces(mut pieces: Vec<Piece>) -> Self {
-        pieces.sort_by_key(|piece| (piece.after, std::cmp::Reverse(piece.last)));
-        let mut given = Given::default();
-        for piece in pieces {
-            if piece.after != given.last || piece.last <= given.last {
+impl PartialOutput {
+    /// Joins checkpoints in the order of their events up to the first gap.
+    pub fn from_checkpoints(mut checkpoints: Vec<Checkpoint>) -> Self {
+        checkpoints
+            .sort_by_key(|checkpoint| (checkpoint.after, std::cmp::Reverse(checkpoint.last)));
+        let mut output = PartialOutput::default();
+        for checkpoint in checkpoints {
+            if checkpoint.after != output.last || checkpoint.last <= output.last {
                 continue;
             }
-            if given.last > 0 {
-                given.text.push(b'\n');
+            if output.last > 0 {
+                output.text.push(b'\n');
             }
-            given.text.extend_from_slice(piece.text.as_bytes());
-            given.last = piece.last;
+            output.text.extend_from_slice(checkpoint.text.as_bytes());
+            output.last = checkpoint.last;
         }
-        given.kept = (given.last, given.text.len());
-        given
+        output.saved = (output.last, output.text.len());
+        output
     }
 
-    /// The next piece, where enough is new.
-    fn next_piece(&self, least_events: u64) -> Option<Piece> {
-        let (after, bytes) = self.kept;
-        if self.last < after + least_events.max(1) {
+    /// Next checkpoint to write; `None` if there are fewer than `min_events` new events.
+    fn next_checkpoint(&self, min_events: u64) -> Option<Checkpoint> {
+        let (after, bytes) = self.saved;
+        if self.last < after + min_events.max(1) {
             return None;
         }
-        // The line feed between the two pieces belongs to neither.
+        // The line feed between two checkpoints belongs to neither.
         let start = if after > 0 { bytes + 1 } else { 0 };
         let text = std::str::from_utf8(self.text.get(start..)?).ok()?;
-        Some(Piece {
+        Some(Checkpoint {
             after,
             last: self.last,
             text: text.to_owned(),
@@ -76,90 +77,101 @@
     }
 }
 
-/// The items of a job that run here, with what they have given.
+/// Partial outputs of the items of a job that run here; cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct Partials {
-    items: Arc<Mutex<HashMap<String, Given>>>,
-    accounts: Arc<Mutex<HashMap<String, RunAccount>>>,
+pub struct PartialOutputs {
+    items: Arc<Mutex<HashMap<String, PartialOutput>>>,
+    attempt_counts: Arc<Mutex<HashMap<String, RunAccount>>>,
 }
 
-impl Partials {
-    /// What an item has given.
-    pub fn get(&self, item: &str) -> Given {
+impl PartialOutputs {
+    /// Output of an item so far; empty if there is none.
+    pub fn get(&self, item: &str) -> PartialOutput {
         self.items.lock().get(item).cloned().unwrap_or_default()
     }
 
-    /// The last event that an item has given, 0 before the first one.
+    /// Last event of an item, 0 before the first one.
     pub fn last(&self, item: &str) -> u64 {
-        self.items.lock().get(item).map_or(0, |given| given.last)
+        self.items.lock().get(item).map_or(0, |output| output.last)
     }
 
-    /// The account that an owner before has written down.
-    pub fn account(&self, item: &str) -> Option<RunAccount> {
-        self.accounts.lock().get(item).copied()
+    /// Attempt counts recorded by an earlier owner; `None` if there are none.
+    pub fn attempt_counts(&self, item: &str) -> Option<RunAccount> {
+        self.attempt_counts.lock().get(item).copied()
     }
 
-    /// Changes what an item has given.
-    pub fn update(&self, item: &str, change: impl FnOnce(&mut Given)) {
+    /// Changes the partial output of an item.
+    pub fn update(&self, item: &str, change: impl FnOnce(&mut PartialOutput)) {
         change(self.items.lock().entry(item.to_owned()).or_default());
     }
 
-    /// Drops an item.
+    /// Removes an item that has a result.
     pub fn remove(&self, item: &str) {
         self.items.lock().remove(item);
     }
 
-    /// Pieces of at least `least_events` events that the store does not have.
-    pub fn unkept(&self, least_events: u64) -> Vec<(String, Piece)> {
+    /// Checkpoints of at least `min_events` events that have not been stored.
+    pub fn unsaved_checkpoints(&self, min_events: u64) -> Vec<(String, Checkpoint)> {
         let items = self.items.lock();
-        let unkept = items.iter().filter_map(|(item, given)| {
-            let piece = given.next_piece(least_events)?;
-            Some((item.clone(), piece))
+        let unsaved_checkpoints = items.iter().filter_map(|(item, output)| {
+            let checkpoint = output.next_checkpoint(min_events)?;
+            Some((item.clone(), checkpoint))
         });
-        unkept.collect()
+        unsaved_checkpoints.collect()
     }
 
-    /// Notes that the store has a piece.
-    pub fn kept(&self, item: &str, piece: &Piece) {
+    /// Records that a checkpoint has been stored.
+    pub fn mark_saved(&self, item: &str, checkpoint: &Checkpoint) {
         let mut items = self.items.lock();
-        let Some(given) = items.get_mut(item) else {
+        let Some(output) = items.get_mut(item) else {
             return;
         };
-        let start = if piece.after > 0 { given.kept.1 + 1 } else { 0 };
-        given.kept = (piece.last, start + piece.text.len());
+        let start = if checkpoint.after > 0 {
+            output.saved.1 + 1
+        } else {
+            0
+        };
+        output.saved = (checkpoint.last, start + checkpoint.text.len());
     }
 
-    fn restore_account(&self, job: &JobId, item: &str, value: &[u8]) {
+    fn restore_attempt_counts(&self, job: &JobId, item: &str, value: &[u8]) {
         match serde_json::from_slice(value) {
-            Ok(account) => {
-                self.accounts.lock().insert(item.to_owned(), account);
+            Ok(counts) => {
+                self.attempt_counts.lock().insert(item.to_owned(), counts);
+            }
+            Err(error) => {
+                log::warn!(job = job.as_str(); "ignoring attempt counts of an item: {error}")
             }
-            Err(error) => log::warn!(job = job.as_str(); "an account cannot be read: {error}"),
         }
     }
 
-    /// Takes over what the store has of a job's items.
+    /// Loads the stored checkpoints and attempt counts of a job's items.
     pub fn restore(&self, job: &JobId, rows: &[VersionedRow]) {
-        let mut pieces: HashMap<String, Vec<Piece>> = HashMap::new();
+        let mut checkpoints: HashMap<String, Vec<Checkpoint>> = HashMap::new();
         for row in rows {
             let mut parts = row.key.key.split('/');
             let (Some(_), Some(item)) = (parts.next(), parts.next()) else {
-                log::warn!(job = job.as_str(); "row {} is no piece of an item", row.key.key);
+                log::warn!(job = job.as_str(); "ignoring row {}: its key names no item", row.key.key);
                 continue;
             };
             let value = row.value.as_deref().unwrap_or_default();
-            if parts.next() == Some(ACCOUNT_KEY) {
-                self.restore_account(job, item, value);
+            if parts.next() == Some(ATTEMPT_COUNTS_KEY) {
+                self.restore_attempt_counts(job, item, value);
                 continue;
             }
             match serde_json::from_slice(value) {
-                Ok(piece) => pieces.entry(item.to_owned()).or_default().push(piece),
-                Err(error) => log::warn!(job = job.as_str(); "a piece cannot be read: {error}"),
+                Ok(checkpoint) => checkpoints
+                    .entry(item.to_owned())
+                    .or_default()
+                    .push(checkpoint),
+                Err(error) => {
+                    log::warn!(job = job.as_str(); "ignoring checkpoint of an item: {error}")
+                }
             }
         }
         let mut items = self.items.lock();
-        for (item, pieces) in pieces {
-            items.insert(item, Given::from_pieces(pieces));
+        for (item, checkpoints) in checkpoints {
+            items.insert(item, PartialOutput::from_checkpoints(checkpoints));
         }
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -1,4 +1,4 @@
-//! One batch item, from its first place to its result.
+//! Runs one batch item, from its first slot request to its result.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,199 +16,205 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
 use tokio::time::Instant;
 
-use crate::connections::InUse;
+use crate::connections::BusyConnection;
 use crate::dialect::Dialect;
-use crate::events::{EventReader, Step, push_data};
+use crate::events::{EventReader, StreamRead, push_data};
 use crate::fleet::BackendServer;
-use crate::jobs::backoff::CrashRest;
-use crate::jobs::{Item, ItemState, Job, Jobs, ListedResult, Partials};
-use crate::metrics::RunEnd;
-use crate::peers::{NoPlace, Place, PlaceQuery};
-use crate::upstream::{self, Exchange, Miss};
+use crate::jobs::backoff::CrashBackoff;
+use crate::jobs::{Item, ItemState, Job, Jobs, ListedResult, PartialOutputs};
+use crate::metrics::AttemptOutcome;
+use crate::peers::{Slot, SlotError, SlotQuery};
+use crate::upstream::{self, AttemptFailure, UpstreamRequest};
 
-/// Without word for this time an engine counts as silent for an item, and the item goes on elsewhere.
-const PATIENCE_MS: u64 = 900;
-/// Pause after a failed run, and after the second loss in a row without a new event; it doubles with
-/// each further one.
-const PAUSE_MS: u64 = 60;
-/// Longest pause: an item that meets broken answers only may not be given up before its time, and must not
-/// keep engines busy until then. What crashes them rests by [`CrashRest`].
-const MOST_PAUSE_MS: u64 = 8_000;
-/// An item whose route is missing for this time, and so from the configuration, is given up.
-const NO_ROUTE_MS: u64 = 5_000;
-/// An item that rests looks at its route, job and time at this pause.
-const REST_LOOK_MS: u64 = 1_000;
-/// Time to persist an account, many times what the store usually takes; meanwhile the item holds
-/// its place.
-const WRITE_ACCOUNT_MS: u64 = 300;
-/// Longest wait for one place; then route, job and time are looked at again.
-const PLACE_WAIT_MS: u64 = 2_000;
+/// Time without an event after which an engine counts as silent for an item; the item is then
+/// resumed elsewhere.
+const EVENT_TIMEOUT_MS: u64 = 900;
+/// Delay after a failed response, and after the second interruption in a row without a new event.
+/// It doubles with each further interruption.
+const RETRY_DELAY_MS: u64 = 60;
+/// Upper bound of that delay. An item that only gets broken responses must not be given up before
+/// its time, and must not keep engines busy until then. Items that crash engines are delayed by
+/// [`CrashBackoff`].
+const MAX_RETRY_DELAY_MS: u64 = 8_000;
+/// An item is given up if its route has been missing from the configuration for this time.
+const NO_ROUTE_TIMEOUT_MS: u64 = 5_000;
+/// Interval at which an item in backoff checks its route, job and deadline.
+const BACKOFF_CHECK_MS: u64 = 1_000;
+/// Time limit for writing attempt counts, many times the usual latency of the store. The item holds
+/// its slot meanwhile.
+const WRITE_COUNTS_TIMEOUT_MS: u64 = 300;
+/// Time limit of one slot request; afterwards route, job and deadline are checked again.
+const SLOT_TIMEOUT_MS: u64 = 2_000;
 
-/// What one run of an item came to.
-enum Run {
+/// How one attempt of an item ended.
+enum AttemptResult {
     Complete,
     Impossible,
-    Failed,
-    /// Cut, lost, or not begun: it goes on after the last event.
-    Unfinished,
-    /// The backend servers had it but broke off.
-    Lost(Miss),
+    ServerError,
+    /// Preempted or not started: the item resumes after its last event.
+    Suspended,
+    /// The backend server failed or broke off the response.
+    Interrupted(AttemptFailure),
 }
 
-impl From<&Run> for RunEnd {
-    fn from(run: &Run) -> Self {
-        match run {
-            Run::Complete => RunEnd::Done,
-            Run::Impossible => RunEnd::Impossible,
-            Run::Failed => RunEnd::Lost(Miss::Failed),
-            Run::Unfinished => RunEnd::Cut,
-            Run::Lost(miss) => RunEnd::Lost(*miss),
+impl From<&AttemptResult> for AttemptOutcome {
+    fn from(result: &AttemptResult) -> Self {
+        match result {
+            AttemptResult::Complete => AttemptOutcome::Done,
+            AttemptResult::Impossible => AttemptOutcome::Impossible,
+            AttemptResult::ServerError => AttemptOutcome::Failed(AttemptFailure::Failed),
+            AttemptResult::Suspended => AttemptOutcome::Preempted,
+            AttemptResult::Interrupted(failure) => AttemptOutcome::Failed(*failure),
         }
     }
 }
 
-/// An item with what it has given so far.
-pub struct ItemRun<'a, S, D> {
+/// Runs one item and keeps its partial output.
+pub struct ItemRunner<'a, S, D> {
     jobs: &'a Jobs<S, D>,
     id: &'a JobId,
     item: &'a Item,
-    partials: &'a Partials,
-    account: RunAccount,
-    /// Whether the beginning of the present run was persisted.
-    is_begin_recorded: bool,
-    /// Losses in a row without a new event.
-    vain_losses: u32,
-    avoid: Vec<BackendId>,
-    /// Where it ran last.
-    last: Option<Arc<BackendServer>>,
-    rest: CrashRest,
+    partial_outputs: &'a PartialOutputs,
+    counts: RunAccount,
+    /// Whether the start of the current attempt was persisted.
+    is_start_recorded: bool,
+    /// Consecutive interruptions without a new event.
+    fruitless_failures: u32,
+    avoided_backends: Vec<BackendId>,
+    /// Backend server of the last attempt.
+    last_backend: Option<Arc<BackendServer>>,
+    backoff: CrashBackoff,
 }
 
-impl<'a, S: RowStore + ObjectStore, D: Dialect> ItemRun<'a, S, D> {
-    /// An item that has not begun.
+impl<'a, S: RowStore + ObjectStore, D: Dialect> ItemRunner<'a, S, D> {
+    /// Creates the runner of an item that has not been attempted here yet.
     pub fn new(
         jobs: &'a Jobs<S, D>,
         id: &'a JobId,
         item: &'a Item,
-        partials: &'a Partials,
+        partial_outputs: &'a PartialOutputs,
     ) -> Self {
-        ItemRun {
+        ItemRunner {
             jobs,
             id,
             item,
-            partials,
-            account: RunAccount::default(),
-            is_begin_recorded: false,
-            vain_losses: 0,
-            avoid: Vec::new(),
-            last: None,
-            rest: CrashRest::default(),
+            partial_outputs,
+            counts: RunAccount::default(),
+            is_start_recorded: false,
+            fruitless_failures: 0,
+            avoided_backends: Vec::new(),
+            last_backend: None,
+            backoff: CrashBackoff::default(),
         }
     }
 
     /// Runs the item until it has a result. `None`: its job was ended or has another owner.
     pub async fn run(mut self, job: &Job) -> Option<ListedResult> {
         let Some(target) = self.target() else {
-            log::warn!(job = self.id.as_str(), item = self.item.id.as_str(); "no path, given up");
-            return Some(self.result(ItemState::GivenUp));
+            log::warn!(job = self.id.as_str(), item = self.item.id.as_str(); "item given up: its target is not a valid path");
+            return Some(self.into_result(ItemState::GivenUp));
         };
         let headers = self.headers(job);
-        self.account = self.account_of(job);
+        self.counts = self.earlier_attempt_counts(job);
         let mut no_route_since: Option<Instant> = None;
         loop {
             if self.jobs.relay.clock.wall().0 >= job.give_up_unix_ms {
-                return Some(self.result(ItemState::GivenUp));
+                return Some(self.into_result(ItemState::GivenUp));
             }
-            if !self.is_wanted() {
+            if !self.is_still_owned() {
                 return None;
             }
             let routes = self.jobs.relay.routes.load_full();
             let Some(route) = routes.find(&job.host, &job.path) else {
                 let since = *no_route_since.get_or_insert_with(Instant::now);
-                if routes.version() > 0 && since.elapsed() > Duration::from_millis(NO_ROUTE_MS) {
-                    return Some(self.result(ItemState::GivenUp));
+                if routes.version() > 0
+                    && since.elapsed() > Duration::from_millis(NO_ROUTE_TIMEOUT_MS)
+                {
+                    return Some(self.into_result(ItemState::GivenUp));
                 }
-                tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 continue;
             };
             no_route_since = None;
-            match self.account.next_run(route.attempts) {
+            match self.counts.next_run(route.attempts) {
                 NextRun::Allowed => {}
-                NextRun::GiveUp => return Some(self.result(ItemState::GivenUp)),
+                NextRun::GiveUp => return Some(self.into_result(ItemState::GivenUp)),
                 NextRun::Rest => {
-                    self.rest_until_given_up(job).await;
+                    self.wait_until_given_up(job).await;
                     continue;
                 }
             }
-            if self.rest_after_crashes(job).await {
+            if self.back_off_after_crashes(job).await {
                 continue;
             }
             let events = self.events();
-            let run = self.run_once(route, job, &target, &headers).await;
+            let result = self.attempt_once(route, job, &target, &headers).await;
             if self.events() > events {
-                self.vain_losses = 0;
-                self.account.note_events();
+                self.fruitless_failures = 0;
+                self.counts.note_events();
             }
-            match run {
-                Run::Complete => return Some(self.result(ItemState::Done)),
-                Run::Impossible => return Some(self.result(ItemState::GivenUp)),
-                Run::Unfinished => {}
-                Run::Lost(miss) => {
-                    self.jobs.relay.metrics.run_lost(miss.as_str());
+            match result {
+                AttemptResult::Complete => return Some(self.into_result(ItemState::Done)),
+                AttemptResult::Impossible => return Some(self.into_result(ItemState::GivenUp)),
+                AttemptResult::Suspended => {}
+                AttemptResult::Interrupted(failure) => {
+                    self.jobs.relay.metrics.attempt_failed(failure.as_str());
                     log::info!(
                         job = self.id.as_str(), item = self.item.id.as_str(),
-                        backend = self.avoid.last().map(BackendId::as_str),
-                        after = self.events(), losses = self.vain_losses,
-                        cause:? = miss; "an item goes on elsewhere"
+                        backend = self.avoided_backends.last().map(BackendId::as_str),
+                        after = self.events(), losses = self.fruitless_failures,
+                        cause:? = failure; "attempt of an item interrupted, resuming at another backend server"
                     );
-                    self.note_crash(job, miss, self.events() - events);
-                    self.pause_after_loss(miss).await;
+                    self.record_possible_crash(job, failure, self.events() - events);
+                    self.delay_after_failure(failure).await;
                 }
-                Run::Failed => {
-                    self.account.note_failed();
-                    self.write_account(self.account).await;
-                    tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+                AttemptResult::ServerError => {
+                    self.counts.note_failed();
+                    self.write_attempt_counts(self.counts).await;
+                    tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 }
             }
         }
     }
 
-    /// What is known of the runs at owners before.
-    fn account_of(&self, job: &Job) -> RunAccount {
-        let written = self.partials.account(&self.item.id);
-        let mut account = written.unwrap_or(RunAccount::unwritten(job.lost_owners));
+    /// Attempt counts written by earlier owners of the job.
+    fn earlier_attempt_counts(&self, job: &Job) -> RunAccount {
+        let written = self.partial_outputs.attempt_counts(&self.item.id);
+        let mut counts = written.unwrap_or(RunAccount::unwritten(job.lost_owners));
         if self.events() > 0 {
-            account.note_events();
+            counts.note_events();
         }
-        account
+        counts
     }
 
-    /// Persists an account. Where the store is away the item goes on all the same: an owner that is
-    /// lost meanwhile costs a run more at most.
-    async fn write_account(&self, account: RunAccount) {
+    /// Persists attempt counts. If the store is unavailable the item continues all the same; an
+    /// owner lost meanwhile then costs one additional attempt at most.
+    async fn write_attempt_counts(&self, counts: RunAccount) {
         let writing = self
             .jobs
             .store
-            .write_account(self.id, &self.item.id, &account);
+            .write_attempt_counts(self.id, &self.item.id, &counts);
         let error =
-            match tokio::time::timeout(Duration::from_millis(WRITE_ACCOUNT_MS), writing).await {
+            match tokio::time::timeout(Duration::from_millis(WRITE_COUNTS_TIMEOUT_MS), writing)
+                .await
+            {
                 Ok(Ok(())) => return,
                 Ok(Err(error)) => error.to_string(),
-                Err(_) => format!("no answer within {WRITE_ACCOUNT_MS} ms"),
+                Err(_) => format!("no answer within {WRITE_COUNTS_TIMEOUT_MS} ms"),
             };
-        log::info!(job = self.id.as_str(), item = self.item.id.as_str(); "account not written: {error}");
+        log::info!(job = self.id.as_str(), item = self.item.id.as_str(); "attempt counts not written, item continues: {error}");
     }
 
-    async fn rest_until_given_up(&self, job: &Job) {
+    async fn wait_until_given_up(&self, job: &Job) {
         let left_ms = job
             .give_up_unix_ms
             .saturating_sub(self.jobs.relay.clock.wall().0);
         log::info!(
             job = self.id.as_str(), item = self.item.id.as_str(),
-            open = self.account.open, rest_ms = left_ms; "an item rests"
+            open = self.counts.open, rest_ms = left_ms; "item in backoff"
         );
-        while self.is_wanted() && self.jobs.relay.clock.wall().0 < job.give_up_unix_ms {
-            tokio::time::sleep(Duration::from_millis(REST_LOOK_MS)).await;
+        while self.is_still_owned() && self.jobs.relay.clock.wall().0 < job.give_up_unix_ms {
+            tokio::time::sleep(Duration::from_millis(BACKOFF_CHECK_MS)).await;
         }
     }
 
@@ -216,62 +222,63 @@
         Fingerprint::of_opaque(&job.host, &self.item.target, &self.item.body)
     }
 
-    fn note_crash(&self, job: &Job, miss: Miss, events: u64) {
-        if let Some(backend) = &self.last {
+    fn record_possible_crash(&self, job: &Job, failure: AttemptFailure, events: u64) {
+        if let Some(backend) = &self.last_backend {
             let relay = &self.jobs.relay;
-            relay.note_crash(self.fingerprint(job), backend, miss, events);
+            relay.record_possible_crash(self.fingerprint(job), backend, failure, events);
         }
     }
 
-    /// Waits a while where the item has crashed backend servers and may not run yet. `true`: it waited,
-    /// and its route, job and time may have changed.
-    async fn rest_after_crashes(&mut self, job: &Job) -> bool {
+    /// Waits if the item crashed backend servers and may not be attempted yet. `true`: it waited,
+    /// and its route, job and deadline may have changed.
+    async fn back_off_after_crashes(&mut self, job: &Job) -> bool {
         let relay = &self.jobs.relay;
         if relay.peers.crashes().is_empty() {
             return false;
         }
-        let crashes = relay.peers.crashes().count(self.fingerprint(job));
+        let crashes = relay.peers.crashes().crash_count(self.fingerprint(job));
         let left_ms = job.give_up_unix_ms.saturating_sub(relay.clock.wall().0);
-        if let Some(rest_ms) = self.rest.begin(crashes, left_ms) {
+        if let Some(delay_ms) = self.backoff.begin(crashes, left_ms) {
             log::info!(
                 job = self.id.as_str(), item = self.item.id.as_str(),
-                crashes = crashes, rest_ms = rest_ms; "an item rests"
+                crashes = crashes, rest_ms = delay_ms; "item in backoff"
             );
         }
-        let left = self.rest.left();
-        if left.is_zero() {
+        let remaining = self.backoff.remaining();
+        if remaining.is_zero() {
             return false;
         }
-        tokio::time::sleep(left.min(Duration::from_millis(REST_LOOK_MS))).await;
+        tokio::time::sleep(remaining.min(Duration::from_millis(BACKOFF_CHECK_MS))).await;
         true
     }
 
-    /// Waits the longer the more often engines broke off without giving an event.
-    async fn pause_after_loss(&mut self, miss: Miss) {
-        if !matches!(miss, Miss::Closed | Miss::Broken) {
+    /// Waits longer the more often in a row engines broke off without giving an event.
+    async fn delay_after_failure(&mut self, failure: AttemptFailure) {
+        if !matches!(failure, AttemptFailure::Closed | AttemptFailure::Broken) {
             return;
         }
-        self.vain_losses += 1;
-        if self.vain_losses < 2 {
+        self.fruitless_failures += 1;
+        if self.fruitless_failures < 2 {
             return;
         }
-        let pause_ms = MOST_PAUSE_MS.min(PAUSE_MS << (self.vain_losses - 2).min(16));
-        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let delay_ms =
+            MAX_RETRY_DELAY_MS.min(RETRY_DELAY_MS << (self.fruitless_failures - 2).min(16));
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 
-    /// Events that the item has given.
+    /// Number of events received so far.
     fn events(&self) -> u64 {
-        self.partials.last(&self.item.id)
+        self.partial_outputs.last(&self.item.id)
     }
 
-    /// The event after which the item goes on.
+    /// Event after which the item resumes.
     fn after(&self) -> Option<u64> {
         Some(self.events()).filter(|events| *events > 0)
     }
 
-    fn is_wanted(&self) -> bool {
-        let known = self.jobs.book.get(self.id);
-        known.is_some_and(|known| known.job.is_open() && known.job.owner == *self.jobs.me())
+    fn is_still_owned(&self) -> bool {
+        let cached = self.jobs.cache.get(self.id);
+        cached.is_some_and(|cached| cached.job.is_open() && cached.job.owner == *self.jobs.me())
     }
 
     fn target(&self) -> Option<PathAndQuery> {
@@ -283,7 +290,7 @@
         for (name, value) in &self.item.headers {
             let pair = (HeaderName::try_from(name), HeaderValue::try_from(value));
             let (Ok(name), Ok(value)) = pair else {
-                log::warn!(item = self.item.id.as_str(); "header {name:?} is not valid");
+                log::warn!(item = self.item.id.as_str(); "dropping invalid header {name:?} of an item");
                 continue;
             };
             headers.insert(name, value);
@@ -294,20 +301,20 @@
         headers
     }
 
-    fn result(self, state: ItemState) -> ListedResult {
+    fn into_result(self, state: ItemState) -> ListedResult {
         let outcome = match state {
             ItemState::Done => "done",
             ItemState::GivenUp => "given_up",
         };
-        self.jobs.relay.metrics.item(outcome);
+        self.jobs.relay.metrics.item_outcome(outcome);
         log::info!(
             job = self.id.as_str(), item = self.item.id.as_str(), outcome = outcome,
-            failures = self.account.failed, events = self.events(); "item finished"
+            failures = self.counts.failed, events = self.events(); "item finished"
         );
-        let given = self.partials.get(&self.item.id);
-        self.partials.remove(&self.item.id);
+        let output = self.partial_outputs.get(&self.item.id);
+        self.partial_outputs.remove(&self.item.id);
         let text = match state {
-            ItemState::Done => String::from_utf8_lossy(&given.text).into_owned(),
+            ItemState::Done => String::from_utf8_lossy(&output.text).into_owned(),
             ItemState::GivenUp => String::new(),
         };
         ListedResult {
@@ -317,84 +324,86 @@
         }
     }
 
-    async fn run_once(
+    async fn attempt_once(
         &mut self,
         route: &Route,
         job: &Job,
         target: &PathAndQuery,
         headers: &HeaderMap,
-    ) -> Run {
+    ) -> AttemptResult {
         let relay = &self.jobs.relay;
         let service = route.service(rand::random()).clone();
         let left_ms = job.due_unix_ms.saturating_sub(relay.clock.wall().0);
-        let query = PlaceQuery {
+        let query = SlotQuery {
             pool: &service,
             urgency: Urgency::Batch,
             slack_ms: left_ms.saturating_sub(self.jobs.pace().left_ms(self.events())),
-            avoid: &self.avoid,
-            until: Instant::now() + Duration::from_millis(PLACE_WAIT_MS),
+            avoid: &self.avoided_backends,
+            deadline: Instant::now() + Duration::from_millis(SLOT_TIMEOUT_MS),
         };
-        let (place, backend) = match relay.place(&query).await {
-            Ok(found) => found,
-            Err(NoPlace::TimedOut) => {
-                self.avoid.clear();
-                return Run::Unfinished;
+        let (slot, backend) = match relay.acquire_slot(&query).await {
+            Ok(granted) => granted,
+            Err(SlotError::TimedOut) => {
+                self.avoided_backends.clear();
+                return AttemptResult::Suspended;
             }
-            Err(NoPlace::Refused { .. }) => {
-                tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
-                return Run::Unfinished;
+            Err(SlotError::Refused { .. }) => {
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
+                return AttemptResult::Suspended;
             }
         };
-        self.is_begin_recorded = self.events() == 0 && self.account.records_begin(job.lost_owners);
-        if self.is_begin_recorded {
-            self.write_account(self.account.begun()).await;
+        self.is_start_recorded = self.events() == 0 && self.counts.records_begin(job.lost_owners);
+        if self.is_start_recorded {
+            self.write_attempt_counts(self.counts.begun()).await;
         }
-        if !self.is_wanted() {
-            return Run::Unfinished;
+        if !self.is_still_owned() {
+            return AttemptResult::Suspended;
         }
-        self.avoid.clear();
-        self.last = Some(Arc::clone(&backend));
-        let (begun, events) = (Instant::now(), self.events());
-        let run = self.exchange(job, target, headers, &backend, &place).await;
+        self.avoided_backends.clear();
+        self.last_backend = Some(Arc::clone(&backend));
+        let (started, events) = (Instant::now(), self.events());
+        let result = self
+            .send_attempt(job, target, headers, &backend, &slot)
+            .await;
         relay
             .metrics
-            .run_ended(&backend.id, RunEnd::from(&run), begun);
-        let took_ms = begun.elapsed().as_millis() as u64;
+            .attempt_ended(&backend.id, AttemptOutcome::from(&result), started);
+        let took_ms = started.elapsed().as_millis() as u64;
         self.jobs.pace().ran(self.events() - events, took_ms);
-        if matches!(run, Run::Unfinished) && self.events() - events < EARLY_EVENTS {
-            relay.note_silent_run(self.fingerprint(job), &backend);
+        if matches!(result, AttemptResult::Suspended) && self.events() - events < EARLY_EVENTS {
+            relay.record_unresolved_attempt(self.fingerprint(job), &backend);
         }
-        let outcome = match &run {
-            Run::Complete => {
-                relay.note_run(|| self.fingerprint(job));
+        let outcome = match &result {
+            AttemptResult::Complete => {
+                relay.record_execution(|| self.fingerprint(job));
                 self.jobs.pace().finished(self.events());
                 Outcome::Done { held_ms: took_ms }
             }
-            Run::Lost(miss) => {
-                self.avoid.push(backend.id.clone());
-                miss.outcome()
+            AttemptResult::Interrupted(failure) => {
+                self.avoided_backends.push(backend.id.clone());
+                failure.outcome()
             }
-            Run::Failed => {
-                self.avoid.push(backend.id.clone());
+            AttemptResult::ServerError => {
+                self.avoided_backends.push(backend.id.clone());
                 Outcome::Abandoned
             }
-            Run::Impossible | Run::Unfinished => Outcome::Abandoned,
+            AttemptResult::Impossible | AttemptResult::Suspended => Outcome::Abandoned,
         };
-        place.close(outcome);
-        run
+        slot.close(outcome);
+        result
     }
 
-    async fn exchange(
+    async fn send_attempt(
         &self,
         job: &Job,
         target: &PathAndQuery,
         headers: &HeaderMap,
         backend: &BackendServer,
-        place: &Place,
-    ) -> Run {
+        slot: &Slot,
+    ) -> AttemptResult {
         let relay = &self.jobs.relay;
         let body = Bytes::copy_from_slice(&self.item.body);
-        let exchange = Exchange {
+        let request = UpstreamRequest {
             request_id: &self.item.id,
             method: &Method::POST,
             target,
@@ -404,97 +413,102 @@
             is_idempotent: true,
         };
         let left_ms = job.give_up_unix_ms.saturating_sub(relay.clock.wall().0);
-        let until = Instant::now() + Duration::from_millis(left_ms);
-        let patience_until = until.min(Instant::now() + Duration::from_millis(PATIENCE_MS));
-        let sending = relay.send_to(backend, &exchange, until, patience_until);
+        let deadline = Instant::now() + Duration::from_millis(left_ms);
+        let response_deadline =
+            deadline.min(Instant::now() + Duration::from_millis(EVENT_TIMEOUT_MS));
+        let response_head = relay.send_to(backend, &request, deadline, response_deadline);
         let sent = tokio::select! {
-            // An answer that is there counts, also where the place is taken back at the same moment.
+            // A response that has arrived counts even if the slot is preempted at the same moment.
             biased;
-            sent = sending => sent,
-            () = place.yielded() => return Run::Unfinished,
+            sent = response_head => sent,
+            () = slot.preempted() => return AttemptResult::Suspended,
         };
         match sent {
-            Err(miss) => Run::Lost(miss),
+            Err(failure) => AttemptResult::Interrupted(failure),
             Ok((response, _)) if relay.dialect.is_impossible(response.status()) => {
                 log::info!(
                     job = self.id.as_str(), item = self.item.id.as_str(),
-                    backend = backend.id.as_str(); "item can never be done"
+                    backend = backend.id.as_str(); "backend server reports that the item can never be completed, giving it up"
                 );
-                Run::Impossible
+                AttemptResult::Impossible
             }
-            Ok((response, in_use)) if response.status().is_success() => {
+            Ok((response, connection)) if response.status().is_success() => {
                 let body = response.into_body();
-                self.read(job, body, in_use, place, until).await
+                self.read_events(job, body, connection, slot, deadline)
+                    .await
             }
-            Ok((response, in_use)) => {
+            Ok((response, connection)) => {
                 let status = response.status();
                 log::info!(
                     job = self.id.as_str(), item = self.item.id.as_str(),
                     backend = backend.id.as_str(), status = status.as_u16(),
-                    failures = self.account.failed, open = self.account.open; "item failed"
+                    failures = self.counts.failed, open = self.counts.open; "attempt of an item failed with a server error status"
                 );
-                if upstream::read_whole(response, in_use, until).await.is_err() {
-                    log::debug!("the answer to a failed item broke off");
+                if upstream::read_whole(response, connection, deadline)
+                    .await
+                    .is_err()
+                {
+                    log::debug!("connection ended while reading the error response to an item");
                 }
                 match status {
-                    StatusCode::INTERNAL_SERVER_ERROR => Run::Failed,
-                    _ => Run::Lost(Miss::Broken),
+                    StatusCode::INTERNAL_SERVER_ERROR => AttemptResult::ServerError,
+                    _ => AttemptResult::Interrupted(AttemptFailure::Broken),
                 }
             }
         }
     }
 
-    async fn read(
+    async fn read_events(
         &self,
         job: &Job,
         body: hyper::body::Incoming,
-        in_use: InUse,
-        place: &Place,
-        until: Instant,
-    ) -> Run {
-        let mut reader = EventReader::new(body, in_use, self.after());
+        connection: BusyConnection,
+        slot: &Slot,
+        deadline: Instant,
+    ) -> AttemptResult {
+        let mut reader = EventReader::new(body, connection, self.after());
         let mut events = 0;
         loop {
-            let step = tokio::select! {
-                step = reader.next(PATIENCE_MS, until) => step,
-                () = place.yielded() => {
-                    self.jobs.relay.metrics.item("cut");
+            let read = tokio::select! {
+                read = reader.read_event(EVENT_TIMEOUT_MS, deadline) => read,
+                () = slot.preempted() => {
+                    self.jobs.relay.metrics.item_outcome("cut");
                     log::info!(
                         job = self.id.as_str(), item = self.item.id.as_str(),
-                        after = self.events(); "an item gives way"
+                        after = self.events(); "item preempted"
                     );
-                    return Run::Unfinished;
+                    return AttemptResult::Suspended;
                 }
             };
-            match step {
-                Step::Event(event) => {
-                    place.sign();
-                    self.take(&event, reader.last_id());
+            match read {
+                StreamRead::Event(event) => {
+                    slot.record_activity();
+                    self.append_event(&event, reader.last_id());
                     events += 1;
-                    if events == 1 && self.is_begin_recorded {
-                        let mut account = self.account;
-                        account.note_events();
-                        self.write_account(account).await;
+                    if events == 1 && self.is_start_recorded {
+                        let mut counts = self.counts;
+                        counts.note_events();
+                        self.write_attempt_counts(counts).await;
                     }
                     if events == EARLY_EVENTS {
-                        self.jobs.relay.note_run(|| self.fingerprint(job));
+                        self.jobs.relay.record_execution(|| self.fingerprint(job));
                     }
                 }
-                Step::End => {
+                StreamRead::End => {
                     reader.close();
-                    return Run::Complete;
+                    return AttemptResult::Complete;
                 }
-                Step::Closed => return Run::Lost(Miss::Closed),
-                Step::Broken => return Run::Lost(Miss::Broken),
-                Step::Silent => return Run::Lost(Miss::Silent),
+                StreamRead::Closed => return AttemptResult::Interrupted(AttemptFailure::Closed),
+                StreamRead::Broken => return AttemptResult::Interrupted(AttemptFailure::Broken),
+                StreamRead::Silent => return AttemptResult::Interrupted(AttemptFailure::Silent),
             }
         }
     }
 
-    fn take(&self, event: &RawEvent, id: Option<u64>) {
-        self.partials.update(&self.item.id, |given| {
-            push_data(&mut given.text, event, given.last == 0);
-            given.last = id.unwrap_or(given.last + 1);
+    fn append_event(&self, event: &RawEvent, id: Option<u64>) {
+        self.partial_outputs.update(&self.item.id, |output| {
+            push_data(&mut output.text, event, output.last == 0);
+            output.last = id.unwrap_or(output.last + 1);
         });
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/mod.rs
+++ b/crates/foxtailhold-relay/src/jobs/mod.rs
@@ -1,9 +1,10 @@
 //! Batch jobs with ordered results.
 //!
-//! A job is one row of the platform's store: its items, who runs it, which items have results and in
-//! which order. Each change is conditional on the row's version, so that of two owners at once only
-//! one can list a result, and every position is written once. Bodies of items are rows too,
-//! or one object where they are large; results are rows written in the same transaction as the job's.
+//! A job is one row of the platform's store with its items, its owner, and the order of the items
+//! that have results. Each change is conditional on the row's version, so that of two concurrent
+//! owners only one can list a result and every position is written once. Bodies of items are rows
+//! too, or one object if they are large; results are rows written in the same transaction as the
+//! job's row.
 
 mod accept;
 mod backoff;
@@ -17,8 +18,8 @@
 mod sweep;
 
 pub use accept::AcceptOutcome;
-pub use cache::{BookSink, Job, JobBook};
-pub use checkpoint::{Given, Partials, Piece};
+pub use cache::{Job, JobCache, JobCacheSink};
+pub use checkpoint::{Checkpoint, PartialOutput, PartialOutputs};
 pub use owner::own_jobs;
 pub use read::{ListedResult, ResultPage};
 pub use store::{JobStore, QuotaRow};
@@ -36,46 +37,46 @@
 
 use crate::relay::Relay;
 
-/// Result of a call about jobs.
+/// Result of an operation on jobs.
 pub type Result<T> = std::result::Result<T, JobError>;
 
-/// Table of the jobs' rows and of the quotas.
+/// Table of the rows of jobs and quotas.
 pub const JOBS_TABLE: &str = "jobs";
 /// Table of the bodies of items.
 pub const BODIES_TABLE: &str = "bodies";
-/// Table of results.
+/// Table of the results of items.
 pub const RESULTS_TABLE: &str = "results";
-/// Table of what unfinished items have given so far.
-pub const PIECES_TABLE: &str = "pieces";
+/// Table of the checkpoints and attempt counts of unfinished items.
+pub const CHECKPOINTS_TABLE: &str = "pieces";
 
-/// Why a call about a job failed.
+/// Why an operation on a job failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum JobError {
-    /// The unfinished items of all jobs and this one exceed the contract's quota.
+    /// The unfinished items of all jobs and the new job together exceed the contract's quota.
     #[error("{waiting_tokens} tokens wait already, {new_tokens} more are over {quota_tokens}")]
     OverQuota {
-        /// Tokens that wait.
+        /// Tokens of the unfinished items.
         waiting_tokens: u64,
         /// Tokens of the new job.
         new_tokens: u64,
-        /// The quota.
+        /// Limit of the contract.
         quota_tokens: u64,
     },
-    /// There is no such job, or no such item.
+    /// The job or the item does not exist.
     #[error("there is no such job or item")]
     NotFound,
-    /// The store does not answer; nothing was done.
+    /// The store did not answer, and the operation had no effect.
     #[error("nothing was done: {0}")]
     Unavailable(PlatformError),
-    /// The store does not answer; it is not known what was done.
+    /// The store did not answer, and the operation may have had an effect.
     #[error("it is not known what was done: {0}")]
     Unknown(PlatformError),
-    /// What is stored cannot be read.
+    /// The stored data cannot be decoded.
     #[error("job {job} cannot be read: {detail}")]
     Malformed {
-        /// The job.
+        /// Job to which the data belongs.
         job: JobId,
-        /// What the library said.
+        /// Error of the decoder.
         detail: String,
     },
 }
@@ -89,61 +90,61 @@
     }
 }
 
-/// An item as it was handed in.
+/// A batch item as submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Identity; the identity of its requests as well.
+    /// Identifier, also used as the identifier of its requests.
     pub id: String,
     /// Path and query.
     pub target: String,
-    /// Headers.
+    /// Request headers.
     pub headers: BTreeMap<String, String>,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Tokens of prompt and longest output.
+    /// Tokens of the prompt and of the longest possible output.
     pub tokens: u64,
 }
 
-/// A job as it was handed in.
+/// A batch job as submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewJob {
-    /// Identity, chosen by the caller.
+    /// Identifier chosen by the caller.
     pub id: JobId,
-    /// Host that it was sent to.
+    /// Host to which the job was sent, which selects the route.
     pub host: String,
-    /// Items.
+    /// Items in the order of submission.
     pub items: Vec<Item>,
 }
 
-/// The outcome of an item.
+/// Outcome of an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemState {
-    /// Its whole output is there.
+    /// Its output is complete.
     Done,
-    /// It was given up.
+    /// It was given up and has no output.
     GivenUp,
 }
 
-/// What a job needs of the process.
+/// State shared by all batch jobs of this process.
 #[derive(Debug)]
 pub struct Jobs<S, D> {
-    /// Rows and objects.
+    /// Rows and objects of the jobs.
     pub store: JobStore<S>,
-    /// All jobs known.
-    pub book: Arc<JobBook>,
-    /// Backend servers, places and peers.
+    /// All known jobs.
+    pub cache: Arc<JobCache>,
+    /// Backend servers, slots and peers.
     pub relay: Arc<Relay<D>>,
-    /// How long items run.
+    /// Duration statistics of items, used to estimate their remaining time.
     pub pace: Mutex<ItemPace>,
 }
 
 impl<S: RowStore + ObjectStore, D> Jobs<S, D> {
-    /// How long items run.
+    /// Locks the duration statistics of items.
     pub fn pace(&self) -> MutexGuard<'_, ItemPace> {
         self.pace.lock()
     }
 
-    /// This instance.
+    /// Identifier of this instance.
     pub fn me(&self) -> &InstanceId {
         self.relay.peers.me()
     }
--- a/crates/foxtailhold-relay/src/jobs/owner.rs
+++ b/crates/foxtailhold-relay/src/jobs/owner.rs
@@ -1,4 +1,4 @@
-//! Which jobs this instance runs.
+//! Decides which jobs this instance runs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,71 +12,72 @@
 
 use crate::dialect::Dialect;
 use crate::jobs::Jobs;
-use crate::jobs::cache::KnownJob;
+use crate::jobs::cache::CachedJob;
 use crate::jobs::run::run_job;
 use crate::jobs::{Job, JobError};
 
-/// Pause between two looks at owners without a change of a job.
-const LOOK_MS: u64 = 300;
-/// An owner that is down for this time loses its jobs: longer than a usual restart of the talk
-/// between instances, far shorter than the slack of an item.
-const OWNER_DOWN_MS: u64 = 1_200;
+/// Interval between checks of the owners if no job changes.
+const CHECK_INTERVAL_MS: u64 = 300;
+/// Time after which an owner that is down loses its jobs. It is longer than a usual restart of the
+/// connection between instances and far shorter than the slack of an item.
+const OWNER_TIMEOUT_MS: u64 = 1_200;
 
-/// An instance that hears of nobody may be the one that is cut off, and waits longer.
-const OWNER_DOWN_ALONE_MS: u64 = 3_600;
+/// The same for an instance that hears from no other: it may be the one that is cut off, so it
+/// waits longer.
+const OWNER_TIMEOUT_ISOLATED_MS: u64 = 3_600;
 
-/// Runs this instance's jobs and takes over those of instances that are down, until `leave` is
-/// cancelled; then hands over what is left and returns.
+/// Runs the jobs of this instance and takes over those of instances that are down. When `leave` is
+/// cancelled it hands over the remaining jobs and returns.
 pub async fn own_jobs<S: RowStore + ObjectStore, D: Dialect>(
     jobs: Arc<Jobs<S, D>>,
     leave: CancellationToken,
 ) {
-    let mut running: HashMap<JobId, Running> = HashMap::new();
-    let mut changes = jobs.book.changes();
+    let mut running: HashMap<JobId, RunningJob> = HashMap::new();
+    let mut changes = jobs.cache.changes();
     loop {
-        let open = jobs.book.open();
+        let open = jobs.cache.open();
         running.retain(|id, job| {
             let is_mine = open
                 .iter()
-                .any(|(known, job)| known == id && job.job.owner == *jobs.me());
+                .any(|(cached, job)| cached == id && job.job.owner == *jobs.me());
             if !is_mine {
                 job.stop.cancel();
             }
             is_mine
         });
-        for (id, known) in open {
-            if known.job.owner == *jobs.me() {
+        for (id, cached) in open {
+            if cached.job.owner == *jobs.me() {
                 start(&jobs, &mut running, id);
                 continue;
             }
-            if is_heir(&jobs, &id, &known.job.owner) {
+            if is_successor(&jobs, &id, &cached.job.owner) {
                 let next = Job {
                     owner: jobs.me().clone(),
-                    lost_owners: known.job.lost_owners + 1,
-                    ..Job::clone(&known.job)
+                    lost_owners: cached.job.lost_owners + 1,
+                    ..Job::clone(&cached.job)
                 };
-                change_owner(&jobs, &id, &known, next).await;
+                change_owner(&jobs, &id, &cached, next).await;
             }
         }
-        let look = tokio::time::sleep(Duration::from_millis(LOOK_MS));
+        let check = tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS));
         tokio::select! {
             _ = changes.changed() => {}
-            () = look => {}
+            () = check => {}
             () = leave.cancelled() => break,
         }
     }
     hand_over(&jobs, running).await;
 }
 
-/// A job that runs here.
-struct Running {
+/// A job that runs here and the token that stops it.
+struct RunningJob {
     stop: CancellationToken,
     task: JoinHandle<()>,
 }
 
 fn start<S: RowStore + ObjectStore, D: Dialect>(
     jobs: &Arc<Jobs<S, D>>,
-    running: &mut HashMap<JobId, Running>,
+    running: &mut HashMap<JobId, RunningJob>,
     id: JobId,
 ) {
     if running.contains_key(&id) {
@@ -84,11 +85,11 @@
     }
     let stop = CancellationToken::new();
     let task = tokio::spawn(run_job(Arc::clone(jobs), id.clone(), stop.clone()));
-    running.insert(id, Running { stop, task });
+    running.insert(id, RunningJob { stop, task });
 }
 
 /// Whether the owner is down and this instance is the one to take over.
-fn is_heir<S: RowStore + ObjectStore, D: Dialect>(
+fn is_successor<S: RowStore + ObjectStore, D: Dialect>(
     jobs: &Jobs<S, D>,
     id: &JobId,
     owner: &InstanceId,
@@ -99,57 +100,57 @@
     let now = jobs.relay.clock.mono();
     let mut members = jobs.relay.peers.members();
     let down_ms = match members.hears_others(now) {
-        true => OWNER_DOWN_MS,
-        false => OWNER_DOWN_ALONE_MS,
+        true => OWNER_TIMEOUT_MS,
+        false => OWNER_TIMEOUT_ISOLATED_MS,
     };
     if !members.is_down(now, owner, down_ms) {
         return false;
     }
-    let heirs = members.not_down(now, down_ms);
-    let heir = rendezvous::home(&heirs, id.as_str().as_bytes());
-    heir.is_none_or(|heir| heir == jobs.me())
+    let candidates = members.not_down(now, down_ms);
+    let successor = rendezvous::home(&candidates, id.as_str().as_bytes());
+    successor.is_none_or(|successor| successor == jobs.me())
 }
 
-/// Writes a new owner into a job's row.
+/// Writes the new owner in `next` to the row of a job.
 async fn change_owner<S: RowStore + ObjectStore, D: Dialect>(
     jobs: &Jobs<S, D>,
     id: &JobId,
-    known: &KnownJob,
+    cached: &CachedJob,
     next: Job,
 ) {
-    match jobs.store.update(id, &next, known.version, 0, &[]).await {
+    match jobs.store.update(id, &next, cached.version, 0, &[]).await {
         Ok(Committed::At(version)) => {
             log::info!(
-                job = id.as_str(), from = known.job.owner.as_str(), to = next.owner.as_str(),
-                lost_owners = next.lost_owners, version = version; "job has a new owner"
+                job = id.as_str(), from = cached.job.owner.as_str(), to = next.owner.as_str(),
+                lost_owners = next.lost_owners, version = version; "owner of the job changed"
             );
-            jobs.book.put(id, next, version);
+            jobs.cache.put(id, next, version);
         }
         Ok(Committed::Conflict(rows)) => {
             for row in &rows {
-                jobs.book.put_row(row);
+                jobs.cache.put_row(row);
             }
         }
         Err(error @ JobError::Unknown(_)) => {
-            log::warn!(job = id.as_str(); "new owner not known: {error}");
+            log::warn!(job = id.as_str(); "unknown whether the owner of the job changed: {error}");
         }
-        Err(error) => log::warn!(job = id.as_str(); "no new owner: {error}"),
+        Err(error) => log::warn!(job = id.as_str(); "owner of the job not changed: {error}"),
     }
 }
 
-/// Gives this instance's open jobs to others, with what their items have given so far.
+/// Moves the open jobs of this instance to others, with checkpoints of their items.
 async fn hand_over<S: RowStore + ObjectStore, D: Dialect>(
     jobs: &Arc<Jobs<S, D>>,
-    mut running: HashMap<JobId, Running>,
+    mut running: HashMap<JobId, RunningJob>,
 ) {
     let mut handed = JoinSet::new();
-    for (id, known) in jobs.book.open() {
-        if known.job.owner != *jobs.me() {
+    for (id, cached) in jobs.cache.open() {
+        if cached.job.owner != *jobs.me() {
             continue;
         }
         let jobs = Arc::clone(jobs);
         let job = running.remove(&id);
-        handed.spawn(async move { give_away(&jobs, &id, job).await });
+        handed.spawn(async move { transfer(&jobs, &id, job).await });
     }
     for job in running.values() {
         job.stop.cancel();
@@ -157,29 +158,29 @@
     handed.join_all().await;
 }
 
-async fn give_away<S: RowStore + ObjectStore, D: Dialect>(
+async fn transfer<S: RowStore + ObjectStore, D: Dialect>(
     jobs: &Jobs<S, D>,
     id: &JobId,
-    running: Option<Running>,
+    running: Option<RunningJob>,
 ) {
-    if let Some(Running { stop, task }) = running {
+    if let Some(RunningJob { stop, task }) = running {
         stop.cancel();
         if let Err(error) = task.await {
-            log::error!(job = id.as_str(); "the job's task failed: {error}");
+            log::error!(job = id.as_str(); "task of the job failed: {error}");
         }
     }
-    let (Some(owner), Some(known)) = (other_owner(jobs, id), jobs.book.get(id)) else {
-        log::info!(job = id.as_str(); "nobody to hand the job over to");
+    let (Some(owner), Some(cached)) = (next_owner(jobs, id), jobs.cache.get(id)) else {
+        log::info!(job = id.as_str(); "no other instance to hand the job over to");
         return;
     };
     let next = Job {
         owner,
-        ..Job::clone(&known.job)
+        ..Job::clone(&cached.job)
     };
-    change_owner(jobs, id, &known, next).await;
+    change_owner(jobs, id, &cached, next).await;
 }
 
-fn other_owner<S: RowStore + ObjectStore, D: Dialect>(
+fn next_owner<S: RowStore + ObjectStore, D: Dialect>(
     jobs: &Jobs<S, D>,
     id: &JobId,
 ) -> Option<InstanceId> {
--- a/crates/foxtailhold-relay/src/jobs/read.rs
+++ b/crates/foxtailhold-relay/src/jobs/read.rs
@@ -1,4 +1,4 @@
-//! Reading results, at any instance.
+//! Reads results of jobs, at any instance.
 
 use std::time::Duration;
 
@@ -10,47 +10,47 @@
 use crate::dialect::Dialect;
 use crate::jobs::{ItemState, JobError, Jobs, Result};
 
-/// Results in one answer hold at most about this many bytes.
-const PAGE_BYTES: usize = 600_000;
-/// Results read with one call.
-const PAGE_RESULTS: usize = 24;
+/// Approximate size limit of the results in one page.
+const MAX_PAGE_BYTES: usize = 600_000;
+/// Results read with one store call.
+const MAX_PAGE_RESULTS: usize = 24;
 
-/// A result at its position.
+/// The result of one item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedResult {
-    /// The item.
+    /// Identifier of the item.
     pub item: String,
-    /// Its outcome.
+    /// Whether the item was completed or given up.
     pub state: ItemState,
-    /// The data of all events.
+    /// Data of all events, empty if the item was given up.
     pub text: String,
 }
 
-/// Results from a position on.
+/// Consecutive results of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResultPage {
     /// Number of items of the job.
     pub total: usize,
     /// Position after the last result of this page.
     pub next: usize,
-    /// The results.
+    /// Results in the order of their positions.
     pub results: Vec<ListedResult>,
 }
 
 impl<S: RowStore + ObjectStore, D: Dialect> Jobs<S, D> {
-    /// Reads results from position `after` on, waiting until there is one, at most `wait_ms`.
+    /// Reads results from position `after` on. Waits until there is one, for `wait_ms` at most.
     pub async fn read(&self, id: &JobId, after: usize, wait_ms: u64) -> Result<ResultPage> {
-        let until = Instant::now() + Duration::from_millis(wait_ms);
-        let mut changes = self.book.changes();
-        let mut known = self.find(id).await?.ok_or(JobError::NotFound)?;
-        while known.job.listed.len() <= after && known.job.is_open() {
-            match tokio::time::timeout_at(until, changes.changed()).await {
-                Ok(Ok(())) => known = self.book.get(id).ok_or(JobError::NotFound)?,
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
+        let mut changes = self.cache.changes();
+        let mut cached = self.find(id).await?.ok_or(JobError::NotFound)?;
+        while cached.job.listed.len() <= after && cached.job.is_open() {
+            match tokio::time::timeout_at(deadline, changes.changed()).await {
+                Ok(Ok(())) => cached = self.cache.get(id).ok_or(JobError::NotFound)?,
                 _ => break,
             }
         }
-        let total = known.job.items.len();
-        let listed = known.job.listed.len();
+        let total = cached.job.items.len();
+        let listed = cached.job.listed.len();
         if listed <= after {
             return Ok(ResultPage {
                 total,
@@ -58,11 +58,11 @@
                 results: Vec::new(),
             });
         }
-        let to = listed.min(after + PAGE_RESULTS);
+        let to = listed.min(after + MAX_PAGE_RESULTS);
         let mut results = self.store.results(id, after, to).await?;
         let mut bytes = 0;
         let fitting = results.iter().take_while(|result| {
-            let fits = bytes == 0 || bytes + result.text.len() <= PAGE_BYTES;
+            let fits = bytes == 0 || bytes + result.text.len() <= MAX_PAGE_BYTES;
             bytes += result.text.len();
             fits
         });
@@ -75,14 +75,14 @@
         })
     }
 
-    /// The body of an item.
+    /// Request body of an item.
     pub async fn item_body(&self, id: &JobId, item: &str) -> Result<Bytes> {
-        let known = self.find(id).await?.ok_or(JobError::NotFound)?;
-        if known.job.items.iter().all(|(known, _)| known != item) {
+        let cached = self.find(id).await?.ok_or(JobError::NotFound)?;
+        if cached.job.items.iter().all(|(cached, _)| cached != item) {
             return Err(JobError::NotFound);
         }
         let items = self.store.bodies(id).await?;
-        let found = items.iter().find(|known| known.id == item);
+        let found = items.iter().find(|cached| cached.id == item);
         let found = found.ok_or(JobError::NotFound)?;
         Ok(found.body.clone().into())
     }
