--- a/crates/foxtailhold-relay/src/attempts.rs
+++ b/crates/foxtailhold-relay/src/attempts.rs
@@ -71,8 +71,7 @@
     }
 
     /// Deadline for the next backend server to respond. It is earlier than the deadline of the
-    /// request if another backend server could still be tried; `timeout_ms` 0 sets no
-    /// earlier one.
+    /// request if another backend server could still be tried; `timeout_ms` 0 sets no earlier one.
     pub fn response_deadline(&self, route: &Route, timeout_ms: u64) -> Instant {
         if !self.may_retry(route) || timeout_ms == 0 {
             return self.deadline;
--- a/crates/foxtailhold-relay/src/crash_rows.rs
+++ b/crates/foxtailhold-relay/src/crash_rows.rs
@@ -19,7 +19,9 @@
     loop {
         tokio::select! {
             () = crashes.wait_dirty() => {}
-            () = tokio::time::sleep(Duration::from_millis(EXPIRY_CHECK_MS)) => sweep(&store, &peers).await,
+            () = tokio::time::sleep(Duration::from_millis(EXPIRY_CHECK_MS)) => {
+                sweep(&store, &peers).await
+            }
         }
         loop {
             let dirty = crashes.take_dirty();
--- a/crates/foxtailhold-relay/src/dialect.rs
+++ b/crates/foxtailhold-relay/src/dialect.rs
@@ -43,7 +43,7 @@
 /// Names and meanings of the headers exchanged with backend servers.
 pub trait Dialect: Clone + Send + Sync + 'static {
     /// Adds the metadata to the headers of the caller.
-    fn write(&self, outgoing: &RequestMetadata<'_>, headers: &mut HeaderMap);
+    fn write(&self, metadata: &RequestMetadata<'_>, headers: &mut HeaderMap);
 
     /// Checks the head of a response to the request `request_id`.
     fn read<B>(&self, request_id: &str, response: &Response<B>) -> ResponseCheck;
--- a/crates/foxtailhold-relay/src/dispatch.rs
+++ b/crates/foxtailhold-relay/src/dispatch.rs
@@ -273,7 +273,7 @@
                 response_deadline,
             )
             .await?;
-        upstream::read_whole(response, connection, response_deadline).await
+        upstream::read_buffered(response, connection, response_deadline).await
     }
 
     /// Removes the headers meant for this process and passes the response on to the caller.
@@ -411,7 +411,7 @@
         slot.record_activity();
         if !route.repeat.is_stream() || !response.status().is_success() {
             let buffered =
-                upstream::read_whole(response, connection, progress.attempts.deadline).await?;
+                upstream::read_buffered(response, connection, progress.attempts.deadline).await?;
             return Ok(OpenedResponse::Buffered(buffered));
         }
         self.first_event(response, connection, request.after_event, response_deadline)
--- a/crates/foxtailhold-relay/src/events.rs
+++ b/crates/foxtailhold-relay/src/events.rs
@@ -29,7 +29,7 @@
 pub struct EventReader {
     body: Incoming,
     connection: BusyConnection,
-    cutter: EventCutter,
+    splitter: EventCutter,
     last_id: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
         EventReader {
             body,
             connection,
-            cutter: EventCutter::default(),
+            splitter: EventCutter::default(),
             last_id: after,
         }
     }
@@ -53,15 +53,15 @@
     pub async fn read_event(&mut self, timeout_ms: u64, deadline: Instant) -> StreamRead {
         let read_deadline = deadline.min(Instant::now() + Duration::from_millis(timeout_ms));
         loop {
-            if let Some(event) = self.cutter.next_event() {
+            if let Some(event) = self.splitter.next_event() {
                 return self.check_order(event);
             }
-            if self.cutter.is_oversized() {
+            if self.splitter.is_oversized() {
                 return StreamRead::Broken;
             }
             let frame = match tokio::time::timeout_at(read_deadline, self.body.frame()).await {
                 Err(_) => return StreamRead::Silent,
-                Ok(None) if self.cutter.pending_bytes() > 0 => return StreamRead::Closed,
+                Ok(None) if self.splitter.pending_bytes() > 0 => return StreamRead::Closed,
                 Ok(None) => return StreamRead::End,
                 Ok(Some(Err(error))) => {
                     log::debug!("connection of a stream failed: {error}");
@@ -70,7 +70,7 @@
                 Ok(Some(Ok(frame))) => frame,
             };
             if let Some(data) = frame.data_ref() {
-                self.cutter.push(data);
+                self.splitter.push(data);
             }
         }
     }
--- a/crates/foxtailhold-relay/src/instance.rs
+++ b/crates/foxtailhold-relay/src/instance.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Error)]
 pub enum InstanceError {
     /// The UDP socket for messages of other instances cannot be opened.
-    #[error("cannot take datagrams at {address}: {source}")]
+    #[error("cannot bind the UDP socket for other instances at {address}: {source}")]
     Bind {
         /// Configured peer address.
         address: SocketAddr,
@@ -122,7 +122,7 @@
             store: JobStore::new(store.clone()),
             cache: Arc::clone(&cache),
             relay: Arc::clone(&relay),
-            pace: Mutex::default(),
+            item_durations: Mutex::default(),
         });
         let (loaded, backends_loaded) = watch::channel(false);
         let backends_sink = BackendsSink {
@@ -137,16 +137,16 @@
             tables: tables.clone(),
         };
         tokio::spawn(follow(store.clone(), tables.routes_location().0, routes));
-        let followed = follow(
+        let backends = follow(
             store.clone(),
             tables.backends_table(),
             backends_sink.clone(),
         );
-        tokio::spawn(followed);
+        tokio::spawn(backends);
         let members = MembersSink(peers.clone());
         tokio::spawn(follow(store.clone(), INSTANCES_TABLE, members));
-        let sink = JobCacheSink::new(cache, peers.clone());
-        tokio::spawn(follow(store.clone(), JOBS_TABLE, sink));
+        let jobs_sink = JobCacheSink::new(cache, peers.clone());
+        tokio::spawn(follow(store.clone(), JOBS_TABLE, jobs_sink));
         tokio::spawn(peers.run());
         tokio::spawn(backends_sink.expire());
         tokio::spawn(persist_crashes(store.clone(), relay.peers.clone()));
@@ -163,8 +163,8 @@
             leaving,
             hand_over,
         });
-        tokio::spawn(Arc::clone(&instance).announce());
-        tokio::spawn(Arc::clone(&instance).sweep_members());
+        tokio::spawn(Arc::clone(&instance).write_own_row());
+        tokio::spawn(Arc::clone(&instance).delete_down_rows());
         Ok(instance)
     }
 
@@ -195,7 +195,7 @@
         addresses
     }
 
-    fn row(&self, is_leaving: bool) -> (RowKey, Bytes) {
+    fn own_row(&self, is_leaving: bool) -> (RowKey, Bytes) {
         let identity = &self.identity;
         let member = Member {
             instance: identity.instance.clone(),
@@ -215,7 +215,7 @@
 
     async fn write_row(&self, is_leaving: bool) -> bool {
         let changes = Changes {
-            puts: vec![self.row(is_leaving)],
+            puts: vec![self.own_row(is_leaving)],
             ..Changes::default()
         };
         match self.store.commit(&changes).await {
@@ -228,22 +228,22 @@
     }
 
     /// Writes the row of this instance, with retries until the write is confirmed.
-    async fn announce(self: Arc<Self>) {
+    async fn write_own_row(self: Arc<Self>) {
         while !self.leaving.is_cancelled() && !self.write_row(false).await {
             tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
         }
     }
 
     /// Deletes rows of instances that have been down for long. Only the allocator does so.
-    async fn sweep_members(self: Arc<Self>) {
+    async fn delete_down_rows(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_millis(DOWN_ROW_TTL_MS / 3)).await;
             let now = self.relay.clock.mono();
             let down_rows = {
                 let mut members = self.relay.peers.members();
-                let is_mine = members.allocator(now).is_none() && members.hears_others(now);
+                let is_allocator = members.allocator(now).is_none() && members.hears_others(now);
                 let down_rows = members.down_rows(now, DOWN_ROW_TTL_MS);
-                if is_mine { down_rows } else { Vec::new() }
+                if is_allocator { down_rows } else { Vec::new() }
             };
             for (version, instance) in down_rows {
                 let key = RowKey::new(INSTANCES_TABLE, instance.as_str());
@@ -276,9 +276,9 @@
 
     /// Values of the gauges at this moment.
     pub fn gauge_values(&self) -> GaugeValues {
-        let (places_in_use, requests_waiting) = self.slot_usage();
+        let (slots_in_use, requests_waiting) = self.slot_usage();
         GaugeValues {
-            places_in_use,
+            slots_in_use,
             requests_waiting,
             batch_jobs_open: self.jobs.cache.open().len(),
             config_version: self.relay.routes.load().version(),
@@ -294,7 +294,7 @@
     pub async fn close(self: Arc<Self>) {
         self.peer_server.end_connections();
         let changes = Changes {
-            deletes: vec![self.row(true).0],
+            deletes: vec![self.own_row(true).0],
             ..Changes::default()
         };
         if let Err(error) = self.store.commit(&changes).await {
--- a/crates/foxtailhold-relay/src/jobs/cache.rs
+++ b/crates/foxtailhold-relay/src/jobs/cache.rs
@@ -236,7 +236,7 @@
 }
 
 /// Delay after a batch of changes, per instance, and its bounds. All instances read every change:
-/// with 11 instances a delay of 250 ms instead of 60 ms lowered the score of a day by 0.03, because
+/// with 11 instances a delay of 250 ms instead of 60 ms lost 0.03 of the value of a day, because
 /// results are seen later; with 89 instances more frequent calls cost more. The upper bound is well
 /// within the second after which every instance must know a change.
 const BATCH_DELAY_PER_INSTANCE_MS: u64 = 5;
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -163,7 +163,8 @@
                         job = self.id.as_str(), item = self.item.id.as_str(),
                         backend = self.avoided_backends.last().map(BackendId::as_str),
                         after = self.events(), losses = self.fruitless_failures,
-                        cause:? = failure; "attempt of an item interrupted, resuming at another backend server"
+                        cause:? = failure;
+                        "attempt of an item interrupted, resuming at another backend server"
                     );
                     self.record_possible_crash(job, failure, self.events() - events);
                     self.delay_after_failure(failure).await;
@@ -337,7 +338,7 @@
         let query = SlotQuery {
             pool: &service,
             urgency: Urgency::Batch,
-            slack_ms: left_ms.saturating_sub(self.jobs.pace().left_ms(self.events())),
+            slack_ms: left_ms.saturating_sub(self.jobs.item_durations().left_ms(self.events())),
             avoid: &self.avoided_backends,
             deadline: Instant::now() + Duration::from_millis(SLOT_TIMEOUT_MS),
         };
@@ -369,14 +370,16 @@
             .metrics
             .attempt_ended(&backend.id, AttemptOutcome::from(&result), started);
         let took_ms = started.elapsed().as_millis() as u64;
-        self.jobs.pace().ran(self.events() - events, took_ms);
+        self.jobs
+            .item_durations()
+            .ran(self.events() - events, took_ms);
         if matches!(result, AttemptResult::Suspended) && self.events() - events < EARLY_EVENTS {
             relay.record_unresolved_attempt(self.fingerprint(job), &backend);
         }
         let outcome = match &result {
             AttemptResult::Complete => {
                 relay.record_execution(|| self.fingerprint(job));
-                self.jobs.pace().finished(self.events());
+                self.jobs.item_durations().finished(self.events());
                 Outcome::Done { held_ms: took_ms }
             }
             AttemptResult::Interrupted(failure) => {
@@ -428,7 +431,8 @@
             Ok((response, _)) if relay.dialect.is_impossible(response.status()) => {
                 log::info!(
                     job = self.id.as_str(), item = self.item.id.as_str(),
-                    backend = backend.id.as_str(); "backend server reports that the item can never be completed, giving it up"
+                    backend = backend.id.as_str();
+                    "backend server reports that the item can never be completed, giving it up"
                 );
                 AttemptResult::Impossible
             }
@@ -442,9 +446,10 @@
                 log::info!(
                     job = self.id.as_str(), item = self.item.id.as_str(),
                     backend = backend.id.as_str(), status = status.as_u16(),
-                    failures = self.counts.failed, open = self.counts.open; "attempt of an item failed with a server error status"
+                    failures = self.counts.failed, open = self.counts.open;
+                    "attempt of an item failed with a server error status"
                 );
-                if upstream::read_whole(response, connection, deadline)
+                if upstream::read_buffered(response, connection, deadline)
                     .await
                     .is_err()
                 {
--- a/crates/foxtailhold-relay/src/jobs/mod.rs
+++ b/crates/foxtailhold-relay/src/jobs/mod.rs
@@ -135,13 +135,13 @@
     /// Backend servers, slots and peers.
     pub relay: Arc<Relay<D>>,
     /// Duration statistics of items, used to estimate their remaining time.
-    pub pace: Mutex<ItemPace>,
+    pub item_durations: Mutex<ItemPace>,
 }
 
 impl<S: RowStore + ObjectStore, D> Jobs<S, D> {
     /// Locks the duration statistics of items.
-    pub fn pace(&self) -> MutexGuard<'_, ItemPace> {
-        self.pace.lock()
+    pub fn item_durations(&self) -> MutexGuard<'_, ItemPace> {
+        self.item_durations.lock()
     }
 
     /// Identifier of this instance.
--- a/crates/foxtailhold-relay/src/jobs/owner.rs
+++ b/crates/foxtailhold-relay/src/jobs/owner.rs
@@ -39,7 +39,7 @@
         running.retain(|id, job| {
             let is_mine = open
                 .iter()
-                .any(|(cached, job)| cached == id && job.job.owner == *jobs.me());
+                .any(|(open_id, cached)| open_id == id && cached.job.owner == *jobs.me());
             if !is_mine {
                 job.stop.cancel();
             }
@@ -99,14 +99,14 @@
     }
     let now = jobs.relay.clock.mono();
     let mut members = jobs.relay.peers.members();
-    let down_ms = match members.hears_others(now) {
+    let timeout_ms = match members.hears_others(now) {
         true => OWNER_TIMEOUT_MS,
         false => OWNER_TIMEOUT_ISOLATED_MS,
     };
-    if !members.is_down(now, owner, down_ms) {
+    if !members.is_down(now, owner, timeout_ms) {
         return false;
     }
-    let candidates = members.not_down(now, down_ms);
+    let candidates = members.not_down(now, timeout_ms);
     let successor = rendezvous::home(&candidates, id.as_str().as_bytes());
     successor.is_none_or(|successor| successor == jobs.me())
 }
@@ -143,19 +143,19 @@
     jobs: &Arc<Jobs<S, D>>,
     mut running: HashMap<JobId, RunningJob>,
 ) {
-    let mut handed = JoinSet::new();
+    let mut transfers = JoinSet::new();
     for (id, cached) in jobs.cache.open() {
         if cached.job.owner != *jobs.me() {
             continue;
         }
         let jobs = Arc::clone(jobs);
         let job = running.remove(&id);
-        handed.spawn(async move { transfer(&jobs, &id, job).await });
+        transfers.spawn(async move { transfer(&jobs, &id, job).await });
     }
     for job in running.values() {
         job.stop.cancel();
     }
-    handed.join_all().await;
+    transfers.join_all().await;
 }
 
 async fn transfer<S: RowStore + ObjectStore, D: Dialect>(
--- a/crates/foxtailhold-relay/src/jobs/read.rs
+++ b/crates/foxtailhold-relay/src/jobs/read.rs
@@ -61,12 +61,12 @@
         let to = listed.min(after + MAX_PAGE_RESULTS);
         let mut results = self.store.results(id, after, to).await?;
         let mut bytes = 0;
-        let fitting = results.iter().take_while(|result| {
+        let fitting_results = results.iter().take_while(|result| {
             let fits = bytes == 0 || bytes + result.text.len() <= MAX_PAGE_BYTES;
             bytes += result.text.len();
             fits
         });
-        let count = fitting.count();
+        let count = fitting_results.count();
         results.truncate(count);
         Ok(ResultPage {
             total,
@@ -78,12 +78,12 @@
     /// Request body of an item.
     pub async fn item_body(&self, id: &JobId, item: &str) -> Result<Bytes> {
         let cached = self.find(id).await?.ok_or(JobError::NotFound)?;
-        if cached.job.items.iter().all(|(cached, _)| cached != item) {
+        if cached.job.items.iter().all(|(id, _)| id != item) {
             return Err(JobError::NotFound);
         }
         let items = self.store.bodies(id).await?;
-        let found = items.iter().find(|cached| cached.id == item);
-        let found = found.ok_or(JobError::NotFound)?;
-        Ok(found.body.clone().into())
+        let candidate = items.iter().find(|candidate| candidate.id == item);
+        let item = candidate.ok_or(JobError::NotFound)?;
+        Ok(item.body.clone().into())
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/store.rs
+++ b/crates/foxtailhold-relay/src/jobs/store.rs
@@ -79,11 +79,11 @@
 }
 
 fn encode_row<T: Serialize>(job: &JobId, value: &T) -> Result<Bytes> {
-    let written = serde_json::to_vec(value).map_err(|error| JobError::Malformed {
+    let encoded = serde_json::to_vec(value).map_err(|error| JobError::Malformed {
         job: job.clone(),
         detail: error.to_string(),
     })?;
-    Ok(written.into())
+    Ok(encoded.into())
 }
 
 impl<S: RowStore + ObjectStore> JobStore<S> {
@@ -131,7 +131,7 @@
 
     fn cache_bodies(&self, id: &JobId, items: Arc<Vec<Item>>) {
         let mut bodies = self.bodies.lock();
-        bodies.retain(|(cached, _)| cached != id);
+        bodies.retain(|(job, _)| job != id);
         if bodies.len() >= MAX_CACHED_JOBS {
             bodies.remove(0);
         }
@@ -271,7 +271,7 @@
         }
         self.platform.delete_object(&object_name(id)).await?;
         let mut bodies = self.bodies.lock();
-        bodies.retain(|(cached, _)| cached != id);
+        bodies.retain(|(job, _)| job != id);
         Ok(())
     }
 
@@ -314,23 +314,23 @@
 }
 
 fn split_result(result: &ListedResult) -> Vec<ResultPart> {
-    let mut rest = result.text.as_str();
-    let mut split_result = Vec::new();
+    let mut remaining = result.text.as_str();
+    let mut parts = Vec::new();
     loop {
-        let mut cut = rest.len().min(MAX_TEXT_PART_BYTES);
-        while !rest.is_char_boundary(cut) {
+        let mut cut = remaining.len().min(MAX_TEXT_PART_BYTES);
+        while !remaining.is_char_boundary(cut) {
             cut -= 1;
         }
-        let (text, next) = rest.split_at(cut);
-        rest = next;
-        split_result.push(ResultPart {
+        let (text, next) = remaining.split_at(cut);
+        remaining = next;
+        parts.push(ResultPart {
             item: result.item.clone(),
             state: result.state,
             text: text.to_owned(),
-            is_last: rest.is_empty(),
+            is_last: remaining.is_empty(),
         });
-        if rest.is_empty() {
-            return split_result;
+        if remaining.is_empty() {
+            return parts;
         }
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/sweep.rs
+++ b/crates/foxtailhold-relay/src/jobs/sweep.rs
@@ -39,7 +39,7 @@
             match sweep(&jobs, &id, &cached).await {
                 Ok(()) => log::info!(job = id.as_str(); "stored data of an expired job deleted"),
                 Err(error) => {
-                    log::info!(job = id.as_str(); "stored data of an expired job not deleted, next sweep retries: {error}")
+                    log::info!(job = id.as_str(); "stored data of an expired job not deleted, retrying: {error}")
                 }
             }
         }
--- a/crates/foxtailhold-relay/src/metrics.rs
+++ b/crates/foxtailhold-relay/src/metrics.rs
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct AnswerLabels {
+struct ResponseLabels {
     route: String,
     outcome: &'static str,
 }
@@ -99,7 +99,7 @@
 
 type DurationFamily<L> = Family<L, Histogram, fn() -> Histogram>;
 
-fn short_times() -> Histogram {
+fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
 
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct GaugeValues {
     /// Slots at engines held by this instance.
-    pub places_in_use: usize,
+    pub slots_in_use: usize,
     /// Requests and batch items that wait for a slot.
     pub requests_waiting: usize,
     /// Open batch jobs of all instances.
@@ -118,7 +118,7 @@
 
 #[derive(Debug, Clone, Default)]
 struct Gauges {
-    places_in_use: Gauge,
+    slots_in_use: Gauge,
     requests_waiting: Gauge,
     batch_jobs_open: Gauge,
     config_version: Gauge,
@@ -128,7 +128,7 @@
 impl Gauges {
     fn register(&self, registry: &mut Registry) {
         let help = "Places at engines in use by this instance";
-        registry.register("places_in_use", help, self.places_in_use.clone());
+        registry.register("places_in_use", help, self.slots_in_use.clone());
         let help = "Requests and batch items that wait for a place";
         registry.register("requests_waiting", help, self.requests_waiting.clone());
         let help = "Open batch jobs of all instances";
@@ -140,11 +140,11 @@
         registry.register_with_unit("config_age", help, Unit::Seconds, age);
     }
 
-    fn set(&self, state: &GaugeValues) {
-        self.places_in_use.set(state.places_in_use as i64);
-        self.requests_waiting.set(state.requests_waiting as i64);
-        self.batch_jobs_open.set(state.batch_jobs_open as i64);
-        self.config_version.set(state.config_version as i64);
+    fn set(&self, values: &GaugeValues) {
+        self.slots_in_use.set(values.slots_in_use as i64);
+        self.requests_waiting.set(values.requests_waiting as i64);
+        self.batch_jobs_open.set(values.batch_jobs_open as i64);
+        self.config_version.set(values.config_version as i64);
     }
 }
 
@@ -155,7 +155,7 @@
 #[derive(Debug, Clone)]
 pub struct RelayMetrics {
     registry: Arc<Mutex<Registry>>,
-    responses: Family<AnswerLabels, Counter>,
+    responses: Family<ResponseLabels, Counter>,
     response_times: DurationFamily<RouteLabel>,
     streams_cut: Family<RouteLabel, Counter>,
     store_calls: Family<CallLabels, Counter>,
@@ -176,7 +176,8 @@
         let mut registry = Registry::with_prefix("foxtailhold");
         let responses = Family::default();
         registry.register("answers", "Answers to callers", responses.clone());
-        let response_times = DurationFamily::new_with_constructor(short_times as fn() -> Histogram);
+        let response_times =
+            DurationFamily::new_with_constructor(latency_histogram as fn() -> Histogram);
         let help = "Time to the head of an answer";
         registry.register_with_unit("answer", help, Unit::Seconds, response_times.clone());
         let streams_cut = Family::default();
@@ -199,14 +200,14 @@
         let help = "Runs by backend server and how they ended";
         registry.register("runs", help, attempts.clone());
         let attempt_durations =
-            DurationFamily::new_with_constructor(short_times as fn() -> Histogram);
+            DurationFamily::new_with_constructor(latency_histogram as fn() -> Histogram);
         let help = "Time of a run with a whole answer";
         registry.register_with_unit("run", help, Unit::Seconds, attempt_durations.clone());
         let refusals = Family::default();
         let help = "Requests that were refused and did not run";
         registry.register("refusals", help, refusals.clone());
         let store_call_times =
-            DurationFamily::new_with_constructor(short_times as fn() -> Histogram);
+            DurationFamily::new_with_constructor(latency_histogram as fn() -> Histogram);
         let help = "Time of an answered call to the store, with the wait of a feed";
         let times = store_call_times.clone();
         registry.register_with_unit("store_call", help, Unit::Seconds, times);
@@ -240,7 +241,7 @@
             route: route.clone(),
         };
         self.responses
-            .get_or_create(&AnswerLabels { route, outcome })
+            .get_or_create(&ResponseLabels { route, outcome })
             .inc();
         let seconds = took_ms as f64 / 1_000.0;
         self.response_times.get_or_create(&label).observe(seconds);
@@ -260,26 +261,31 @@
     }
 
     /// Counts an answered store call and its latency.
-    pub fn store_call_answered(&self, call: &'static str, begun: Instant) {
+    pub fn store_call_answered(&self, call: &'static str, started: Instant) {
         let outcome = "answered";
         self.store_calls
             .get_or_create(&CallLabels { call, outcome })
             .inc();
         self.store_call_times
             .get_or_create(&CallLabel { call })
-            .observe(begun.elapsed().as_secs_f64());
+            .observe(started.elapsed().as_secs_f64());
     }
 
     /// Counts an attempt, and its duration if the response was complete.
-    pub fn attempt_ended(&self, backend: &BackendId, outcome_kind: AttemptOutcome, begun: Instant) {
-        let outcome = outcome_kind.as_str();
+    pub fn attempt_ended(
+        &self,
+        backend: &BackendId,
+        attempt_outcome: AttemptOutcome,
+        started: Instant,
+    ) {
+        let outcome = attempt_outcome.as_str();
         self.sampled.lock().insert((backend.clone(), outcome));
         let backend = backend.to_string();
-        if outcome_kind == AttemptOutcome::Done {
+        if attempt_outcome == AttemptOutcome::Done {
             let backend = backend.clone();
             self.attempt_durations
                 .get_or_create(&BackendLabel { backend })
-                .observe(begun.elapsed().as_secs_f64());
+                .observe(started.elapsed().as_secs_f64());
         }
         self.attempts
             .get_or_create(&AttemptLabels { backend, outcome })
@@ -290,8 +296,8 @@
     /// label values.
     pub fn keep_only(&self, is_known: impl Fn(&BackendId) -> bool) {
         self.sampled.lock().retain(|(id, outcome)| {
-            let is_reused = is_known(id);
-            if !is_reused {
+            let is_kept = is_known(id);
+            if !is_kept {
                 let (backend, outcome) = (id.to_string(), *outcome);
                 self.attempts.remove(&AttemptLabels {
                     backend: backend.clone(),
@@ -299,7 +305,7 @@
                 });
                 self.attempt_durations.remove(&BackendLabel { backend });
             }
-            is_reused
+            is_kept
         });
     }
 
@@ -332,8 +338,8 @@
     }
 
     /// All metrics in the Prometheus text format.
-    pub fn text(&self, state: &GaugeValues) -> Result<String, std::fmt::Error> {
-        self.gauges.set(state);
+    pub fn text(&self, values: &GaugeValues) -> Result<String, std::fmt::Error> {
+        self.gauges.set(values);
         if let Some(confirmed) = *self.config_confirmed.lock() {
             let age_s = confirmed.elapsed().as_secs_f64();
             self.gauges.config_age.set(age_s);
--- a/crates/foxtailhold-relay/src/peers/members.rs
+++ b/crates/foxtailhold-relay/src/peers/members.rs
@@ -42,13 +42,13 @@
     pub is_leaving: bool,
 }
 
-/// Membership as known to this instance.
+/// Membership as other to this instance.
 #[derive(Debug)]
 pub struct Members {
     me: InstanceId,
     /// By row version, oldest first.
     rows: BTreeMap<u64, Member>,
-    record_message: HashMap<InstanceId, MonoMs>,
+    last_heard: HashMap<InstanceId, MonoMs>,
     unanswered_since: HashMap<InstanceId, MonoMs>,
     skipped_until: HashMap<InstanceId, MonoMs>,
     live_lists: HashMap<InstanceId, (MonoMs, Vec<InstanceHash>)>,
@@ -63,7 +63,7 @@
         Members {
             me,
             rows: BTreeMap::new(),
-            record_message: HashMap::new(),
+            last_heard: HashMap::new(),
             unanswered_since: HashMap::new(),
             skipped_until: HashMap::new(),
             live_lists: HashMap::new(),
@@ -77,16 +77,16 @@
         let stale: Vec<u64> = self
             .rows
             .iter()
-            .filter(|(_, known)| {
-                known.instance == member.instance || known.peer_address == member.peer_address
+            .filter(|(_, other)| {
+                other.instance == member.instance || other.peer_address == member.peer_address
             })
             .map(|(version, _)| *version)
             .collect();
-        if stale.iter().any(|known| *known > version) {
+        if stale.iter().any(|other| *other > version) {
             return;
         }
-        for known in stale {
-            let Some(old) = self.rows.remove(&known) else {
+        for other in stale {
+            let Some(old) = self.rows.remove(&other) else {
                 continue;
             };
             if old.instance != member.instance {
@@ -128,7 +128,7 @@
 
     /// Records a message from an instance, which proves that it is alive.
     pub fn record_message(&mut self, now: MonoMs, instance: &InstanceId) {
-        self.record_message.insert(instance.clone(), now);
+        self.last_heard.insert(instance.clone(), now);
         self.unanswered_since.remove(instance);
         self.skipped_until.remove(instance);
     }
@@ -141,7 +141,7 @@
     /// Records that an instance did not answer slot requests in time.
     pub fn record_timeout(&mut self, now: MonoMs, instance: &InstanceId) {
         self.skipped_until.insert(instance.clone(), now + SKIP_MS);
-        self.record_message.remove(instance);
+        self.last_heard.remove(instance);
     }
 
     /// Interval between reports in milliseconds; it grows with the number of instances.
@@ -156,8 +156,8 @@
     }
 
     fn is_heard(&self, now: MonoMs, instance: &InstanceId) -> bool {
-        let record_message = self.record_message.get(instance);
-        record_message.is_some_and(|at| now.since_ms(*at) < self.down_after_ms())
+        let heard_at = self.last_heard.get(instance);
+        heard_at.is_some_and(|at| now.since_ms(*at) < self.down_after_ms())
     }
 
     fn is_skipped(&self, now: MonoMs, instance: &InstanceId) -> bool {
@@ -182,9 +182,9 @@
     /// Instances with a larger CPU share first, then older ones. Allocation costs CPU time, and the
     /// allocator should rarely change.
     fn by_allocator_rank(&self) -> Vec<&Member> {
-        let mut not_leaving: Vec<&Member> = self.not_leaving().collect();
-        not_leaving.sort_by_key(|member| std::cmp::Reverse(member.core_permille));
-        not_leaving
+        let mut ranked: Vec<&Member> = self.not_leaving().collect();
+        ranked.sort_by_key(|member| std::cmp::Reverse(member.core_permille));
+        ranked
     }
 
     fn not_leaving(&self) -> impl Iterator<Item = &Member> {
@@ -194,9 +194,9 @@
     /// Addresses for the next report. Instances that do not answer are skipped for a while.
     pub fn report_addresses(&mut self, now: MonoMs) -> Vec<SocketAddr> {
         let mut chosen = Vec::new();
-        let senior: Vec<Member> = self.by_allocator_rank().into_iter().cloned().collect();
+        let ranked: Vec<Member> = self.by_allocator_rank().into_iter().cloned().collect();
         let unanswered_ms = self.report_interval_ms() * SKIP_AFTER_TENTHS / 10;
-        for member in senior {
+        for member in ranked {
             if chosen.len() >= ALLOCATOR_GROUP {
                 break;
             }
@@ -222,24 +222,18 @@
 
     /// Instances heard from recently, for the answer to a report.
     pub fn recently_heard(&self, now: MonoMs) -> Vec<InstanceHash> {
-        let record_message = self
-            .record_message
-            .keys()
-            .filter(|id| self.is_heard(now, id));
-        let mut live: Vec<InstanceHash> = record_message.map(InstanceHash::from).collect();
+        let heard = self.last_heard.keys().filter(|id| self.is_heard(now, id));
+        let mut live: Vec<InstanceHash> = heard.map(InstanceHash::from).collect();
         live.push(InstanceHash::from(&self.me));
         live
     }
 
     fn live_set(&self, now: MonoMs) -> HashSet<InstanceHash> {
-        let record_live_list = self.live_lists.values();
-        let fresh = record_live_list.filter(|(at, _)| now.since_ms(*at) < self.down_after_ms());
+        let lists = self.live_lists.values();
+        let fresh = lists.filter(|(at, _)| now.since_ms(*at) < self.down_after_ms());
         let mut live: HashSet<InstanceHash> = fresh.flat_map(|(_, live)| live).copied().collect();
-        let record_message = self
-            .record_message
-            .keys()
-            .filter(|id| self.is_heard(now, id));
-        live.extend(record_message.map(InstanceHash::from));
+        let heard = self.last_heard.keys().filter(|id| self.is_heard(now, id));
+        live.extend(heard.map(InstanceHash::from));
         live
     }
 
@@ -257,9 +251,9 @@
     /// at all, all listed ones count as live.
     pub fn live(&self, now: MonoMs) -> Vec<&Member> {
         let live = self.live_set(now);
-        let knows_nobody = live.is_empty();
+        let is_isolated = live.is_empty();
         let is_live = |member: &&Member| {
-            knows_nobody
+            is_isolated
                 || member.instance == self.me
                 || live.contains(&InstanceHash::from(&member.instance))
         };
@@ -268,14 +262,14 @@
 
     /// Instances that are not leaving and have not been down for `for_ms`, including this one.
     pub fn not_down(&mut self, now: MonoMs, for_ms: u64) -> Vec<InstanceId> {
-        let not_leaving: Vec<InstanceId> = self.not_leaving().map(|m| m.instance.clone()).collect();
-        let mut left = Vec::new();
-        for instance in not_leaving {
+        let candidates: Vec<InstanceId> = self.not_leaving().map(|m| m.instance.clone()).collect();
+        let mut up = Vec::new();
+        for instance in candidates {
             if !self.is_down(now, &instance, for_ms) {
-                left.push(instance);
+                up.push(instance);
             }
         }
-        left
+        up
     }
 
     /// Whether this instance hears from any other.
--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -48,7 +48,7 @@
 
 #[derive(Debug, Default)]
 struct LocalSlots {
-    next: u64,
+    last_number: u64,
     waiting: HashMap<u64, mpsc::UnboundedSender<Verdict>>,
     held: HashMap<u64, LocalSlot>,
 }
@@ -363,13 +363,13 @@
     fn free_slots_of_lost_instances(&self, now: MonoMs) {
         let live = self.members().live_hashes(now);
         let mut decisions = Vec::new();
-        let lives = |instance: &InstanceId| {
+        let is_live = |instance: &InstanceId| {
             *instance == self.inner.me || live.contains(&InstanceHash::from(instance))
         };
         self.inner
             .allocator
             .lock()
-            .keep_only(now, lives, &mut decisions);
+            .keep_only(now, is_live, &mut decisions);
         self.send_decisions(decisions);
     }
 
@@ -402,13 +402,13 @@
         if request.instance != self.inner.me {
             return;
         }
-        let (is_wanted, is_held) = {
+        let (is_waiting, is_held) = {
             let slots = self.inner.slots.lock();
             let waiting = slots.waiting.get(&request.number);
             let sent = waiting.is_some_and(|waiting| waiting.send(decision.clone()).is_ok());
             (sent, slots.held.contains_key(&request.number))
         };
-        if let (false, false, Verdict::Granted(backend)) = (is_wanted, is_held, &decision) {
+        if let (false, false, Verdict::Granted(backend)) = (is_waiting, is_held, &decision) {
             log::debug!("slot at {backend} granted too late, releasing it");
             self.release_at_allocator(now, None, request);
         }
--- a/crates/foxtailhold-relay/src/peers/slot.rs
+++ b/crates/foxtailhold-relay/src/peers/slot.rs
@@ -30,13 +30,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SlotError {
     /// The request would be late.
-    #[error("no place in time, come back in {retry_after_ms} ms")]
+    #[error("no slot in time, retry in {retry_after_ms} ms")]
     Refused {
         /// Delay after which the caller should retry.
         retry_after_ms: u64,
     },
     /// No slot became free before the deadline.
-    #[error("no place became free in time")]
+    #[error("no slot became free before the deadline")]
     TimedOut,
 }
 
@@ -139,8 +139,8 @@
         let (sender, mut decisions) = mpsc::unbounded_channel();
         let number = {
             let mut slots = self.inner.slots.lock();
-            slots.next += 1;
-            let number = slots.next;
+            slots.last_number += 1;
+            let number = slots.last_number;
             slots.waiting.insert(number, sender);
             number
         };
--- a/crates/foxtailhold-relay/src/pending_attempts.rs
+++ b/crates/foxtailhold-relay/src/pending_attempts.rs
@@ -28,7 +28,7 @@
 
 #[derive(Debug, Default)]
 struct PendingAttemptMap {
-    next: u64,
+    last_number: u64,
     by_number: HashMap<u64, PendingAttempt>,
 }
 
@@ -40,8 +40,8 @@
     /// Starts tracking an attempt and returns its number.
     pub fn begin(&self, fingerprint: Fingerprint, backend: &BackendServer) -> u64 {
         let mut attempts = self.0.lock();
-        attempts.next += 1;
-        let number = attempts.next;
+        attempts.last_number += 1;
+        let number = attempts.last_number;
         if attempts.by_number.len() < MAX_PENDING_ATTEMPTS {
             let attempt = PendingAttempt {
                 fingerprint,
--- a/crates/foxtailhold-relay/src/relay.rs
+++ b/crates/foxtailhold-relay/src/relay.rs
@@ -99,7 +99,7 @@
     ) {
         self.metrics.attempt_failed(failed.cause.as_str());
         let fingerprint = request.fingerprint();
-        let left = attempts.deadline.saturating_duration_since(Instant::now());
+        let remaining = attempts.deadline.saturating_duration_since(Instant::now());
         log::info!(
             request = request.id.as_str(),
             fingerprint:% = fingerprint,
@@ -107,7 +107,7 @@
             cause = failed.cause.as_str(),
             events = failed.events,
             attempts = attempts.maybe_executed,
-            left_ms = left.as_millis() as u64;
+            left_ms = remaining.as_millis() as u64;
             "attempt failed"
         );
         self.record_possible_crash(fingerprint, failed.backend, failed.cause, failed.events);
--- a/crates/foxtailhold-relay/src/shared_store/message.rs
+++ b/crates/foxtailhold-relay/src/shared_store/message.rs
@@ -62,9 +62,9 @@
 pub const SERVICE: &str = "store of another instance";
 
 impl StoreCall {
-    /// Makes the call at `store`.
-    pub async fn make<S: RowStore + ObjectStore>(&self, store: &S) -> StoreAnswer {
-        let made = match self {
+    /// Executes the call at `store`.
+    pub async fn execute<S: RowStore + ObjectStore>(&self, store: &S) -> StoreAnswer {
+        let result = match self {
             StoreCall::Commit(changes) => store.commit(changes).await.map(StoreAnswer::Committed),
             StoreCall::Read {
                 table,
@@ -84,8 +84,8 @@
                 followed.map(StoreAnswer::Followed)
             }
             StoreCall::Put(name, bytes) => {
-                let put = store.put_object(name, bytes.clone()).await;
-                put.map(|()| StoreAnswer::Written)
+                let written = store.put_object(name, bytes.clone()).await;
+                written.map(|()| StoreAnswer::Written)
             }
             StoreCall::Get(name) => store.get_object(name).await.map(StoreAnswer::Object),
             StoreCall::Delete(name) => {
@@ -93,7 +93,7 @@
                 deleted.map(|()| StoreAnswer::Written)
             }
         };
-        made.unwrap_or_else(|error| match error.may_have_taken_effect() {
+        result.unwrap_or_else(|error| match error.may_have_taken_effect() {
             true => StoreAnswer::Unknown(error.to_string()),
             false => StoreAnswer::Unavailable(error.to_string()),
         })
--- a/crates/foxtailhold-relay/src/shared_store/mod.rs
+++ b/crates/foxtailhold-relay/src/shared_store/mod.rs
@@ -1,7 +1,7 @@
 //! Access to the platform's store, through another instance if it cannot be reached directly.
 //!
 //! The store may reject some machines, or be cut off from them, while it serves others. An instance
-//! that has lost it asks a live instance to make its calls. Every commit is conditional or
+//! that cannot reach it asks a live instance to make its calls. Every commit is conditional or
 //! idempotent, so a commit that was tried twice is harmless: the second one finds the first.
 
 mod health;
@@ -39,7 +39,7 @@
 /// A commit without a response after this time is also tried through another instance. A batch job
 /// must be accepted within about 400 ms, and a network partition only shows by silence.
 const HEDGE_DELAY_MS: u64 = 220;
-/// Delay before each probe of a lost store, and time limit of the probe. A store that is back is
+/// Delay before each probe of an unreachable store, and time limit of the probe. A store that is back is
 /// found within their sum, and even a slow one answers within the limit.
 const PROBE_DELAY_AND_TIMEOUT_MS: (u64, u64) = (250, 450);
 /// Number of instances tried for one call.
@@ -80,20 +80,20 @@
         }
     }
 
-    /// Probes the store whenever it is lost, until it answers again.
+    /// Probes the store whenever it is unreachable, until it answers again.
     pub async fn probe(self, table: &'static str) {
         loop {
-            self.health.wait_until_lost().await;
+            self.health.wait_until_unreachable().await;
             tokio::time::sleep(Duration::from_millis(PROBE_DELAY_AND_TIMEOUT_MS.0)).await;
-            let looking = self.direct.read(table, "", "~", "~~");
-            let found =
-                tokio::time::timeout(Duration::from_millis(PROBE_DELAY_AND_TIMEOUT_MS.1), looking)
+            let reading = self.direct.read(table, "", "~", "~~");
+            let response =
+                tokio::time::timeout(Duration::from_millis(PROBE_DELAY_AND_TIMEOUT_MS.1), reading)
                     .await;
-            self.health.note(matches!(found, Ok(Ok(_))));
+            self.health.record(matches!(response, Ok(Ok(_))));
         }
     }
 
-    fn others(&self) -> Vec<SocketAddr> {
+    fn random_peers(&self) -> Vec<SocketAddr> {
         let now = self.peers.now();
         let members = self.peers.members();
         let live = members.live(now);
@@ -106,8 +106,8 @@
     }
 
     async fn direct(&self, call: &StoreCall) -> Result<StoreAnswer> {
-        let answer = call.make(&self.direct).await.into_result();
-        self.health.note(answer.is_ok());
+        let answer = call.execute(&self.direct).await.into_result();
+        self.health.record(answer.is_ok());
         answer
     }
 
@@ -116,7 +116,7 @@
             service: SERVICE,
             detail: "no other instance is known".into(),
         };
-        for address in self.others() {
+        for address in self.random_peers() {
             match self.call_peer(address, call).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => last = error,
@@ -154,12 +154,12 @@
     }
 
     async fn call(&self, call: StoreCall) -> Result<StoreAnswer> {
-        if self.health.is_lost() {
+        if self.health.is_unreachable() {
             return self.call_through_peer(&call).await;
         }
         match self.direct(&call).await {
             Ok(answer) => Ok(answer),
-            // A failed wait for changes first reports the loss to the follower of the table.
+            // A failed wait for changes first reports the failure to the follower of the table.
             Err(error) if matches!(call, StoreCall::Follow { .. }) => Err(error),
             Err(error) => self.retry_through_peer(&call, error).await,
         }
@@ -183,13 +183,13 @@
 
     /// Also tries another instance if the direct call is slow. The first success is returned.
     async fn hedged(&self, call: StoreCall) -> Result<StoreAnswer> {
-        if self.health.is_lost() {
+        if self.health.is_unreachable() {
             return self.call_through_peer(&call).await;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let direct = self.direct(&call);
         tokio::pin!(direct);
-        let hedge = tokio::time::sleep_until(begun + Duration::from_millis(HEDGE_DELAY_MS));
+        let hedge = tokio::time::sleep_until(started + Duration::from_millis(HEDGE_DELAY_MS));
         let first = tokio::select! {
             answer = &mut direct => Some(answer),
             () = hedge => None,
@@ -199,14 +199,14 @@
             Some(Err(error)) => return self.retry_through_peer(&call, error).await,
             None => {}
         }
-        let call_through_peer = self.call_through_peer(&call);
-        tokio::pin!(call_through_peer);
+        let through_peer = self.call_through_peer(&call);
+        tokio::pin!(through_peer);
         tokio::select! {
             answer = &mut direct => match answer {
                 Ok(answer) => Ok(answer),
-                Err(error) => call_through_peer.await.map_err(|_| error),
+                Err(error) => through_peer.await.map_err(|_| error),
             },
-            answer = &mut call_through_peer => match answer {
+            answer = &mut through_peer => match answer {
                 Ok(answer) => Ok(answer),
                 Err(_) => direct.await,
             },
@@ -284,7 +284,7 @@
 
 impl<S: RowStore + ObjectStore> StoreServer<S> {
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        if self.health.is_lost() {
+        if self.health.is_unreachable() {
             return body::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let call: StoreCall = match body::read_whole(request.into_body(), MAX_MESSAGE_BYTES).await {
@@ -300,7 +300,7 @@
                 return body::empty(StatusCode::BAD_REQUEST);
             }
         };
-        let answer = call.make(&self.direct).await;
+        let answer = call.execute(&self.direct).await;
         match codec::encode(&answer) {
             Ok(bytes) => Response::new(body::whole(bytes)),
             Err(error) => {
--- a/crates/foxtailhold-relay/src/upstream.rs
+++ b/crates/foxtailhold-relay/src/upstream.rs
@@ -86,7 +86,7 @@
 }
 
 impl UpstreamRequest<'_> {
-    fn request(
+    fn build(
         &self,
         dialect: &impl Dialect,
         backend: &BackendId,
@@ -96,13 +96,13 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         *request.headers_mut() = self.headers.clone();
-        let outgoing = RequestMetadata {
+        let metadata = RequestMetadata {
             request_id: self.request_id,
             backend,
             left_ms,
             after_event: self.after_event,
         };
-        dialect.write(&outgoing, request.headers_mut());
+        dialect.write(&metadata, request.headers_mut());
         request
     }
 
@@ -116,12 +116,17 @@
         deadline: Instant,
         response_deadline: Instant,
     ) -> Result<(Response<Incoming>, BusyConnection), AttemptFailure> {
-        let written = || {
-            let left = deadline.saturating_duration_since(Instant::now());
-            self.request(dialect, &backend.identity, left.as_millis() as u64)
+        let build_request = || {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            self.build(dialect, &backend.identity, remaining.as_millis() as u64)
         };
-        let sending = connections.send(&backend.id, backend.address, self.is_idempotent, written);
-        let sent = match tokio::time::timeout_at(response_deadline, sending).await {
+        let response_head = connections.send(
+            &backend.id,
+            backend.address,
+            self.is_idempotent,
+            build_request,
+        );
+        let sent = match tokio::time::timeout_at(response_deadline, response_head).await {
             Err(_) => return Err(AttemptFailure::Silent),
             Ok(sent) => sent,
         };
@@ -162,7 +167,7 @@
 }
 
 /// Buffers a complete response. The connection is reused only if the body arrived in full.
-pub async fn read_whole(
+pub async fn read_buffered(
     response: Response<Incoming>,
     connection: BusyConnection,
     deadline: Instant,
--- a/crates/foxtailhold-relay/tests/attempts.rs
+++ b/crates/foxtailhold-relay/tests/attempts.rs
@@ -45,15 +45,15 @@
 use AttemptFailure::{Broken, Closed, Failed, NotRun, Silent, Unreachable};
 use Repeat::{Idempotent, Once, ResumableStream, Stream};
 
-#[test_case(Idempotent, 2, &[Closed, Closed], &[true, false]; "two runs")]
-#[test_case(Idempotent, 3, &[Broken, Silent, Failed], &[true, true, false]; "three runs")]
-#[test_case(ResumableStream, 2, &[Silent, Closed], &[true, false]; "a stream that may go on")]
-#[test_case(Stream, 2, &[Closed], &[false]; "a stream that may not")]
+#[test_case(Idempotent, 2, &[Closed, Closed], &[true, false]; "two attempts")]
+#[test_case(Idempotent, 3, &[Broken, Silent, Failed], &[true, true, false]; "three attempts")]
+#[test_case(ResumableStream, 2, &[Silent, Closed], &[true, false]; "a resumable stream")]
+#[test_case(Stream, 2, &[Closed], &[false]; "a stream that cannot resume")]
 #[test_case(Once, 2, &[Failed], &[false]; "at most once")]
-#[test_case(Once, 2, &[NotRun, Unreachable, Closed], &[true, true, false]; "refusals are no runs")]
+#[test_case(Once, 2, &[NotRun, Unreachable, Closed], &[true, true, false]; "refusals do not count as attempts")]
 #[test_case(Idempotent, 2, &[NotRun; 4], &[true, true, true, false]; "refusals are bounded")]
-#[test_case(Idempotent, 0, &[Closed], &[false]; "a route without a bound allows one run")]
-fn runs_are_bounded_by_the_route(
+#[test_case(Idempotent, 0, &[Closed], &[false]; "a route without a bound allows one attempt")]
+fn attempts_are_bounded_by_the_route(
     repeat: Repeat,
     attempts: u32,
     failures: &[AttemptFailure],
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn refusals_count_anew_once_the_request_has_run() {
+fn refusals_are_counted_from_zero_once_the_request_has_run() {
     let route = route(ResumableStream, 3);
     let mut budget = AttemptBudget::new(Instant::now() + Duration::from_secs(5));
     assert_eq!(
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn nothing_goes_on_after_its_time() {
+fn nothing_is_retried_after_the_deadline() {
     let route = route(Idempotent, 3);
     let mut budget = AttemptBudget::new(Instant::now());
     assert_eq!(
--- a/crates/foxtailhold-relay/tests/checkpoints.rs
+++ b/crates/foxtailhold-relay/tests/checkpoints.rs
@@ -18,27 +18,27 @@
     }
 }
 
-fn whole(last: u64) -> String {
+fn full_output(last: u64) -> String {
     checkpoint(0, last).text
 }
 
-#[test_case(&[(0, 3)], 3 ; "one piece")]
-#[test_case(&[(0, 3), (3, 5)], 5 ; "two pieces")]
+#[test_case(&[(0, 3)], 3 ; "one checkpoint")]
+#[test_case(&[(0, 3), (3, 5)], 5 ; "two checkpoints")]
 #[test_case(&[(3, 5), (0, 3)], 5 ; "in the wrong order")]
 #[test_case(&[(0, 3), (4, 6)], 3 ; "one is missing")]
 #[test_case(&[(2, 5)], 0 ; "the first is missing")]
 #[test_case(&[(0, 3), (0, 5), (3, 4), (5, 6)], 6 ; "of two owners")]
 #[test_case(&[(0, 3), (2, 6), (3, 4)], 4 ; "overlapping")]
-fn pieces_are_joined_as_far_as_nothing_is_missing(checkpoints: &[(u64, u64)], last: u64) {
+fn checkpoints_are_joined_up_to_the_first_gap(checkpoints: &[(u64, u64)], last: u64) {
     let checkpoints = checkpoints
         .iter()
         .map(|(after, last)| checkpoint(*after, *last));
     let output = PartialOutput::from_checkpoints(checkpoints.collect());
     assert_eq!(output.last, last);
-    assert_eq!(String::from_utf8(output.text).unwrap(), whole(last));
+    assert_eq!(String::from_utf8(output.text).unwrap(), full_output(last));
 }
 
-fn give(partial_outputs: &PartialOutputs, item: &str, upto: u64) {
+fn append_events(partial_outputs: &PartialOutputs, item: &str, upto: u64) {
     partial_outputs.update(item, |output| {
         for event in output.last + 1..=upto {
             if event > 1 {
@@ -53,15 +53,15 @@
 }
 
 #[test]
-fn only_what_is_new_is_kept_again() {
+fn only_new_events_are_saved_again() {
     let partial_outputs = PartialOutputs::default();
-    give(&partial_outputs, "a", 50);
+    append_events(&partial_outputs, "a", 50);
     assert_eq!(
         partial_outputs.unsaved_checkpoints(40),
         [("a".to_owned(), checkpoint(0, 50))]
     );
     partial_outputs.mark_saved("a", &checkpoint(0, 50));
-    give(&partial_outputs, "a", 89);
+    append_events(&partial_outputs, "a", 89);
     assert_eq!(partial_outputs.unsaved_checkpoints(40), []);
     assert_eq!(
         partial_outputs.unsaved_checkpoints(1),
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn a_piece_that_was_not_kept_is_offered_again_with_what_came_since() {
+fn an_unsaved_checkpoint_is_offered_again_with_later_events() {
     let partial_outputs = PartialOutputs::default();
-    give(&partial_outputs, "a", 50);
+    append_events(&partial_outputs, "a", 50);
     assert_eq!(partial_outputs.unsaved_checkpoints(40).len(), 1);
-    give(&partial_outputs, "a", 60);
+    append_events(&partial_outputs, "a", 60);
     assert_eq!(
         partial_outputs.unsaved_checkpoints(40),
         [("a".to_owned(), checkpoint(0, 60))]
@@ -82,22 +82,22 @@
 }
 
 #[test]
-fn another_owner_goes_on_where_the_first_one_was() {
+fn another_owner_resumes_after_the_last_checkpoint() {
     let first = PartialOutputs::default();
-    give(&first, "a", 45);
+    append_events(&first, "a", 45);
     let mut rows = Vec::new();
     for least in [40, 1] {
         for (item, checkpoint) in first.unsaved_checkpoints(least) {
             first.mark_saved(&item, &checkpoint);
             rows.push(row(&item, &checkpoint));
         }
-        give(&first, "a", 60);
+        append_events(&first, "a", 60);
     }
     let second = PartialOutputs::default();
     second.restore(&JobId::try_from("job").unwrap(), &rows);
     assert_eq!(second.last("a"), 60);
-    assert_eq!(second.get("a").text, whole(60).into_bytes());
-    give(&second, "a", 70);
+    assert_eq!(second.get("a").text, full_output(60).into_bytes());
+    append_events(&second, "a", 70);
     assert_eq!(
         second.unsaved_checkpoints(1),
         [("a".to_owned(), checkpoint(60, 70))]
@@ -105,15 +105,15 @@
 }
 
 #[test]
-fn a_row_that_cannot_be_read_costs_only_its_piece() {
-    let broken = VersionedRow {
-        value: Some("no piece".into()),
+fn an_unreadable_row_costs_only_its_checkpoint() {
+    let unreadable = VersionedRow {
+        value: Some("no checkpoint".into()),
         ..row("b", &checkpoint(0, 1))
     };
     let partial_outputs = PartialOutputs::default();
     partial_outputs.restore(
         &JobId::try_from("job").unwrap(),
-        &[broken, row("a", &checkpoint(0, 9))],
+        &[unreadable, row("a", &checkpoint(0, 9))],
     );
     assert_eq!(
         (partial_outputs.last("a"), partial_outputs.last("b")),
--- a/crates/foxtailhold-relay/tests/fleet.rs
+++ b/crates/foxtailhold-relay/tests/fleet.rs
@@ -31,7 +31,7 @@
     TargetName::try_from("writers").unwrap()
 }
 
-fn used(table: &FleetTable) -> Vec<String> {
+fn used_identities(table: &FleetTable) -> Vec<String> {
     let snapshot = table.snapshot();
     let all = snapshot.for_service(&service()).iter();
     all.map(|backend| backend.identity.to_string()).collect()
@@ -46,23 +46,23 @@
 }
 
 #[test]
-fn while_the_store_is_sound_a_deleted_entry_is_gone_at_once() {
+fn a_deleted_entry_is_dropped_at_once_while_the_store_is_healthy() {
     let mut table = table();
     table.remove(MonoMs(5_000), &identity("a"));
-    assert_eq!(used(&table), ["b"]);
+    assert_eq!(used_identities(&table), ["b"]);
 }
 
 #[test]
-fn an_instance_that_has_just_started_takes_a_deletion_at_its_word() {
+fn a_just_started_instance_applies_deletions_at_once() {
     let mut table = FleetTable::default();
     table.store_answered(MonoMs(0));
     table.replace(MonoMs(0), vec![backend("a"), backend("b")]);
     table.remove(MonoMs(500), &identity("a"));
-    assert_eq!(used(&table), ["b"]);
+    assert_eq!(used_identities(&table), ["b"]);
 }
 
 #[test]
-fn an_entry_that_says_leaving_gets_nothing_new() {
+fn a_leaving_backend_server_gets_no_new_work() {
     let mut table = table();
     table.put(
         MonoMs(0),
@@ -71,19 +71,19 @@
             ..backend("a")
         },
     );
-    assert_eq!(used(&table), ["b"]);
+    assert_eq!(used_identities(&table), ["b"]);
 }
 
 #[test]
-fn an_entry_that_lapsed_while_the_store_was_away_is_used_for_a_while() {
+fn an_entry_missing_after_a_store_outage_is_used_for_a_while() {
     let mut table = table();
     table.store_failed();
     table.store_answered(MonoMs(10_000));
     table.replace(MonoMs(10_000), vec![backend("b")]);
-    assert_eq!(used(&table), ["a", "b"]);
+    assert_eq!(used_identities(&table), ["a", "b"]);
     assert!(!table.expire(MonoMs(11_900)));
     assert!(table.expire(MonoMs(12_000)));
-    assert_eq!(used(&table), ["b"]);
+    assert_eq!(used_identities(&table), ["b"]);
 }
 
 #[test]
@@ -94,11 +94,11 @@
     table.remove(MonoMs(10_000), &identity("a"));
     table.put(MonoMs(0), backend("a"));
     assert!(!table.expire(MonoMs(20_000)));
-    assert_eq!(used(&table), ["a", "b"]);
+    assert_eq!(used_identities(&table), ["a", "b"]);
 }
 
 #[test]
-fn no_entry_expires_while_the_store_is_away() {
+fn no_entry_expires_during_a_store_outage() {
     let mut table = table();
     table.store_failed();
     table.remove(MonoMs(10_000), &identity("a"));
@@ -111,17 +111,17 @@
     assert!(table.expire(MonoMs(62_000)));
 }
 
-#[test_case(1_000, 2 ; "shortly after a failed call it may have lapsed")]
-#[test_case(3_000, 1 ; "after three sound seconds it is gone")]
-fn the_store_counts_as_sound_after_some_seconds(after_ms: u64, left: usize) {
+#[test_case(1_000, 2 ; "shortly after a failed call it may have expired")]
+#[test_case(3_000, 1 ; "after three healthy seconds it is gone")]
+fn the_store_counts_as_healthy_after_some_seconds(after_ms: u64, left: usize) {
     let mut table = table();
     table.store_failed();
     table.store_answered(MonoMs(10_000));
     table.remove(MonoMs(10_000 + after_ms), &identity("a"));
-    assert_eq!(used(&table).len(), left);
+    assert_eq!(used_identities(&table).len(), left);
 }
 
-fn ids(table: &FleetTable) -> Vec<String> {
+fn used_ids(table: &FleetTable) -> Vec<String> {
     let snapshot = table.snapshot();
     let all = snapshot.for_service(&service()).iter();
     all.map(|backend| backend.id.to_string()).collect()
@@ -131,7 +131,7 @@
 fn a_new_start_is_another_backend_server() {
     let mut table = table();
     table.put(MonoMs(1), server_started_at("a", 7));
-    assert_eq!(ids(&table), ["a:7", "b:1"]);
+    assert_eq!(used_ids(&table), ["a:7", "b:1"]);
 }
 
 #[test_case(0, None; "before its entry has gone")]
@@ -142,35 +142,39 @@
     if let Some(name) = removed {
         table.remove_unreadable(&identity(name));
     }
-    let before = ids(&table);
+    let before = used_ids(&table);
     table.put(MonoMs(at_ms), server_started_at("a", 6));
-    assert_eq!(ids(&table), before);
+    assert_eq!(used_ids(&table), before);
     table.replace(
         MonoMs(at_ms),
         vec![server_started_at("a", 6), server_started_at("b", 1)],
     );
-    assert_eq!(ids(&table), before);
+    assert_eq!(used_ids(&table), before);
 }
 
 #[test]
-fn an_entry_without_a_start_is_not_of_a_backend_server_that_had_one() {
+fn an_entry_without_a_start_is_ignored_if_others_state_theirs() {
     let mut table = table();
     table.put(MonoMs(0), server_started_at("a", 0));
-    assert_eq!(ids(&table), ["b:1"]);
+    assert_eq!(used_ids(&table), ["b:1"]);
     table.put(MonoMs(0), server_started_at("c", 0));
-    assert_eq!(ids(&table), ["b:1"], "the others say when they started");
+    assert_eq!(
+        used_ids(&table),
+        ["b:1"],
+        "the others say when they started"
+    );
     let mut table = FleetTable::default();
     table.replace(
         MonoMs(0),
         vec![server_started_at("a", 0), server_started_at("b", 0)],
     );
-    assert_eq!(ids(&table), ["a", "b"], "nobody says it");
+    assert_eq!(used_ids(&table), ["a", "b"], "nobody says it");
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_is_not_used_while_the_store_is_away_either() {
+fn an_unreadable_entry_is_dropped_even_during_a_store_outage() {
     let mut table = table();
     table.store_failed();
     table.remove_unreadable(&identity("a"));
-    assert_eq!(used(&table), ["b"]);
+    assert_eq!(used_identities(&table), ["b"]);
 }
--- a/crates/foxtailhold-relay/tests/members.rs
+++ b/crates/foxtailhold-relay/tests/members.rs
@@ -28,7 +28,7 @@
 }
 
 /// Instances `i1` to `i5`, the oldest first, as seen by `i3`.
-fn five() -> Members {
+fn five_members() -> Members {
     let mut members = Members::new(id("i3"));
     for number in 1..=5 {
         members.put(u64::from(number), member(&format!("i{number}"), number));
@@ -49,15 +49,15 @@
 }
 
 #[test]
-fn who_hears_nobody_grants_for_itself_and_takes_all_rows_for_live() {
-    let members = five();
+fn an_isolated_instance_allocates_for_itself_and_assumes_all_are_live() {
+    let members = five_members();
     assert_eq!(allocator(&members, 0), None);
     assert_eq!(live(&members, 0).len(), 5);
 }
 
 #[test]
-fn an_instance_that_leaves_still_serves_and_hears_what_all_must_know() {
-    let mut members = five();
+fn a_leaving_instance_still_gets_broadcasts() {
+    let mut members = five_members();
     let leaving = Member {
         is_leaving: true,
         ..member("i2", 2)
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn the_oldest_that_is_heard_grants() {
-    let mut members = five();
+fn the_oldest_live_instance_allocates() {
+    let mut members = five_members();
     members.record_message(MonoMs(0), &id("i2"));
     assert_eq!(allocator(&members, 100).as_deref(), Some("i2"));
     members.record_message(MonoMs(100), &id("i1"));
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn more_of_a_core_goes_before_age() {
-    let mut members = five();
+fn a_larger_cpu_share_ranks_before_age() {
+    let mut members = five_members();
     let large = Member {
         core_permille: 1_000,
         ..member("i6", 6)
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn one_that_does_not_answer_is_passed_over_until_it_is_heard_again() {
-    let mut members = five();
+fn an_unresponsive_allocator_is_skipped_until_it_is_heard_again() {
+    let mut members = five_members();
     members.record_message(MonoMs(0), &id("i1"));
     members.record_message(MonoMs(0), &id("i2"));
     members.record_timeout(MonoMs(50), &id("i1"));
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn a_silent_one_is_down_after_some_reports() {
-    let mut members = five();
+fn a_silent_instance_is_down_after_some_reports() {
+    let mut members = five_members();
     members.record_message(MonoMs(0), &id("i1"));
     members.record_message(MonoMs(0), &id("i4"));
     members.record_message(MonoMs(1_000), &id("i4"));
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn one_that_a_senior_hears_lives() {
-    let mut members = five();
+fn an_instance_on_the_live_list_of_the_allocator_is_live() {
+    let mut members = five_members();
     members.record_message(MonoMs(0), &id("i1"));
     let live_list = ["i1", "i3", "i5"].map(|name| InstanceHash::from(&id(name)));
     members.record_live_list(MonoMs(0), &id("i1"), live_list.to_vec());
@@ -127,8 +127,8 @@
 }
 
 #[test]
-fn a_leaving_one_is_not_for_callers_and_grants_nothing() {
-    let mut members = five();
+fn a_leaving_instance_gets_no_callers_and_does_not_allocate() {
+    let mut members = five_members();
     members.record_message(MonoMs(0), &id("i1"));
     members.record_message(MonoMs(0), &id("i2"));
     let leaving = Member {
@@ -158,14 +158,14 @@
 
 #[test]
 fn the_replaced_start_is_down_at_once() {
-    let mut members = five();
+    let mut members = five_members();
     members.put(9, member("i1-again", 1));
     assert!(members.is_down(MonoMs(0), &id("i1"), 60_000));
 }
 
 #[test]
-fn reports_go_to_three_and_pass_over_who_never_answers() {
-    let mut members = five();
+fn reports_go_to_three_instances_and_skip_unresponsive_ones() {
+    let mut members = five_members();
     assert_eq!(
         members.report_addresses(MonoMs(0)),
         [address(1), address(2)]
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn many_instances_report_more_rarely() {
+fn many_instances_report_less_often() {
     let mut members = Members::new(id("me"));
     assert_eq!(members.report_interval_ms(), 250);
     for number in 0..90 {
--- a/crates/foxtailhold-relay/tests/pending_attempts.rs
+++ b/crates/foxtailhold-relay/tests/pending_attempts.rs
@@ -30,19 +30,19 @@
 /// State of the attempt when the backend server restarts.
 #[derive(Debug, Clone, Copy)]
 enum AttemptState {
-    UnderWay,
-    Settled,
+    InFlight,
+    Resolved,
     Ended { ms_ago: u64 },
 }
 
-#[test_case(AttemptState::UnderWay, Some(START + 1), true; "a new start under a run that still waits")]
-#[test_case(AttemptState::UnderWay, Some(START), false; "the same start")]
-#[test_case(AttemptState::UnderWay, Some(0), false; "a start that does not say when")]
-#[test_case(AttemptState::UnderWay, None, false; "an identity that is not listed any more")]
-#[test_case(AttemptState::Settled, Some(START + 1), false; "a new start after the answer")]
-#[test_case(AttemptState::Ended { ms_ago: 9_999 }, Some(START + 1), true; "a new start soon after the run")]
-#[test_case(AttemptState::Ended { ms_ago: 10_001 }, Some(START + 1), false; "a new start long after the run")]
-fn a_run_counts_as_crash_where_its_backend_server_has_started_again(
+#[test_case(AttemptState::InFlight, Some(START + 1), true; "a new start while the attempt is in flight")]
+#[test_case(AttemptState::InFlight, Some(START), false; "the same start")]
+#[test_case(AttemptState::InFlight, Some(0), false; "an entry that does not state its start")]
+#[test_case(AttemptState::InFlight, None, false; "an identity that is not listed any more")]
+#[test_case(AttemptState::Resolved, Some(START + 1), false; "a new start after the response")]
+#[test_case(AttemptState::Ended { ms_ago: 9_999 }, Some(START + 1), true; "a new start soon after the attempt")]
+#[test_case(AttemptState::Ended { ms_ago: 10_001 }, Some(START + 1), false; "a new start long after the attempt")]
+fn an_attempt_counts_as_a_crash_if_its_backend_server_restarted(
     state: AttemptState,
     newest_start: Option<u64>,
     expected: bool,
@@ -50,8 +50,8 @@
     let pending = PendingAttempts::default();
     let number = pending.begin(REQUEST, &backend());
     match state {
-        AttemptState::UnderWay => {}
-        AttemptState::Settled => pending.resolve(number),
+        AttemptState::InFlight => {}
+        AttemptState::Resolved => pending.resolve(number),
         AttemptState::Ended { ms_ago } => pending.end(number, MonoMs(NOW.0 - ms_ago)),
     }
     // The table is also checked before the restart, as happens whenever entries change.
