--- a/crates/foxtailhold-relay/src/feeds.rs
+++ b/crates/foxtailhold-relay/src/feeds.rs
@@ -76,7 +76,7 @@
 }
 
 /// Decoded row of a backend server.
-enum Entry {
+enum DecodedRow {
     Backend(BackendServer),
     /// Written by something other than a backend server; names none that can be used.
     Unreadable,
@@ -107,16 +107,16 @@
         self.table.lock()
     }
 
-    fn decode(&self, row: &VersionedRow) -> Entry {
+    fn decode(&self, row: &VersionedRow) -> DecodedRow {
         let Some(value) = row.value.as_ref() else {
-            return Entry::Deleted;
+            return DecodedRow::Deleted;
         };
         match self.tables.read_backend(&row.key.key, value) {
-            Ok(backend) => Entry::Backend(backend),
+            Ok(backend) => DecodedRow::Backend(backend),
             Err(error) => {
                 self.relay.metrics.unreadable_row();
                 log::warn!(version = row.version; "{error}");
-                Entry::Unreadable
+                DecodedRow::Unreadable
             }
         }
     }
@@ -130,15 +130,15 @@
             }
         };
         match self.decode(row) {
-            Entry::Backend(backend) => {
+            DecodedRow::Backend(backend) => {
                 log::info!(
                     backend = backend.id.as_str(), leaving = backend.is_leaving,
                     version = row.version; "backend server listed"
                 );
                 self.table().put(now, backend);
             }
-            Entry::Unreadable => self.table().remove_unreadable(&identity),
-            Entry::Deleted => {
+            DecodedRow::Unreadable => self.table().remove_unreadable(&identity),
+            DecodedRow::Deleted => {
                 log::info!(backend = identity.as_str(), version = row.version; "backend server removed");
                 self.table().remove(now, &identity);
             }
@@ -193,8 +193,8 @@
         let mut all = Vec::new();
         for row in &snapshot.rows {
             match self.decode(row) {
-                Entry::Backend(backend) => all.push(backend),
-                Entry::Unreadable | Entry::Deleted => {
+                DecodedRow::Backend(backend) => all.push(backend),
+                DecodedRow::Unreadable | DecodedRow::Deleted => {
                     let identity = BackendId::try_from(row.key.key.as_str());
                     identity
                         .iter()
@@ -267,5 +267,5 @@
         self.apply_rows(&rows);
     }
 
-    fn call_ended(&mut self, _is_sound: bool) {}
+    fn call_ended(&mut self, _is_ok: bool) {}
 }
--- a/crates/foxtailhold-relay/src/jobs/store.rs
+++ b/crates/foxtailhold-relay/src/jobs/store.rs
@@ -122,8 +122,8 @@
         let (first, end) = (format!("{id}/"), format!("{id}0"));
         let snapshot = self.platform.read(BODIES_TABLE, "", &first, &end).await?;
         if !snapshot.rows.is_empty() {
-            let split_result = snapshot.rows.iter().filter_map(|row| row.value.as_deref());
-            return Ok(split_result.collect::<Vec<_>>().concat().into());
+            let parts = snapshot.rows.iter().filter_map(|row| row.value.as_deref());
+            return Ok(parts.collect::<Vec<_>>().concat().into());
         }
         let object = self.platform.get_object(&object_name(id)).await?;
         object.ok_or(JobError::NotFound)
@@ -142,7 +142,7 @@
     pub async fn bodies(&self, id: &JobId) -> Result<Arc<Vec<Item>>> {
         let cached = {
             let bodies = self.bodies.lock();
-            let cached = bodies.iter().find(|(cached, _)| cached == id);
+            let cached = bodies.iter().find(|(job, _)| job == id);
             cached.map(|(_, items)| Arc::clone(items))
         };
         if let Some(items) = cached {
@@ -199,12 +199,11 @@
             deletes: Vec::new(),
         };
         for (offset, result) in results.iter().enumerate() {
-            for (part, checkpoint) in split_result(result).into_iter().enumerate() {
+            for (part, row) in split_result(result).into_iter().enumerate() {
                 let key = result_key(id, first + offset, part);
-                changes.puts.push((
-                    RowKey::new(RESULTS_TABLE, &key),
-                    encode_row(id, &checkpoint)?,
-                ));
+                changes
+                    .puts
+                    .push((RowKey::new(RESULTS_TABLE, &key), encode_row(id, &row)?));
             }
         }
         Ok(self.platform.commit(&changes).await?)
--- a/crates/foxtailhold-relay/src/peers/members.rs
+++ b/crates/foxtailhold-relay/src/peers/members.rs
@@ -42,7 +42,7 @@
     pub is_leaving: bool,
 }
 
-/// Membership as other to this instance.
+/// Membership as known to this instance.
 #[derive(Debug)]
 pub struct Members {
     me: InstanceId,
