--- a/crates/foxtailhold-relay/src/dispatch.rs
+++ b/crates/foxtailhold-relay/src/dispatch.rs
@@ -91,7 +91,7 @@
             .routes
             .load()
             .service(&service)
-            .is_some_and(|bounds| bounds.is_engine);
+            .is_some_and(|limits| limits.is_engine);
         let (id, received) = (request.id.clone(), request.received);
         let result = if is_engine {
             self.serve_engine(route, &service, request, &mut progress)
--- a/crates/foxtailhold-relay/src/jobs/accept.rs
+++ b/crates/foxtailhold-relay/src/jobs/accept.rs
@@ -38,10 +38,10 @@
 
 fn check_quota(
     view: &QuotaView,
-    bounds: BatchBounds,
+    limits: BatchBounds,
     new_tokens: u64,
 ) -> Result<Option<(u64, QuotaRow)>> {
-    let quota_tokens = bounds.quota_tokens;
+    let quota_tokens = limits.quota_tokens;
     if quota_tokens == 0 {
         return Ok(None);
     }
@@ -75,19 +75,19 @@
     pub async fn accept(
         &self,
         route: &Route,
-        bounds: BatchBounds,
+        limits: BatchBounds,
         new: &NewJob,
     ) -> Result<AcceptOutcome> {
         if self.cache.get(&new.id).is_some() {
             return Ok(AcceptOutcome::AlreadyAccepted);
         }
         let new_tokens: u64 = new.items.iter().map(|item| item.tokens).sum();
-        check_quota(&self.cache.quota(&route.name), bounds, new_tokens)?;
+        check_quota(&self.cache.quota(&route.name), limits, new_tokens)?;
         let bodies = self.store.put_bodies(new).await?;
-        let job = self.new_row(route, bounds, new);
+        let job = self.new_row(route, limits, new);
         let mut newer: Option<QuotaView> = None;
         for _ in 0..MAX_COMMIT_ATTEMPTS {
-            let quota = self.next_quota(route, bounds, new_tokens, newer).await?;
+            let quota = self.next_quota(route, limits, new_tokens, newer).await?;
             let accepted = self.store.accept(&new.id, &job, &bodies, quota).await;
             match accepted {
                 Ok(Committed::At(version)) => {
@@ -118,7 +118,7 @@
         Err(lost_to_concurrent_changes("acceptances of the route"))
     }
 
-    fn new_row(&self, route: &Route, bounds: BatchBounds, new: &NewJob) -> Job {
+    fn new_row(&self, route: &Route, limits: BatchBounds, new: &NewJob) -> Job {
         let now = self.relay.clock.wall().0;
         let items = new.items.iter();
         Job {
@@ -131,8 +131,8 @@
             listed: Vec::new(),
             is_ended: false,
             accepted_unix_ms: now,
-            due_unix_ms: now + bounds.due_ms.saturating_sub(DUE_MARGIN_MS),
-            give_up_unix_ms: now + bounds.give_up_ms + GIVE_UP_MARGIN_MS,
+            due_unix_ms: now + limits.due_ms.saturating_sub(DUE_MARGIN_MS),
+            give_up_unix_ms: now + limits.give_up_ms + GIVE_UP_MARGIN_MS,
         }
     }
 
@@ -142,19 +142,19 @@
     async fn next_quota(
         &self,
         route: &Route,
-        bounds: BatchBounds,
+        limits: BatchBounds,
         new_tokens: u64,
         newer: Option<QuotaView>,
     ) -> Result<Option<(u64, QuotaRow)>> {
         let mut view = self.cache.quota(&route.name);
         if let Some(newer) = newer.filter(|newer| newer.version > view.version) {
-            if let Ok(quota) = check_quota(&newer, bounds, new_tokens) {
+            if let Ok(quota) = check_quota(&newer, limits, new_tokens) {
                 return Ok(quota);
             }
             self.catch_up().await;
             view = self.cache.quota(&route.name);
         }
-        check_quota(&view, bounds, new_tokens)
+        check_quota(&view, limits, new_tokens)
     }
 
     async fn catch_up(&self) {
--- a/crates/foxtailhold-relay/src/peers/members.rs
+++ b/crates/foxtailhold-relay/src/peers/members.rs
@@ -82,11 +82,11 @@
             })
             .map(|(version, _)| *version)
             .collect();
-        if stale.iter().any(|other| *other > version) {
+        if stale.iter().any(|stale_version| *stale_version > version) {
             return;
         }
-        for other in stale {
-            let Some(old) = self.rows.remove(&other) else {
+        for stale_version in stale {
+            let Some(old) = self.rows.remove(&stale_version) else {
                 continue;
             };
             if old.instance != member.instance {
--- a/crates/foxtailhold-relay/src/shared_store/mod.rs
+++ b/crates/foxtailhold-relay/src/shared_store/mod.rs
@@ -39,8 +39,8 @@
 /// A commit without a response after this time is also tried through another instance. A batch job
 /// must be accepted within about 400 ms, and a network partition only shows by silence.
 const HEDGE_DELAY_MS: u64 = 220;
-/// Delay before each probe of an unreachable store, and time limit of the probe. A store that is back is
-/// found within their sum, and even a slow one answers within the limit.
+/// Delay before each probe of an unreachable store, and time limit of the probe. A store that is
+/// back is found within their sum, and even a slow one answers within the limit.
 const PROBE_DELAY_AND_TIMEOUT_MS: (u64, u64) = (250, 450);
 /// Number of instances tried for one call.
 const MAX_PEERS: usize = 2;
--- a/crates/foxtailhold-relay/tests/pending_attempts.rs
+++ b/crates/foxtailhold-relay/tests/pending_attempts.rs
@@ -1,5 +1,5 @@
-//! Crashes that show only by a restart of the backend server. Connections to a backend server
-//! that loses its machine are not closed, so the request that crashed it would not be held
+//! Crashes that show only by a restart of the backend server. When the machine of a backend server
+//! fails its connections are not closed, so the request that crashed it would not be held
 //! responsible.
 
 use foxtailhold::ids::BackendId;
