--- a/crates/foxtailhold-relay/src/plain.rs
+++ b/crates/foxtailhold-relay/src/plain.rs
@@ -24,7 +24,7 @@
 struct BackendLoad {
     in_flight: u32,
     reported: Option<(MonoMs, ReportedLoad)>,
-    trouble: Trouble,
+    health: Trouble,
 }
 
 /// Load of the backend servers of plain services; cheap to clone.
@@ -50,7 +50,7 @@
         for step in 0..count {
             let backend = &all[(step + random as usize % count) % count];
             let load = loads.entry(backend.id.clone()).or_default();
-            let limit = load.trouble.limit(now, backend.slots);
+            let limit = load.health.limit(now, backend.slots);
             let reported = load
                 .reported
                 .filter(|(at, _)| now.since_ms(*at) < REPORTED_LOAD_TTL_MS);
@@ -81,7 +81,7 @@
         let mut loads = self.loads.lock();
         let load = loads.entry(id.clone()).or_default();
         load.in_flight = load.in_flight.saturating_sub(1);
-        load.trouble.note(now, outcome, random);
+        load.health.note(now, outcome, random);
     }
 
     /// Drops backend servers that are no longer listed and have no request in flight.
