--- a/crates/foxtailhold-relay/tests/attempts.rs
+++ b/crates/foxtailhold-relay/tests/attempts.rs
@@ -1,11 +1,12 @@
-//! One account of runs for whole answers and for all legs of a stream.
+//! Limits of the attempts of one request: without them a failing request would be repeated at one
+//! backend server after another. The same budget covers buffered responses and streams.
 
 use std::time::Duration;
 
 use foxtailhold::ids::{BackendId, TargetName};
 use foxtailhold::routes::{Route, RouteKind};
-use foxtailhold_relay::attempts::Attempts;
-use foxtailhold_relay::upstream::Miss;
+use foxtailhold_relay::attempts::AttemptBudget;
+use foxtailhold_relay::upstream::AttemptFailure;
 use test_case::test_case;
 use tokio::time::Instant;
 
@@ -29,56 +30,63 @@
     BackendId::try_from(format!("b{number}").as_str()).unwrap()
 }
 
-/// Whether the request may go on after each miss.
-fn answers(account: &mut Attempts, route: &Route, misses: &[Miss]) -> Vec<bool> {
-    let misses = misses.iter().enumerate();
-    misses
-        .map(|(number, miss)| account.lost(*miss, &backend(number), route))
+/// For each failure in turn, whether the request may be sent again.
+fn retry_decisions(
+    budget: &mut AttemptBudget,
+    route: &Route,
+    failures: &[AttemptFailure],
+) -> Vec<bool> {
+    let failures = failures.iter().enumerate();
+    failures
+        .map(|(number, failure)| budget.record_failure(*failure, &backend(number), route))
         .collect()
 }
 
-use Miss::{Broken, Closed, Failed, NotRun, Silent, Unreachable};
+use AttemptFailure::{Broken, Closed, Failed, NotRun, Silent, Unreachable};
 use RouteKind::{Idempotent, Once, ResumableStream, Stream};
 
-#[test_case(Idempotent, 2, &[Closed, Closed], &[true, false]; "two runs")]
-#[test_case(Idempotent, 3, &[Broken, Silent, Failed], &[true, true, false]; "three runs")]
-#[test_case(ResumableStream, 2, &[Silent, Closed], &[true, false]; "a stream that may go on")]
-#[test_case(Stream, 2, &[Closed], &[false]; "a stream that may not")]
+#[test_case(Idempotent, 2, &[Closed, Closed], &[true, false]; "two attempts")]
+#[test_case(Idempotent, 3, &[Broken, Silent, Failed], &[true, true, false]; "three attempts")]
+#[test_case(ResumableStream, 2, &[Silent, Closed], &[true, false]; "a resumable stream")]
+#[test_case(Stream, 2, &[Closed], &[false]; "a stream that cannot resume")]
 #[test_case(Once, 2, &[Failed], &[false]; "at most once")]
-#[test_case(Once, 2, &[NotRun, Unreachable, Closed], &[true, true, false]; "refusals are no runs")]
+#[test_case(Once, 2, &[NotRun, Unreachable, Closed], &[true, true, false]; "refusals do not count as attempts")]
 #[test_case(Idempotent, 2, &[NotRun; 4], &[true, true, true, false]; "refusals are bounded")]
-#[test_case(Idempotent, 0, &[Closed], &[false]; "a route without a bound allows one run")]
-fn runs_are_bounded_by_the_route(
+#[test_case(Idempotent, 0, &[Closed], &[false]; "a route without a bound allows one attempt")]
+fn attempts_are_bounded_by_the_route(
     repeat: RouteKind,
     attempts: u32,
-    misses: &[Miss],
+    failures: &[AttemptFailure],
     expected: &[bool],
 ) {
     let route = route(repeat, attempts);
-    let mut account = Attempts::new(Instant::now() + Duration::from_secs(5));
-    assert_eq!(answers(&mut account, &route, misses), expected);
-    assert_eq!(account.tried.len(), misses.len());
+    let mut budget = AttemptBudget::new(Instant::now() + Duration::from_secs(5));
+    assert_eq!(retry_decisions(&mut budget, &route, failures), expected);
+    assert_eq!(budget.failed_backends.len(), failures.len());
 }
 
 #[test]
-fn refusals_count_anew_once_the_request_has_run() {
+fn refusals_are_counted_from_zero_once_the_request_has_run() {
     let route = route(ResumableStream, 3);
-    let mut account = Attempts::new(Instant::now() + Duration::from_secs(5));
-    assert_eq!(answers(&mut account, &route, &[NotRun; 3]), [true; 3]);
-    account.runs_now();
+    let mut budget = AttemptBudget::new(Instant::now() + Duration::from_secs(5));
     assert_eq!(
-        answers(&mut account, &route, &[Closed, NotRun]),
+        retry_decisions(&mut budget, &route, &[NotRun; 3]),
+        [true; 3]
+    );
+    budget.record_running();
+    assert_eq!(
+        retry_decisions(&mut budget, &route, &[Closed, NotRun]),
         [true, true]
     );
-    assert_eq!(account.runs, 1);
+    assert_eq!(budget.maybe_executed, 1);
 }
 
 #[test]
-fn nothing_goes_on_after_its_time() {
+fn nothing_is_retried_after_the_deadline() {
     let route = route(Idempotent, 3);
-    let mut account = Attempts::new(Instant::now());
+    let mut budget = AttemptBudget::new(Instant::now());
     assert_eq!(
-        answers(&mut account, &route, &[Closed, NotRun]),
+        retry_decisions(&mut budget, &route, &[Closed, NotRun]),
         [false, false]
     );
 }
