--- a/crates/foxtailhold-entry/src/admission.rs
+++ b/crates/foxtailhold-entry/src/admission.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::admission::{AdmissionQueue, Arrival, Capacity, ConcurrencyWindow, DequeueOutcome, EnqueueOutcome, WaiterId};
+use foxtailhold::admission::{
+    AdmissionQueue, Arrival, Capacity, ConcurrencyWindow, DequeueOutcome, EnqueueOutcome, WaiterId,
+};
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{CustomerId, TargetName};
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -12,7 +12,7 @@
 use foxtailhold::quarantine::{CrashId, Fingerprint, InFlightRequest};
 use foxtailhold::replicas::{Backend, BackendKind, FleetState, LoadReport, ReplicaLoad};
 use foxtailhold::routing::{Candidate, Candidates, affinity_seed};
-use foxtailhold::stall::{Pace, self};
+use foxtailhold::stall::{self, Pace};
 use foxtailhold::time::MonoMs;
 use parking_lot::Mutex;
 use tokio::time::Instant;
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -5,9 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::rendezvous;
 use foxtailhold::ids::BackendId;
-use foxtailhold::quarantine::{CrashId, Fingerprint, PROBES_KEY, ProbeOutcome, ProbeResponse, QuarantineNotice, QuarantineStatus};
+use foxtailhold::quarantine::{
+    CrashId, Fingerprint, PROBES_KEY, ProbeOutcome, ProbeResponse, QuarantineNotice,
+    QuarantineStatus,
+};
+use foxtailhold::rendezvous;
 use foxtailhold_engine::EngineError;
 use foxtailhold_http::client::SendError;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
@@ -15,8 +18,8 @@
 use ractor::rpc::CallResult;
 use tokio::net::TcpStream;
 
-use crate::actors::log_undelivered;
 use crate::actors::crashes::NOTICE_TIMEOUT_MS;
+use crate::actors::log_undelivered;
 use crate::backends::{BackendState, InFlightGuard};
 use crate::messages::CrashesMessage;
 use crate::shared::Shared;
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -2,25 +2,27 @@
 
 use std::collections::HashSet;
 
-use foxtailhold::rendezvous;
-use foxtailhold::batch::{BatchError, BatchItem, FileRow, JobCounts, JobRow, JobStatus, MAX_JOB_ITEMS, OpenJobRow};
+use foxtailhold::batch::{
+    BatchError, BatchItem, FileRow, JobCounts, JobRow, JobStatus, MAX_JOB_ITEMS, OpenJobRow,
+};
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{CustomerId, JobId};
 use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
+use foxtailhold::rendezvous;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::{BatchObject, BatchRequest};
 use foxtailhold_peer::PeerRequest;
 use foxtailhold_platform::{Expect, Operation, Platform, Row, Transacted};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::tables;
 use crate::actors::log_undelivered;
-use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest, rows, store_unavailable};
 use crate::gateway::results::{ItemFilter, ResultFile};
+use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest, rows, store_unavailable};
 use crate::jobs::deadline_check;
-use crate::jobs::owner::{CancelOutcome, self};
+use crate::jobs::owner::{self, CancelOutcome};
 use crate::messages::JobsMessage;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Time limit for telling the job's preferred owner of a new job.
 const OFFER_TIMEOUT_MS: u64 = 500;
--- a/crates/foxtailhold-entry/src/gateway/contract_change.rs
+++ b/crates/foxtailhold-entry/src/gateway/contract_change.rs
@@ -14,8 +14,8 @@
 use foxtailhold_platform::{Expect, Operation, PlatformError, Row, TableService, Transacted};
 use serde::{Deserialize, Serialize};
 
-use crate::tables;
 use crate::contract_store::HeadRow;
+use crate::tables;
 
 /// Attempts when other changes commit in between.
 const MAX_ATTEMPTS: u32 = 20;
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxtailhold::stall;
 use foxtailhold::ids::{BackendId, RequestId, TargetName};
 use foxtailhold::quarantine::{Fingerprint, ProbeOutcome, QuarantineStatus};
 use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::routing::{BoundedAffinity, LeastLoaded, RoutePolicy, RouteQuery};
+use foxtailhold::stall;
 use foxtailhold::suspect::{ProbeNegotiation, SuspectAction};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
@@ -19,9 +19,9 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::online_load;
 use crate::backends::{BackendState, InFlightGuard, RoutingCandidates};
-use crate::crashes::{ProbeGuard, self};
+use crate::crashes::{self, ProbeGuard};
+use crate::online_load;
 use crate::shared::Shared;
 
 /// Attempts that may have run the request, for one request.
--- a/crates/foxtailhold-entry/src/gateway/files.rs
+++ b/crates/foxtailhold-entry/src/gateway/files.rs
@@ -10,10 +10,10 @@
 use foxtailhold_caller::gateway::{Download, FileObject, Upload};
 use foxtailhold_platform::{Expect, Operation, Platform, Transacted};
 
-use crate::tables;
-use crate::gateway::{rows, store_unavailable};
 use crate::gateway::results::ResultFile;
+use crate::gateway::{rows, store_unavailable};
 use crate::shared::Shared;
+use crate::tables;
 
 /// Size limit of an uploaded file.
 pub const MAX_FILE_BYTES: u64 = 512 << 20;
--- a/crates/foxtailhold-entry/src/gateway/idempotency.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency.rs
@@ -17,10 +17,10 @@
 use foxtailhold_service::{ServiceAnswer, ServiceCall, ServiceError};
 use http::HeaderValue;
 
-use crate::tables;
+use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_ATTEMPTS};
 use crate::gateway::{STORE_RETRY_AFTER_MS, hex_digest};
-use crate::gateway::dispatch::{BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_ATTEMPTS, self};
 use crate::shared::Shared;
+use crate::tables;
 
 /// `Retry-After` while another send of the same request may be running.
 const ANSWER_RETRY_AFTER_MS: u64 = 1_000;
--- a/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
@@ -2,16 +2,19 @@
 
 use std::time::Duration;
 
-use foxtailhold::idempotency::{ClaimAttempt, ClaimRelease, ClaimRow, ClaimStep, ExpectedVersion, FoundClaim, HeldClaim, ReleaseStep, StoredAnswer, StoredBody, WriteOutcome};
+use foxtailhold::idempotency::{
+    ClaimAttempt, ClaimRelease, ClaimRow, ClaimStep, ExpectedVersion, FoundClaim, HeldClaim,
+    ReleaseStep, StoredAnswer, StoredBody, WriteOutcome,
+};
 use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason, Result};
 use foxtailhold_caller::gateway::Whole;
 use foxtailhold_platform::{Expect, Operation, Platform, Row, Transacted};
 use http::{HeaderValue, StatusCode};
 use tokio::sync::Semaphore;
 
-use crate::tables;
 use crate::gateway::STORE_RETRY_AFTER_MS;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Upper limit of background writes in this process. Above it a claim is left in the table, which
 /// is always safe.
--- a/crates/foxtailhold-entry/src/gateway/infer.rs
+++ b/crates/foxtailhold-entry/src/gateway/infer.rs
@@ -9,9 +9,9 @@
 use foxtailhold_engine::{EngineAnswer, WholeAnswer};
 use foxtailhold_platform::Platform;
 
-use crate::gateway::{EntryGateway, idempotency};
-use crate::gateway::dispatch::{AttemptHistory, OutgoingRequest, self};
+use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest};
 use crate::gateway::stream::EntryStream;
+use crate::gateway::{EntryGateway, idempotency};
 use crate::shared::Shared;
 
 /// Converts an engine's full response for the caller side.
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -25,7 +25,10 @@
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::error_body;
-use foxtailhold_caller::gateway::{BatchObject, BatchRequest, Entries, EntriesQuery, EntryAddress, FileObject, Gateway, Inference, InferenceAnswer, PlainCall, RequestContext, RequestKind, Whole};
+use foxtailhold_caller::gateway::{
+    BatchObject, BatchRequest, Entries, EntriesQuery, EntryAddress, FileObject, Gateway, Inference,
+    InferenceAnswer, PlainCall, RequestContext, RequestKind, Whole,
+};
 use foxtailhold_platform::{Platform, PlatformError};
 use rand::seq::SliceRandom;
 use sha2::{Digest, Sha256};
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -8,17 +8,20 @@
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_operator::error::{OperatorError, Result};
 use foxtailhold_operator::gateway::{ContractUpdate, OperatorGateway};
-use foxtailhold_operator::view::{AcceptedChange, BackendView, ContractView, InstanceView, InstancesView, JobView, OrderView, Readiness, TimelineView};
+use foxtailhold_operator::view::{
+    AcceptedChange, BackendView, ContractView, InstanceView, InstancesView, JobView, OrderView,
+    Readiness, TimelineView,
+};
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::{Platform, PlatformError};
 use tokio::sync::mpsc;
 
-use crate::{gauges, tables};
 use crate::actors::log_undelivered;
 use crate::gateway::{EntryGateway, contract_change, orders};
 use crate::jobs::owner::{finished_chunks, scan_all};
 use crate::messages::ContractsMessage;
 use crate::shared::Shared;
+use crate::{gauges, tables};
 
 /// Time limit for sending a contract change to one peer.
 const PUSH_TIMEOUT_MS: u64 = 1_000;
--- a/crates/foxtailhold-entry/src/gateway/service_call.rs
+++ b/crates/foxtailhold-entry/src/gateway/service_call.rs
@@ -12,8 +12,8 @@
 use http::Method;
 use tokio::time::Instant;
 
+use crate::gateway::dispatch::{self, BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_ATTEMPTS};
 use crate::gateway::{EntryGateway, idempotency};
-use crate::gateway::dispatch::{BACKEND_RETRY_AFTER_MS, DEFAULT_WAIT_MS, MAX_ATTEMPTS, self};
 use crate::shared::Shared;
 
 fn check_service<P: Platform>(shared: &Shared<P>, call: &PlainCall) -> Result<()> {
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -4,21 +4,21 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxtailhold::stall;
 use foxtailhold::quarantine::ProbeOutcome;
 use foxtailhold::refusal::{ExecutionStatus, Refusal, Result};
+use foxtailhold::stall;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::gateway::EventSource;
-use foxtailhold_engine::{EngineAnswer, EngineError, EngineStream, Resume, TokenEvent};
 use foxtailhold_engine::check::DONE_EVENT;
+use foxtailhold_engine::{EngineAnswer, EngineError, EngineStream, Resume, TokenEvent};
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
-use crate::online_load;
 use crate::backends::{BackendState, InFlightGuard};
 use crate::crashes::ProbeGuard;
-use crate::gateway::dispatch::{AttemptHistory, OutgoingRequest, StartedAnswer, self};
+use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest, StartedAnswer};
 use crate::limits::AdmittedRequest;
+use crate::online_load;
 use crate::shared::Shared;
 
 /// The part of a stream that one engine sends.
--- a/crates/foxtailhold-entry/src/instance.rs
+++ b/crates/foxtailhold-entry/src/instance.rs
@@ -7,7 +7,7 @@
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_caller::CallerHandler;
-use foxtailhold_http::server::{Server, self};
+use foxtailhold_http::server::{self, Server};
 use foxtailhold_operator::OperatorHandler;
 use foxtailhold_peer::PeerServer;
 use foxtailhold_platform::Platform;
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -10,7 +10,10 @@
 use foxtailhold::contract::Contract;
 use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::ids::{CustomerId, InstanceId};
-use foxtailhold::limits::{CustomerLimits, EXCHANGE_MS, LimitCoordinator, LimitDecision, LimitKind, MembershipViews, ShareGrant, ShareHolder, ShareRequest, ShareRequests};
+use foxtailhold::limits::{
+    CustomerLimits, EXCHANGE_MS, LimitCoordinator, LimitDecision, LimitKind, MembershipViews,
+    ShareGrant, ShareHolder, ShareRequest, ShareRequests,
+};
 use foxtailhold::refusal::{Refusal, RefusalReason};
 use foxtailhold::time::{MonoMs, WallMs};
 use parking_lot::{Mutex, MutexGuard};
@@ -219,7 +222,8 @@
     /// Groups share requests by the coordinator of their customer. Drops those whose coordinator is
     /// not known.
     pub fn by_coordinator(
-        &self, requests: Vec<ShareRequest>,
+        &self,
+        requests: Vec<ShareRequest>,
     ) -> BTreeMap<InstanceId, Vec<ShareRequest>> {
         let views = self.0.views.load();
         let mut by_coordinator: BTreeMap<InstanceId, Vec<ShareRequest>> = BTreeMap::new();
@@ -264,7 +268,8 @@
     /// Applies a coordinator's grants for `requests`, and returns the share requests that are due
     /// after that.
     pub fn apply_grants(
-        &self, requests: &[ShareRequest],
+        &self,
+        requests: &[ShareRequest],
         grants: &[ShareGrant],
         now: MonoMs,
     ) -> Vec<ShareRequest> {
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
-use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest, OnlineLoadNotice};
 use foxtailhold::batch_control::scheduler::{ItemKey, WaitingItem};
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest, OnlineLoadNotice};
 use foxtailhold::contract_registry::{ContractChange, ContractSyncData};
 use foxtailhold::contract_sync::{ContractStatus, ContractStoreSnapshot, SyncStep};
 use foxtailhold::ids::{BackendId, InstanceId, JobId};
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -9,11 +9,14 @@
 use foxtailhold_platform::Platform;
 use ractor::rpc::CallResult;
 
-use crate::online_load;
-use crate::actors::{limits, log_undelivered};
 use crate::actors::membership::PROBE_TIMEOUT_MS;
+use crate::actors::{limits, log_undelivered};
 use crate::jobs::{deadline_check, owner};
-use crate::messages::{BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, MembershipMessage};
+use crate::messages::{
+    BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage,
+    MembershipMessage,
+};
+use crate::online_load;
 use crate::shared::{Actors, Shared};
 
 /// Handles peer messages on the state of one instance.
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -2,11 +2,10 @@
 
 use std::collections::HashMap;
 use std::ops::Deref;
-use std::sync::{Arc, OnceLock};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, OnceLock};
 
 use arc_swap::ArcSwap;
-use foxtailhold::rendezvous;
 use foxtailhold::batch_control::scheduler::ItemKey;
 use foxtailhold::contract_registry::ContractRegistry;
 use foxtailhold::contract_sync::ContractSync;
@@ -15,6 +14,7 @@
 use foxtailhold::leaving::LeavingBackends;
 use foxtailhold::membership::{Member, MemberState};
 use foxtailhold::quarantine::{Fingerprint, QuarantineStatus};
+use foxtailhold::rendezvous;
 use foxtailhold_engine::EngineClient;
 use foxtailhold_peer::PeerClient;
 use foxtailhold_platform::Platform;
@@ -28,7 +28,10 @@
 use crate::batch_controllers::BatchControllers;
 use crate::jobs::chunk_slots::SharedChunkSlots;
 use crate::limits::Limits;
-use crate::messages::{BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage, LimitsMessage, MembershipMessage};
+use crate::messages::{
+    BatchControllerMessage, ContractsMessage, CrashesMessage, FleetMessage, JobsMessage,
+    LimitsMessage, MembershipMessage,
+};
 use crate::metrics::Metrics;
 use crate::retries::RetryGate;
 use crate::settings::{BatchPolicy, Settings};
--- a/crates/foxtailhold-relay/src/dispatch.rs
+++ b/crates/foxtailhold-relay/src/dispatch.rs
@@ -20,10 +20,12 @@
 use crate::metrics::AttemptOutcome;
 use crate::peers::{Slot, SlotError, SlotQuery};
 use crate::plain::PlainServiceLoads;
-use crate::relay::{FIRST_EVENT_TIMEOUT_MS, FailedAttempt, PLAIN_RETRY_AFTER_MS, Relay, upstream_request};
+use crate::relay::{
+    FIRST_EVENT_TIMEOUT_MS, FailedAttempt, PLAIN_RETRY_AFTER_MS, Relay, upstream_request,
+};
 use crate::request::{NotRunReason, OpaqueRequest, RelayOutcome, Unserved};
 use crate::stream::{StreamAttempt, StreamForwarder};
-use crate::upstream::{AttemptFailure, self};
+use crate::upstream::{self, AttemptFailure};
 
 /// Time reserved for returning the response before the caller's timeout.
 const RETURN_MARGIN_MS: u64 = 15;
--- a/crates/foxtailhold-relay/src/fleet.rs
+++ b/crates/foxtailhold-relay/src/fleet.rs
@@ -77,11 +77,14 @@
 
     /// Slots of the backend servers of a service.
     pub fn slots(&self, service: &TargetName) -> Vec<BackendSlots> {
-        let slots = self.for_service(service).iter().map(|backend| BackendSlots {
-            backend: backend.id.clone(),
-            zone: backend.zone.clone(),
-            slots: backend.slots,
-        });
+        let slots = self
+            .for_service(service)
+            .iter()
+            .map(|backend| BackendSlots {
+                backend: backend.id.clone(),
+                zone: backend.zone.clone(),
+                slots: backend.slots,
+            });
         slots.collect()
     }
 }
--- a/crates/foxtailhold-relay/src/jobs/accept.rs
+++ b/crates/foxtailhold-relay/src/jobs/accept.rs
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 use crate::dialect::Dialect;
-use crate::jobs::{Job, JobError, Jobs, NewJob, QuotaRow, Result};
 use crate::jobs::cache::{CachedJob, JOB_PREFIX, QuotaView, parse_quota};
+use crate::jobs::{Job, JobError, Jobs, NewJob, QuotaRow, Result};
 
 /// Attempts of a commit against concurrent changes of the same rows.
 const MAX_COMMIT_ATTEMPTS: u32 = 8;
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -12,19 +12,19 @@
 use foxtailhold::slots::{SlotOutcome, Urgency};
 use foxtailhold_engine::sse::RawEvent;
 use foxtailhold_platform::{ObjectStore, RowStore};
-use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
 use http::uri::PathAndQuery;
+use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
 use tokio::time::Instant;
 
 use crate::connections::BusyConnection;
 use crate::dialect::Dialect;
 use crate::events::{EventReader, StreamRead, push_data};
 use crate::fleet::BackendServer;
-use crate::jobs::{Item, ItemState, Job, Jobs, ListedResult, PartialOutputs};
 use crate::jobs::backoff::CrashBackoff;
+use crate::jobs::{Item, ItemState, Job, Jobs, ListedResult, PartialOutputs};
 use crate::metrics::AttemptOutcome;
 use crate::peers::{Slot, SlotError, SlotQuery};
-use crate::upstream::{AttemptFailure, UpstreamRequest, self};
+use crate::upstream::{self, AttemptFailure, UpstreamRequest};
 
 /// Time without an event after which an engine counts as silent for an item; the item is then
 /// resumed elsewhere.
@@ -338,7 +338,8 @@
         let query = SlotQuery {
             pool: &service,
             urgency: Urgency::Batch,
-            slack_ms: left_ms.saturating_sub(self.jobs.item_durations().remaining_ms(self.events())),
+            slack_ms: left_ms
+                .saturating_sub(self.jobs.item_durations().remaining_ms(self.events())),
             avoid: &self.avoided_backends,
             deadline: Instant::now() + Duration::from_millis(SLOT_TIMEOUT_MS),
         };
@@ -375,7 +376,9 @@
         self.jobs
             .item_durations()
             .record_attempt(self.events() - events, took_ms);
-        if matches!(result, AttemptResult::Suspended) && self.events() - events < STABLE_AFTER_EVENTS {
+        if matches!(result, AttemptResult::Suspended)
+            && self.events() - events < STABLE_AFTER_EVENTS
+        {
             relay.record_unresolved_attempt(self.fingerprint(job), &backend);
         }
         let outcome = match &result {
--- a/crates/foxtailhold-relay/src/jobs/owner.rs
+++ b/crates/foxtailhold-relay/src/jobs/owner.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::rendezvous;
 use foxtailhold::ids::{InstanceId, JobId};
+use foxtailhold::rendezvous;
 use foxtailhold_platform::{Committed, ObjectStore, RowStore};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
 use crate::dialect::Dialect;
-use crate::jobs::{Job, JobError, Jobs};
 use crate::jobs::cache::CachedJob;
 use crate::jobs::run::run_job;
+use crate::jobs::{Job, JobError, Jobs};
 
 /// Interval between checks of the owners if no job changes.
 const CHECK_INTERVAL_MS: u64 = 300;
--- a/crates/foxtailhold-relay/src/jobs/store.rs
+++ b/crates/foxtailhold-relay/src/jobs/store.rs
@@ -10,9 +10,12 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::{BODIES_TABLE, CHECKPOINTS_TABLE, Checkpoint, Item, ItemState, JOBS_TABLE, Job, JobError, ListedResult, NewJob, RESULTS_TABLE, Result};
 use crate::jobs::cache::{JOB_PREFIX, QUOTA_PREFIX};
 use crate::jobs::checkpoint::ATTEMPT_COUNTS_KEY;
+use crate::jobs::{
+    BODIES_TABLE, CHECKPOINTS_TABLE, Checkpoint, Item, ItemState, JOBS_TABLE, Job, JobError,
+    ListedResult, NewJob, RESULTS_TABLE, Result,
+};
 
 /// Size limit of the text in one row, below the platform's limit on a row with room for base64.
 const MAX_TEXT_PART_BYTES: usize = 40_000;
--- a/crates/foxtailhold-relay/src/jobs/sweep.rs
+++ b/crates/foxtailhold-relay/src/jobs/sweep.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::rendezvous;
 use foxtailhold::ids::{InstanceId, JobId};
+use foxtailhold::rendezvous;
 use foxtailhold_platform::{ObjectStore, RowStore};
 
 use crate::dialect::Dialect;
-use crate::jobs::{Jobs, Result};
 use crate::jobs::cache::CachedJob;
+use crate::jobs::{Jobs, Result};
 
 /// Interval between sweeps; jobs are kept for minutes.
 const SWEEP_INTERVAL_MS: u64 = 2_000;
--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -14,10 +14,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use foxtailhold::rendezvous;
 use foxtailhold::ids::{AvailabilityZone, BackendId, InstanceId, TargetName};
 use foxtailhold::quarantine::{CrashId, Fingerprint};
-use foxtailhold::slots::{Allocator, BackendSlots, HeldSlot, SlotDecision, SlotNotice, SlotOutcome, SlotRequest, SlotRequestId, Urgency};
+use foxtailhold::rendezvous;
+use foxtailhold::slots::{
+    Allocator, BackendSlots, HeldSlot, SlotDecision, SlotNotice, SlotOutcome, SlotRequest,
+    SlotRequestId, Urgency,
+};
 use foxtailhold::time::{MonoMs, WallMs};
 use foxtailhold_peer::codec;
 use parking_lot::{Mutex, MutexGuard};
@@ -347,7 +350,13 @@
         decision
     }
 
-    fn free_slot(&self, now: MonoMs, pool: &TargetName, request: &SlotRequestId, outcome: SlotOutcome) {
+    fn free_slot(
+        &self,
+        now: MonoMs,
+        pool: &TargetName,
+        request: &SlotRequestId,
+        outcome: SlotOutcome,
+    ) {
         let mut decisions = Vec::new();
         self.inner
             .allocator
--- a/crates/foxtailhold-relay/src/stream.rs
+++ b/crates/foxtailhold-relay/src/stream.rs
@@ -17,7 +17,9 @@
 use crate::fleet::BackendServer;
 use crate::metrics::AttemptOutcome;
 use crate::peers::{Slot, SlotQuery};
-use crate::relay::{FIRST_EVENT_TIMEOUT_MS, FailedAttempt, Relay, event_gap_timeout_ms, upstream_request};
+use crate::relay::{
+    FIRST_EVENT_TIMEOUT_MS, FailedAttempt, Relay, event_gap_timeout_ms, upstream_request,
+};
 use crate::request::OpaqueRequest;
 use crate::upstream::AttemptFailure;
 
@@ -91,7 +93,8 @@
                 attempt.started,
             );
             if matches!(end, StreamEnd::CallerGone | StreamEnd::DeadlinePassed)
-                && attempt.events < STABLE_AFTER_EVENTS {
+                && attempt.events < STABLE_AFTER_EVENTS
+            {
                 let fingerprint = self.request.fingerprint();
                 self.relay
                     .record_unresolved_attempt(fingerprint, &attempt.backend);
--- a/crates/foxtailhold-relay/src/upstream.rs
+++ b/crates/foxtailhold-relay/src/upstream.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use foxtailhold::ids::BackendId;
 use foxtailhold::slots::SlotOutcome;
-use http::{HeaderMap, Method, Request, Response, Uri};
 use http::uri::PathAndQuery;
+use http::{HeaderMap, Method, Request, Response, Uri};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use tokio::time::Instant;
@@ -58,7 +58,9 @@
         match self {
             AttemptFailure::Unreachable => SlotOutcome::Unreachable,
             AttemptFailure::NotRun => SlotOutcome::Full,
-            AttemptFailure::Closed | AttemptFailure::Broken | AttemptFailure::Failed => SlotOutcome::Broken,
+            AttemptFailure::Closed | AttemptFailure::Broken | AttemptFailure::Failed => {
+                SlotOutcome::Broken
+            }
             AttemptFailure::Silent => SlotOutcome::Silent,
         }
     }
@@ -84,24 +86,46 @@
 }
 
 impl UpstreamRequest<'_> {
-    fn build(&self, dialect: &impl Dialect, backend: &BackendId, left_ms: u64) -> Request<Full<Bytes>> {
+    fn build(
+        &self,
+        dialect: &impl Dialect,
+        backend: &BackendId,
+        left_ms: u64,
+    ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         *request.headers_mut() = self.headers.clone();
-        let metadata = RequestMetadata { request_id: self.request_id, backend, left_ms, after_event: self.after_event };
+        let metadata = RequestMetadata {
+            request_id: self.request_id,
+            backend,
+            left_ms,
+            after_event: self.after_event,
+        };
         dialect.write(&metadata, request.headers_mut());
         request
     }
 
     /// Sends the request and waits for the response head until `response_deadline`. The backend
     /// server is told that it has until `deadline`.
-    pub async fn send<D: Dialect>(&self, dialect: &D, connections: &Connections, backend: &BackendServer, deadline: Instant, response_deadline: Instant) -> Result<(Response<Incoming>, BusyConnection), AttemptFailure> {
+    pub async fn send<D: Dialect>(
+        &self,
+        dialect: &D,
+        connections: &Connections,
+        backend: &BackendServer,
+        deadline: Instant,
+        response_deadline: Instant,
+    ) -> Result<(Response<Incoming>, BusyConnection), AttemptFailure> {
         let build_request = || {
             let remaining = deadline.saturating_duration_since(Instant::now());
             self.build(dialect, &backend.identity, remaining.as_millis() as u64)
         };
-        let response_head = connections.send(&backend.id, backend.address, self.is_idempotent, build_request);
+        let response_head = connections.send(
+            &backend.id,
+            backend.address,
+            self.is_idempotent,
+            build_request,
+        );
         let sent = match tokio::time::timeout_at(response_deadline, response_head).await {
             Err(_) => return Err(AttemptFailure::Silent),
             Ok(sent) => sent,
@@ -143,7 +167,11 @@
 }
 
 /// Buffers a complete response. The connection is reused only if the body arrived in full.
-pub async fn read_buffered(response: Response<Incoming>, connection: BusyConnection, deadline: Instant) -> Result<Response<Bytes>, AttemptFailure> {
+pub async fn read_buffered(
+    response: Response<Incoming>,
+    connection: BusyConnection,
+    deadline: Instant,
+) -> Result<Response<Bytes>, AttemptFailure> {
     let (head, body) = response.into_parts();
     let reading = foxtailhold_http::body::read_whole(body, MAX_BUFFERED_BYTES);
     match tokio::time::timeout_at(deadline, reading).await {
