--- a/crates/foxtailhold/src/admission/mod.rs
+++ b/crates/foxtailhold/src/admission/mod.rs
@@ -1,9 +1,10 @@
 //! Admission of online requests in front of the backend servers of one model.
 //!
-//! Requests in flight from one instance are bounded by a window ([`ConcurrencyWindow`]) that follows what the
-//! replicas report. Above it requests wait in bounded queues, one for each customer, served by
-//! self-clocked fair queueing (Golestani, 1994) with weights by the contract's urgency, so that a
-//! flood waits behind itself. What cannot be served in time is refused when it comes.
+//! The requests in flight from one instance are bounded by a window ([`ConcurrencyWindow`]) that
+//! follows the load reports of the replicas. Above it, requests wait in bounded queues, one for
+//! each customer, served by self-clocked fair queueing (Golestani, 1994). The weights follow the
+//! contract's urgency, so that a flood of one customer delays its own requests. A request that
+//! cannot be served in time is refused on arrival.
 //!
 //! Batch items are not admitted here; they never share a queue with online requests.
 
@@ -13,13 +14,13 @@
 pub use queue::{AdmissionQueue, Arrival, DequeueOutcome, EnqueueOutcome, WaiterId};
 pub use window::{Capacity, ConcurrencyWindow};
 
-/// Requests of one customer that may wait.
+/// Largest number of waiting requests of one customer.
 pub const WAITING_PER_CUSTOMER: usize = 64;
-/// Requests of all customers that may wait.
+/// Largest number of waiting requests of all customers.
 pub const WAITING_IN_ALL: usize = 1_024;
-/// Longest wait of a request, in milliseconds.
+/// Longest time that a request waits.
 pub const MAX_WAIT_MS: u64 = 2_000;
-/// Least time to come back after a refusal, in milliseconds.
+/// Least retry time after a refusal.
 pub const MIN_RETRY_AFTER_MS: u64 = 1_000;
-/// Longest time to come back after a refusal, in milliseconds.
+/// Longest retry time after a refusal.
 pub const MAX_RETRY_AFTER_MS: u64 = 30_000;
--- a/crates/foxtailhold/src/admission/queue.rs
+++ b/crates/foxtailhold/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queues of one model's customers.
+//! Fair queues of one model's customers.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -11,53 +11,54 @@
 
 /// Virtual time that a request of weight 1 takes.
 const STRIDE: u64 = 1 << 16;
-/// Weight of the newest sample in the mean service time, one in this many.
+/// The newest sample has a weight of one in this many in the mean service time.
 const SERVICE_SAMPLES: f64 = 16.0;
 
-/// Names a request that waits.
+/// Identifies a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
-/// A request that arrives.
+/// An arriving request.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival<'a> {
-    /// Whose.
+    /// The customer that sent it.
     pub customer: &'a CustomerId,
-    /// Urgency by its contract.
+    /// Urgency by the customer's contract.
     pub urgency: Urgency,
-    /// When its caller gives up.
+    /// When its caller gives up; `None` if it did not say.
     pub deadline: Option<MonoMs>,
-    /// A number drawn for this request, to spread the times to come back.
+    /// A random number that spreads the retry times.
     pub draw: u64,
 }
 
-/// What becomes of an arrival.
+/// Outcome of an arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EnqueueOutcome {
-    /// There is room: it is in flight.
+    /// The window has room, and the request is in flight.
     Admitted,
-    /// It waits.
+    /// The request is queued.
     Waiting {
-        /// Its name.
+        /// Identifies the queued request.
         id: WaiterId,
-        /// When it is given up.
+        /// The request expires at this time.
         give_up_at: MonoMs,
-        /// A request of the customer with most waiting that was refused in its place.
+        /// A request of the customer with the longest queue for its weight that was refused to make
+        /// room.
         evicted: Option<WaiterId>,
     },
-    /// It is refused at once.
+    /// The request is refused.
     Refused {
-        /// When to come back.
+        /// Time in ms after which the caller should retry.
         after_ms: u64,
     },
 }
 
-/// What becomes of a request that waited.
+/// Outcome of a queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DequeueOutcome {
-    /// It is in flight.
+    /// The request is in flight.
     Admitted(WaiterId),
-    /// It waited too long.
+    /// The request waited too long.
     Expired(WaiterId),
 }
 
@@ -88,7 +89,7 @@
     next_id: u64,
 }
 
-/// Share of an urgency in what is served while others wait.
+/// Weight of an urgency in fair queueing.
 fn weight(urgency: Urgency) -> u64 {
     match urgency {
         Urgency::Low => 1,
@@ -98,7 +99,7 @@
 }
 
 impl AdmissionQueue {
-    /// An empty queue in front of `window` places.
+    /// Creates an empty queue with a window of `window` requests.
     pub fn new(window: u32) -> Self {
         AdmissionQueue {
             window,
@@ -113,27 +114,27 @@
         }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Places.
+    /// Largest number of requests in flight.
     pub fn window(&self) -> u32 {
         self.window
     }
 
-    /// Sets the number of places; [`AdmissionQueue::next`] says who may go.
+    /// Sets the window; [`AdmissionQueue::next`] then returns the requests that may proceed.
     pub fn set_window(&mut self, window: u32) {
         self.window = window;
     }
 
-    /// Takes a request in.
+    /// Admits, queues or refuses an arriving request.
     pub fn enter(&mut self, arrival: &Arrival<'_>, now: MonoMs) -> EnqueueOutcome {
         if self.waiting == 0 && self.in_flight < self.window {
             self.in_flight += 1;
@@ -142,14 +143,14 @@
         let give_up_at = now + MAX_WAIT_MS;
         let give_up_at = arrival.deadline.map_or(give_up_at, |at| at.min(give_up_at));
         let in_time = self.expected_wait_ms(arrival) <= give_up_at.since_ms(now) as f64;
-        let own = self.customers.get(arrival.customer);
-        let own = own.map_or(0, |queue| queue.waiters.len());
-        if own >= WAITING_PER_CUSTOMER || give_up_at <= now || !in_time {
+        let queued = self.customers.get(arrival.customer);
+        let queued = queued.map_or(0, |queue| queue.waiters.len());
+        if queued >= WAITING_PER_CUSTOMER || give_up_at <= now || !in_time {
             return self.refused(arrival.draw);
         }
         let mut evicted = None;
         if self.waiting >= WAITING_IN_ALL {
-            evicted = self.evict(arrival.customer, own);
+            evicted = self.evict(arrival.customer, queued);
             if evicted.is_none() {
                 return self.refused(arrival.draw);
             }
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Ends a request in flight that was admitted at `since`.
+    /// Records the end of a request in flight that was admitted at `since`.
     pub fn leave(&mut self, since: MonoMs, now: MonoMs) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let sample_ms = now.since_ms(since) as f64;
@@ -194,13 +195,13 @@
         Some(DequeueOutcome::Admitted(waiter.id))
     }
 
-    /// Removes a request whose caller is gone. Returns whether it waited.
+    /// Removes a request whose caller is gone. Returns whether it was waiting.
     pub fn cancel(&mut self, customer: &CustomerId, id: WaiterId) -> bool {
         self.remove(customer, id)
     }
 
-    /// When a refused caller should come back: after the queue has drained, spread over as long
-    /// again.
+    /// Time after which a refused caller should retry: the time until the queue has drained, plus a
+    /// random time of up to the same length.
     pub fn retry_after_ms(&self, draw: u64) -> u64 {
         let drain_ms = self.service_ms.unwrap_or(0.0) / f64::from(self.window.max(1));
         let base_ms = (self.waiting as f64 * drain_ms) as u64;
@@ -208,14 +209,14 @@
         base_ms + draw % (base_ms + 1)
     }
 
-    /// Time until an arrival would be served: those of its customer before it, each at the
-    /// customer's part of the rate at which places become free (Little's law).
+    /// Expected wait of an arrival: the customer's requests ahead of it, each served at the
+    /// customer's part of the rate at which requests end (Little's law).
     fn expected_wait_ms(&self, arrival: &Arrival<'_>) -> f64 {
-        let own = self.customers.get(arrival.customer);
-        let before = own.map_or(0, |queue| queue.waiters.len());
+        let queued = self.customers.get(arrival.customer);
+        let queued_before = queued.map_or(0, |queue| queue.waiters.len());
         let weight = weight(arrival.urgency);
-        let others = self.weights - own.map_or(0, |queue| queue.weight);
-        let rounds = (before + 1) as f64 * (others + weight) as f64 / weight as f64;
+        let others = self.weights - queued.map_or(0, |queue| queue.weight);
+        let rounds = (queued_before + 1) as f64 * (others + weight) as f64 / weight as f64;
         let ahead = rounds.min((self.waiting + 1) as f64);
         ahead * self.service_ms.unwrap_or(0.0) / f64::from(self.window.max(1))
     }
@@ -247,16 +248,16 @@
         id
     }
 
-    /// Makes room by removing the newest request of the customer with most waiting for its
-    /// weight, unless the one that asks has as many.
-    fn evict(&mut self, asker: &CustomerId, own: usize) -> Option<WaiterId> {
+    /// Makes room by removing the newest request of the customer with the longest queue for its
+    /// weight, unless the arriving customer has as many.
+    fn evict(&mut self, asker: &CustomerId, queued: usize) -> Option<WaiterId> {
         let load = |queue: &CustomerQueue| queue.waiters.len() as u64 * 16 / queue.weight;
-        let longest = self
+        let longest_queue = self
             .customers
             .iter()
             .max_by_key(|(customer, queue)| (load(queue), *customer));
-        let (customer, queue) = longest?;
-        if customer == asker || queue.waiters.len() <= own + 1 {
+        let (customer, queue) = longest_queue?;
+        if customer == asker || queue.waiters.len() <= queued + 1 {
             return None;
         }
         let id = queue.waiters.back()?.id;
--- a/crates/foxtailhold/src/batch_control/controller.rs
+++ b/crates/foxtailhold/src/batch_control/controller.rs
@@ -1,8 +1,8 @@
-//! The steward of one replica: divides the mark between owners of jobs.
+//! The batch controller of one replica: divides its congestion window between owners of jobs.
 //!
-//! Owners with the least slack get places first; owners whose slack falls in the same minute share
-//! evenly. A place in use is not taken from one owner for another: it goes over when its item ends.
-//! Only a falling mark cancels items.
+//! Owners with the least slack get slots first; owners whose slack falls in the same minute share
+//! evenly. A slot in use is not taken from one owner for another, it changes owner when its item
+//! ends. Items are preempted only when the window shrinks.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,47 +12,46 @@
 use crate::replicas::LoadReport;
 use crate::time::MonoMs;
 
-/// Owners whose slack falls in the same span of this length share evenly.
-const SLACK_SPAN_MS: u64 = 60_000;
+/// Owners whose slack falls in the same interval of this length share evenly.
+const SLACK_INTERVAL_MS: u64 = 60_000;
 
-/// Places that an owner does not use are taken back after this time. Sooner, items that it started
-/// since its last word would be cut.
+/// Slots that an owner does not use are reclaimed after this time. Sooner, items that the owner
+/// started since its last report would be preempted.
 const RECLAIM_MS: u64 = 1_000;
 
 /// A grant that its owner may still be using.
 #[derive(Debug, Clone, Copy)]
-struct Issued {
+struct IssuedGrant {
     number: u64,
-    keep: u32,
-    start: u32,
+    cancel_above: u32,
+    start_below: u32,
     until: MonoMs,
 }
 
 #[derive(Debug, Clone)]
 struct Owner {
-    ask: BatchSlotRequest,
-    /// Items it had in flight when it first asked.
+    request: BatchSlotRequest,
+    /// Items that were in flight when the owner sent its first request.
     adopted: u32,
-    /// Items it had in flight lately.
+    /// Items in flight within the last [`RECLAIM_MS`], oldest first.
     recent: VecDeque<(MonoMs, u32)>,
-    issued: VecDeque<Issued>,
+    issued: VecDeque<IssuedGrant>,
 }
 
 impl Owner {
-    /// The most places it may be using.
+    /// The largest number of slots that the owner may be using under its grants.
     fn committed(&self) -> u32 {
-        let most = self.issued.iter().map(|issued| issued.keep).max();
+        let most = self.issued.iter().map(|issued| issued.cancel_above).max();
         most.unwrap_or(0)
     }
 
-    /// The most items it had in flight lately that a grant covers, or that were there before this
-    /// steward.
+    /// The most items in flight lately that are covered by the last grant or were adopted.
     fn used(&self) -> u32 {
         let recent = self.recent.iter().map(|(_, in_use)| *in_use).max();
         recent.unwrap_or(0).min(self.last().0.max(self.adopted))
     }
 
-    fn forget_use(&mut self, now: MonoMs) {
+    fn drop_old_usage(&mut self, now: MonoMs) {
         while self
             .recent
             .get(1)
@@ -64,152 +63,160 @@
 
     fn last(&self) -> (u32, u32) {
         let last = self.issued.back();
-        last.map_or((0, 0), |issued| (issued.keep, issued.start))
+        last.map_or((0, 0), |issued| (issued.cancel_above, issued.start_below))
     }
 }
 
-/// A new division for one owner.
+/// The newly computed slots of one owner.
 #[derive(Debug, Clone, Copy, Default)]
-struct Share {
-    keep: u32,
-    start: u32,
+struct SlotShare {
+    cancel_above: u32,
+    start_below: u32,
 }
 
-/// The steward of one replica.
+/// The batch controller of one replica.
 #[derive(Debug, Clone)]
 pub struct BatchController {
     me: InstanceId,
     backend: BackendId,
     term: u64,
     last_number: u64,
-    mark: CongestionWindow,
+    window: CongestionWindow,
     owners: BTreeMap<InstanceId, Owner>,
 }
 
 impl BatchController {
-    /// A steward that knows nothing yet: its mark is zero until a report comes. Batch gets at most
-    /// `share_percent` of the slots.
+    /// Creates a controller without state; its window is zero until the first load report. Batch
+    /// items get at most `share_percent` of the slots.
     pub fn new(me: InstanceId, backend: BackendId, term: u64, share_percent: u64) -> Self {
         BatchController {
             me,
             backend,
             term,
             last_number: 0,
-            mark: CongestionWindow::new(share_percent),
+            window: CongestionWindow::new(share_percent),
             owners: BTreeMap::new(),
         }
     }
 
-    /// The mark.
+    /// The congestion window of the replica.
     pub fn window(&self) -> &CongestionWindow {
-        &self.mark
+        &self.window
     }
 
-    /// Places that owners may be using.
+    /// Slots that owners may be using.
     pub fn committed(&self) -> u32 {
         self.owners.values().map(Owner::committed).sum()
     }
 
-    /// Batch items in flight by the owners' last word.
+    /// Batch items in flight, as last reported by the owners.
     pub fn in_use(&self) -> u32 {
-        self.owners.values().map(|owner| owner.ask.in_use).sum()
+        self.owners.values().map(|owner| owner.request.in_use).sum()
     }
 
-    /// The grants last issued, as keep and start.
+    /// The last grant of each owner: owner, `cancel_above` and `start_below`.
     pub fn grants(&self) -> impl Iterator<Item = (&InstanceId, u32, u32)> {
         let last = |(id, owner)| {
-            let (keep, start) = Owner::last(owner);
-            (id, keep, start)
+            let (cancel_above, start_below) = Owner::last(owner);
+            (id, cancel_above, start_below)
         };
         self.owners.iter().map(last)
     }
 
-    /// Whether no owner has or wants a place.
+    /// Whether no owner uses or wants a slot.
     pub fn is_idle(&self) -> bool {
         self.owners.is_empty()
     }
 
-    /// Takes a load report in. Returns the grants that owners must be told of at once.
+    /// Applies a load report. Returns the grants that must be pushed to owners.
     pub fn reported(
         &mut self,
         report: &LoadReport,
         now: MonoMs,
     ) -> Vec<(InstanceId, BatchSlotGrant)> {
-        self.mark.reported(report, now);
+        self.window.reported(report, now);
         self.divide(now)
     }
 
-    /// Takes a notice of online work in. Returns the grants that owners must be told of at once.
+    /// Applies a notice of online load. Returns the grants that must be pushed to owners.
     pub fn noticed(
         &mut self,
         notice: &OnlineLoadNotice,
         now: MonoMs,
     ) -> Vec<(InstanceId, BatchSlotGrant)> {
-        self.mark.noticed(notice, now);
+        self.window.noticed(notice, now);
         self.divide(now)
     }
 
-    /// Moves the mark with time. Returns the grants that owners must be told of at once.
+    /// Moves the window with time. Returns the grants that must be pushed to owners.
     pub fn tick(&mut self, now: MonoMs) -> Vec<(InstanceId, BatchSlotGrant)> {
         self.divide(now)
     }
 
-    /// Takes an owner's question in. Returns its answer and the grants to tell the others.
+    /// Handles a slot request. Returns its grant and the grants that must be pushed to other
+    /// owners.
     pub fn asked(
         &mut self,
-        ask: BatchSlotRequest,
+        request: BatchSlotRequest,
         now: MonoMs,
     ) -> (BatchSlotGrant, Vec<(InstanceId, BatchSlotGrant)>) {
-        let id = ask.owner.clone();
-        self.told(ask, now);
+        let id = request.owner.clone();
+        self.told(request, now);
         let mut others = self.divide(now);
         others.retain(|(owner, _)| *owner != id);
         (self.renew(&id, now), others)
     }
 
-    /// Takes an owner's answer to a grant in.
-    pub fn told(&mut self, ask: BatchSlotRequest, now: MonoMs) {
-        let follows = ask.follows;
-        let id = ask.owner.clone();
+    /// Records an owner's slots, from a slot request or from its response to a pushed grant.
+    pub fn told(&mut self, request: BatchSlotRequest, now: MonoMs) {
+        let follows = request.follows;
+        let id = request.owner.clone();
         match self.owners.get_mut(&id) {
             None => {
-                self.mark.adopt(ask.in_use);
+                self.window.adopt(request.in_use);
                 let owner = Owner {
-                    adopted: ask.in_use,
-                    recent: VecDeque::from([(now, ask.in_use)]),
-                    ask,
+                    adopted: request.in_use,
+                    recent: VecDeque::from([(now, request.in_use)]),
+                    request,
                     issued: VecDeque::new(),
                 };
                 self.owners.insert(id, owner);
             }
             Some(owner) => {
-                let applied = |issued: &Issued| issued.number >= follows.1;
+                let applied = |issued: &IssuedGrant| issued.number >= follows.1;
                 if follows.0 == self.term {
                     owner.issued.retain(applied);
                 }
-                owner.recent.push_back((now, ask.in_use));
-                owner.ask = ask;
+                owner.recent.push_back((now, request.in_use));
+                owner.request = request;
             }
         }
         let in_use = self.in_use();
-        self.mark.batch_in_flight(in_use, now);
+        self.window.batch_in_flight(in_use, now);
     }
 
-    /// The owner's grant, valid anew.
+    /// Issues the owner's last grant again, for a new validity period.
     fn renew(&mut self, id: &InstanceId, now: MonoMs) -> BatchSlotGrant {
-        let (keep, start) = self.owners.get(id).map_or((0, 0), Owner::last);
-        self.issue(id, Share { keep, start }, now)
+        let (cancel_above, start_below) = self.owners.get(id).map_or((0, 0), Owner::last);
+        self.issue(
+            id,
+            SlotShare {
+                cancel_above,
+                start_below,
+            },
+            now,
+        )
     }
 
-    fn issue(&mut self, id: &InstanceId, share: Share, now: MonoMs) -> BatchSlotGrant {
+    fn issue(&mut self, id: &InstanceId, share: SlotShare, now: MonoMs) -> BatchSlotGrant {
         self.last_number += 1;
         let number = self.last_number;
         if let Some(owner) = self.owners.get_mut(id) {
             owner.adopted = 0;
-            owner.issued.push_back(Issued {
+            owner.issued.push_back(IssuedGrant {
                 number,
-                keep: share.keep,
-                start: share.start,
+                cancel_above: share.cancel_above,
+                start_below: share.start_below,
                 until: now + GRANT_MS,
             });
         }
@@ -218,31 +225,31 @@
             backend: self.backend.clone(),
             term: self.term,
             number,
-            cancel_above: share.keep,
-            start_below: share.start,
+            cancel_above: share.cancel_above,
+            start_below: share.start_below,
         }
     }
 
     fn drop_expired(&mut self, now: MonoMs) {
         self.owners.retain(|_, owner| {
-            owner.forget_use(now);
+            owner.drop_old_usage(now);
             let held = !owner.issued.is_empty();
             owner.issued.retain(|issued| issued.until >= now);
             !held || !owner.issued.is_empty()
         });
         let in_use = self.in_use();
-        self.mark.batch_in_flight(in_use, now);
+        self.window.batch_in_flight(in_use, now);
     }
 
-    /// Divides the mark anew and issues the grants that changed.
+    /// Divides the window again and issues the grants that changed.
     fn divide(&mut self, now: MonoMs) -> Vec<(InstanceId, BatchSlotGrant)> {
         self.drop_expired(now);
-        self.mark.update(now);
+        self.window.update(now);
         let shares = self.shares();
         let mut grants = Vec::new();
         for (id, share) in shares {
             let last = self.owners.get(&id).map(Owner::last);
-            if last == Some((share.keep, share.start)) {
+            if last == Some((share.cancel_above, share.start_below)) {
                 continue;
             }
             let grant = self.issue(&id, share, now);
@@ -251,35 +258,44 @@
         grants
     }
 
-    /// What each owner gets of the mark. Places in use stay where the mark allows it; what is left
-    /// goes by least slack.
-    fn shares(&self) -> BTreeMap<InstanceId, Share> {
-        let mark = self.mark.value();
-        let starts = self.starts(mark);
+    /// Computes the slots of each owner. Slots in use stay with their owner as far as the window
+    /// allows, and the rest goes to the owners with the least slack.
+    fn shares(&self) -> BTreeMap<InstanceId, SlotShare> {
+        let window = self.window.value();
+        let start_limits = self.start_limits(window);
         let order = self.by_slack();
         let mut shares = BTreeMap::new();
-        let mut excess = self.used().saturating_sub(mark);
+        let mut excess = self.used().saturating_sub(window);
         for id in order.iter().rev() {
             let used = self.owners[*id].used();
             let cut = excess.min(used);
             excess -= cut;
-            let keep = used - cut;
-            let start = starts.get(*id).copied().unwrap_or(0);
-            shares.insert((*id).clone(), Share { keep, start });
+            let cancel_above = used - cut;
+            let start_below = start_limits.get(*id).copied().unwrap_or(0);
+            shares.insert(
+                (*id).clone(),
+                SlotShare {
+                    cancel_above,
+                    start_below,
+                },
+            );
         }
-        let mut free = mark.saturating_sub(self.used());
-        let mut room = mark.saturating_sub(self.committed());
+        let mut free = window.saturating_sub(self.used());
+        let mut available = window.saturating_sub(self.committed());
         for id in order {
             let (Some(share), Some(owner)) = (shares.get_mut(id), self.owners.get(id)) else {
                 continue;
             };
-            let raise = share.start.saturating_sub(share.keep).min(free);
+            let raise = share
+                .start_below
+                .saturating_sub(share.cancel_above)
+                .min(free);
             free -= raise;
-            let over = (share.keep + raise).saturating_sub(owner.committed());
-            let allowed = over.min(room);
-            room -= allowed;
-            share.keep = share.keep + raise - (over - allowed);
-            share.start = share.start.min(share.keep);
+            let over = (share.cancel_above + raise).saturating_sub(owner.committed());
+            let allowed = over.min(available);
+            available -= allowed;
+            share.cancel_above = share.cancel_above + raise - (over - allowed);
+            share.start_below = share.start_below.min(share.cancel_above);
         }
         shares
     }
@@ -290,34 +306,34 @@
 
     fn by_slack(&self) -> Vec<&InstanceId> {
         let mut order: Vec<&InstanceId> = self.owners.keys().collect();
-        order.sort_by_key(|id| self.owners[*id].ask.slack_ms);
+        order.sort_by_key(|id| self.owners[*id].request.slack_ms);
         order
     }
 
-    /// Up to how many items each owner may start: least slack first, evenly within one span, none
-    /// while pressure holds the mark.
-    fn starts(&self, mark: u32) -> BTreeMap<InstanceId, u32> {
-        if self.mark.is_held() {
+    /// Up to how many items each owner may start: least slack first, evenly within one interval,
+    /// none while pressure holds the window.
+    fn start_limits(&self, window: u32) -> BTreeMap<InstanceId, u32> {
+        if self.window.is_held() {
             return BTreeMap::new();
         }
-        let mut spans: BTreeMap<u64, Vec<&InstanceId>> = BTreeMap::new();
+        let mut intervals: BTreeMap<u64, Vec<&InstanceId>> = BTreeMap::new();
         for (id, owner) in &self.owners {
-            let span = owner.ask.slack_ms / SLACK_SPAN_MS;
-            spans.entry(span).or_default().push(id);
+            let interval = owner.request.slack_ms / SLACK_INTERVAL_MS;
+            intervals.entry(interval).or_default().push(id);
         }
-        let mut left = mark;
-        let mut starts = BTreeMap::new();
-        for mut sharing in spans.into_values() {
-            sharing.sort_by_key(|id| self.owners[*id].ask.wanted);
-            let mut count = sharing.len() as u32;
-            for id in sharing {
-                let wanted = self.owners[id].ask.wanted;
-                let start = wanted.min(left.div_ceil(count));
-                left -= start;
+        let mut remaining = window;
+        let mut start_limits = BTreeMap::new();
+        for mut interval_owners in intervals.into_values() {
+            interval_owners.sort_by_key(|id| self.owners[*id].request.wanted);
+            let mut count = interval_owners.len() as u32;
+            for id in interval_owners {
+                let wanted = self.owners[id].request.wanted;
+                let start_below = wanted.min(remaining.div_ceil(count));
+                remaining -= start_below;
                 count -= 1;
-                starts.insert(id.clone(), start);
+                start_limits.insert(id.clone(), start_below);
             }
         }
-        starts
+        start_limits
     }
 }
--- a/crates/foxtailhold/src/batch_control/scheduler.rs
+++ b/crates/foxtailhold/src/batch_control/scheduler.rs
@@ -1,100 +1,105 @@
-//! The owner's side: which waiting item is started where, and which items are cut.
+//! Owner side: which waiting item starts at which replica, and which items are preempted.
 //!
-//! A grant counts only from the steward that this instance takes for the replica's. It is valid for
-//! [`GRANT_MS`] from the moment its question was sent; a grant that was pushed changes the numbers
-//! but not how long they are valid, so a late push cannot outlive the steward's own books.
+//! A grant counts only if it comes from the controller that this instance takes for the replica's.
+//! It is valid for [`GRANT_MS`] from the moment its slot request was sent. A pushed grant changes
+//! the numbers but not the validity period, so a delayed push cannot outlive the controller's own
+//! records.
 
 use std::collections::{BTreeMap, HashMap};
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::batch_control::{ASK_GAP_MS, ASK_PERIOD_MS, BatchSlotGrant, BatchSlotRequest, GRANT_MS};
+use crate::batch_control::{
+    BatchSlotGrant, BatchSlotRequest, GRANT_MS, REQUEST_GAP_MS, REQUEST_PERIOD_MS,
+};
 use crate::ids::{BackendId, InstanceId, TargetName};
 use crate::time::{MonoMs, WallMs};
 
-/// Replicas asked for places at once, besides those where items are in flight.
-pub const MAX_ASKED: usize = 16;
-/// Other replicas are asked after this time without a place.
+/// Replicas that slots are requested from at once, besides those with items in flight.
+pub const MAX_REQUESTED_REPLICAS: usize = 16;
+/// Period after which slots are requested from other replicas, while no slot is granted.
 const ROTATE_MS: u64 = 5_000;
-/// Most places asked for at one replica.
+/// Most slots requested at one replica.
 const MAX_WANTED: u32 = 1_024;
 
-/// Names an item, unique in one process.
+/// Identifies an item, unique within one process.
 pub type ItemKey = u64;
 
-/// An item that waits for a place.
+/// An item that waits for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitingItem {
-    /// The model it is for.
+    /// The model that the item is for.
     pub target: TargetName,
-    /// When its job must be finished.
+    /// Deadline of the item's job.
     pub deadline: WallMs,
-    /// Among items of one deadline, those with the lower number go first.
+    /// Tie-breaker among items with the same deadline; lower numbers go first.
     pub order: u64,
-    /// Replicas that failed it.
+    /// Replicas at which the item failed.
     pub avoid: Vec<BackendId>,
 }
 
-/// A replica as the owner sees it.
+/// A replica as seen by the owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchedulerReplica {
-    /// The replica.
+    /// Identifies the replica.
     pub backend: BackendId,
-    /// Models it serves.
+    /// Models that it serves.
     pub targets: Vec<TargetName>,
-    /// Its steward; `None` where it takes no new work.
+    /// Its batch controller; `None` if it takes no new work.
     pub controller: Option<InstanceId>,
 }
 
-/// What the owner has to do.
+/// An action for the owner to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SchedulerAction {
     /// Start or resume the item at the replica.
     Start {
-        /// The item.
+        /// The item to start.
         item: ItemKey,
-        /// The replica.
+        /// The replica to start it at.
         backend: BackendId,
     },
-    /// Cancel the item's stream; the item has to wait again with what it received.
+    /// Cancel the item's stream. The caller then queues it again with the output received so far.
     Preempt {
-        /// The item.
+        /// The item to cancel.
         item: ItemKey,
-        /// The replica.
+        /// The replica that runs it.
         backend: BackendId,
     },
 }
 
-/// The grant followed at one replica.
+/// The grant in effect at one replica.
 #[derive(Debug, Clone)]
-struct Followed {
-    steward: InstanceId,
+struct ActiveGrant {
+    controller: InstanceId,
     order: (u64, u64),
-    keep: u32,
-    start: u32,
+    cancel_above: u32,
+    start_below: u32,
     until: MonoMs,
 }
 
 #[derive(Debug, Clone)]
 struct Replica {
     entry: SchedulerReplica,
-    followed: Option<Followed>,
+    active: Option<ActiveGrant>,
     /// Items in flight, oldest first.
     running: Vec<ItemKey>,
-    asked_at: Option<MonoMs>,
-    told: (u32, u32),
+    requested_at: Option<MonoMs>,
+    last_request: (u32, u32),
 }
 
 impl Replica {
     fn limits(&self, now: MonoMs) -> (usize, usize) {
-        match &self.followed {
-            Some(grant) if grant.until >= now => (grant.keep as usize, grant.start as usize),
+        match &self.active {
+            Some(grant) if grant.until >= now => {
+                (grant.cancel_above as usize, grant.start_below as usize)
+            }
             _ => (0, 0),
         }
     }
 }
 
-/// The owner's waiting and running items.
+/// Waiting and running items of one owner.
 #[derive(Debug, Clone)]
 pub struct BatchScheduler {
     me: InstanceId,
@@ -104,7 +109,7 @@
 }
 
 impl BatchScheduler {
-    /// A desk without items.
+    /// Creates a scheduler without items.
     pub fn new(me: InstanceId) -> Self {
         BatchScheduler {
             me,
@@ -114,30 +119,30 @@
         }
     }
 
-    /// Items in flight at a replica.
+    /// Number of items in flight at a replica.
     pub fn in_use(&self, backend: &BackendId) -> u32 {
         let replica = self.replicas.get(backend);
         replica.map_or(0, |replica| replica.running.len() as u32)
     }
 
-    /// The steward whose grant is followed at a replica, with its term, while the grant is valid.
+    /// The controller whose grant is in effect at a replica, with its term; `None` without a valid
+    /// grant.
     pub fn grantor(&self, backend: &BackendId, now: MonoMs) -> Option<(&InstanceId, u64)> {
-        let followed = self.replicas.get(backend)?.followed.as_ref()?;
-        (followed.until >= now).then_some((&followed.steward, followed.order.0))
+        let active = self.replicas.get(backend)?.active.as_ref()?;
+        (active.until >= now).then_some((&active.controller, active.order.0))
     }
 
-    /// Items in flight.
+    /// Number of items in flight.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Items that wait.
+    /// Number of waiting items.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Takes the replicas and their stewards as they are now. Items at replicas that are gone are
-    /// cut.
+    /// Sets the replicas and their controllers. Items at removed replicas are preempted.
     pub fn set_replicas(
         &mut self,
         replicas: Vec<SchedulerReplica>,
@@ -149,10 +154,10 @@
                 Some(replica) => Replica { entry, ..replica },
                 None => Replica {
                     entry,
-                    followed: None,
+                    active: None,
                     running: Vec::new(),
-                    asked_at: None,
-                    told: (0, 0),
+                    requested_at: None,
+                    last_request: (0, 0),
                 },
             };
             let backend = replica.entry.backend.clone();
@@ -170,7 +175,7 @@
         actions
     }
 
-    /// An item waits for a place, for the first time or after it was cut.
+    /// Queues an item for a slot, for the first time or after it was preempted.
     pub fn wait(
         &mut self,
         item: ItemKey,
@@ -182,7 +187,7 @@
         self.act(now)
     }
 
-    /// An item no longer waits or runs: it ended, failed at its replica, or its job was stopped.
+    /// Removes an item that ended, failed at its replica, or whose job was stopped.
     pub fn leave(&mut self, item: ItemKey, now: MonoMs) -> Vec<SchedulerAction> {
         self.waiting.retain(|(_, _, key), _| *key != item);
         if let Some(backend) = self.running.remove(&item)
@@ -193,24 +198,24 @@
         self.act(now)
     }
 
-    /// Takes the answer to a question sent at `asked_at`.
+    /// Applies the response to a slot request sent at `requested_at`.
     pub fn answered(
         &mut self,
         grant: &BatchSlotGrant,
-        asked_at: MonoMs,
+        requested_at: MonoMs,
         now: MonoMs,
     ) -> Vec<SchedulerAction> {
-        self.follow(grant, Some(asked_at + GRANT_MS));
+        self.apply_grant(grant, Some(requested_at + GRANT_MS));
         self.act(now)
     }
 
-    /// Takes a grant that was not asked for.
+    /// Applies a pushed grant, which was not requested.
     pub fn pushed(&mut self, grant: &BatchSlotGrant, now: MonoMs) -> Vec<SchedulerAction> {
-        self.follow(grant, None);
+        self.apply_grant(grant, None);
         self.act(now)
     }
 
-    fn follow(&mut self, grant: &BatchSlotGrant, until: Option<MonoMs>) {
+    fn apply_grant(&mut self, grant: &BatchSlotGrant, until: Option<MonoMs>) {
         let Some(replica) = self.replicas.get_mut(&grant.backend) else {
             return;
         };
@@ -218,30 +223,30 @@
             return;
         }
         let order = (grant.term, grant.number);
-        let known = replica.followed.as_ref();
-        let known = known.filter(|followed| followed.steward == grant.controller);
-        if known.is_some_and(|followed| followed.order >= order) {
+        let known = replica.active.as_ref();
+        let known = known.filter(|active| active.controller == grant.controller);
+        if known.is_some_and(|active| active.order >= order) {
             return;
         }
-        let Some(until) = until.or(known.map(|followed| followed.until)) else {
+        let Some(until) = until.or(known.map(|active| active.until)) else {
             return;
         };
-        replica.followed = Some(Followed {
-            steward: grant.controller.clone(),
+        replica.active = Some(ActiveGrant {
+            controller: grant.controller.clone(),
             order,
-            keep: grant.cancel_above,
-            start: grant.start_below,
+            cancel_above: grant.cancel_above,
+            start_below: grant.start_below,
             until,
         });
     }
 
-    /// Cuts what is above the grants, newest first, and starts what they leave room for, least
-    /// slack first.
+    /// Preempts items above the grants, newest first, and starts waiting items in the free slots,
+    /// earliest deadline first.
     pub fn act(&mut self, now: MonoMs) -> Vec<SchedulerAction> {
         let mut actions = Vec::new();
         for replica in self.replicas.values_mut() {
-            let (keep, _) = replica.limits(now);
-            while replica.running.len() > keep {
+            let (cancel_above, _) = replica.limits(now);
+            while replica.running.len() > cancel_above {
                 let Some(item) = replica.running.pop() else {
                     break;
                 };
@@ -256,7 +261,7 @@
 
     fn start_waiting(&mut self, now: MonoMs, actions: &mut Vec<SchedulerAction>) {
         let mut started = Vec::new();
-        let mut free = self.free_places(now);
+        let mut free = self.free_slots(now);
         for (key, item) in &self.waiting {
             if free.is_empty() {
                 break;
@@ -266,13 +271,13 @@
                     && !item.avoid.contains(*backend)
             };
             let most = free.iter().filter(|(backend, _)| usable(backend));
-            let Some((backend, _)) = most.max_by_key(|(_, places)| **places) else {
+            let Some((backend, _)) = most.max_by_key(|(_, slots)| **slots) else {
                 continue;
             };
             let backend = backend.clone();
             started.push((*key, backend.clone()));
             match free.get_mut(&backend) {
-                Some(places) if *places > 1 => *places -= 1,
+                Some(slots) if *slots > 1 => *slots -= 1,
                 _ => drop(free.remove(&backend)),
             }
         }
@@ -287,46 +292,51 @@
         }
     }
 
-    fn free_places(&self, now: MonoMs) -> BTreeMap<BackendId, usize> {
+    fn free_slots(&self, now: MonoMs) -> BTreeMap<BackendId, usize> {
         let mut free = BTreeMap::new();
         for (backend, replica) in &self.replicas {
-            let (_, start) = replica.limits(now);
-            let places = start.saturating_sub(replica.running.len());
-            if places > 0 && replica.entry.controller.is_some() {
-                free.insert(backend.clone(), places);
+            let (_, start_below) = replica.limits(now);
+            let slots = start_below.saturating_sub(replica.running.len());
+            if slots > 0 && replica.entry.controller.is_some() {
+                free.insert(backend.clone(), slots);
             }
         }
         free
     }
 
-    /// The questions to send now, each with its replica's steward.
+    /// The slot requests that are due, each with the controller to send it to.
     pub fn asks(&mut self, now: MonoMs, wall: WallMs) -> Vec<(InstanceId, BatchSlotRequest)> {
-        let mut asks = Vec::new();
-        for backend in self.worth_asking(now) {
-            let asked_at = self.replicas.get(&backend).and_then(|known| known.asked_at);
-            let since_ms = asked_at.map_or(u64::MAX, |at| now.since_ms(at));
-            if since_ms < ASK_GAP_MS {
+        let mut requests = Vec::new();
+        for backend in self.replicas_to_request(now) {
+            let requested_at = self
+                .replicas
+                .get(&backend)
+                .and_then(|known| known.requested_at);
+            let since_ms = requested_at.map_or(u64::MAX, |at| now.since_ms(at));
+            if since_ms < REQUEST_GAP_MS {
                 continue;
             }
-            let ask = self.ask(&backend, wall);
-            let told = (ask.in_use, ask.wanted);
+            let request = self.ask(&backend, wall);
+            let last_request = (request.in_use, request.wanted);
             let Some(replica) = self.replicas.get_mut(&backend) else {
                 continue;
             };
-            if since_ms < ASK_PERIOD_MS && !differs(replica.told, told) {
+            if since_ms < REQUEST_PERIOD_MS
+                && !is_significant_change(replica.last_request, last_request)
+            {
                 continue;
             }
-            let Some(steward) = replica.entry.controller.clone() else {
+            let Some(controller) = replica.entry.controller.clone() else {
                 continue;
             };
-            replica.asked_at = Some(now);
-            replica.told = told;
-            asks.push((steward, ask));
+            replica.requested_at = Some(now);
+            replica.last_request = last_request;
+            requests.push((controller, request));
         }
-        asks
+        requests
     }
 
-    /// What this owner has and wants at a replica.
+    /// The slots that this owner uses and wants at a replica.
     pub fn ask(&self, backend: &BackendId, wall: WallMs) -> BatchSlotRequest {
         let in_use = self.in_use(backend);
         let replica = self.replicas.get(backend);
@@ -343,46 +353,53 @@
                 break;
             }
         }
-        let followed = replica.and_then(|replica| replica.followed.as_ref());
-        let steward = replica.and_then(|replica| replica.entry.controller.as_ref());
-        let followed = followed.filter(|followed| Some(&followed.steward) == steward);
+        let active = replica.and_then(|replica| replica.active.as_ref());
+        let controller = replica.and_then(|replica| replica.entry.controller.as_ref());
+        let active = active.filter(|active| Some(&active.controller) == controller);
         BatchSlotRequest {
             owner: self.me.clone(),
             backend: backend.clone(),
             in_use,
             wanted,
             slack_ms,
-            follows: followed.map_or((0, 0), |followed| followed.order),
+            follows: active.map_or((0, 0), |active| active.order),
         }
     }
 
-    /// Replicas where items are in flight or a grant is held, and some others if items wait.
-    fn worth_asking(&self, now: MonoMs) -> Vec<BackendId> {
-        let turn = now.0 / ROTATE_MS;
-        let seed = xxh3_64_with_seed(self.me.as_str().as_bytes(), turn);
-        let mut asked = Vec::new();
+    /// Replicas with items in flight or a grant, and some others if items wait.
+    fn replicas_to_request(&self, now: MonoMs) -> Vec<BackendId> {
+        let rotation = now.0 / ROTATE_MS;
+        let seed = xxh3_64_with_seed(self.me.as_str().as_bytes(), rotation);
+        let mut selected = Vec::new();
         let mut others = Vec::new();
         for (backend, replica) in &self.replicas {
-            let (keep, _) = replica.limits(now);
-            if keep > 0 || !replica.running.is_empty() || replica.told.1 > 0 {
-                asked.push(backend.clone());
+            let (cancel_above, _) = replica.limits(now);
+            if cancel_above > 0 || !replica.running.is_empty() || replica.last_request.1 > 0 {
+                selected.push(backend.clone());
                 continue;
             }
             let wanted = |item: &WaitingItem| replica.entry.targets.contains(&item.target);
             if self.waiting.values().any(wanted) {
-                let draw = xxh3_64_with_seed(backend.as_str().as_bytes(), seed);
-                others.push((draw, backend.clone()));
+                let rank = xxh3_64_with_seed(backend.as_str().as_bytes(), seed);
+                others.push((rank, backend.clone()));
             }
         }
         others.sort();
-        let room = MAX_ASKED.saturating_sub(asked.len());
-        asked.extend(others.into_iter().take(room).map(|(_, backend)| backend));
-        asked
+        let available = MAX_REQUESTED_REPLICAS.saturating_sub(selected.len());
+        selected.extend(
+            others
+                .into_iter()
+                .take(available)
+                .map(|(_, backend)| backend),
+        );
+        selected
     }
 }
 
-/// Whether the steward must know of the change before the next regular question.
-fn differs(told: (u32, u32), now: (u32, u32)) -> bool {
-    let step = (told.0 / 8).max(1);
-    told.0.abs_diff(now.0) >= step || (told.1 == 0) != (now.1 == 0) || now.1 > told.1 * 2
+/// Whether the controller must hear of the change before the next regular slot request.
+fn is_significant_change(last_request: (u32, u32), now: (u32, u32)) -> bool {
+    let step = (last_request.0 / 8).max(1);
+    last_request.0.abs_diff(now.0) >= step
+        || (last_request.1 == 0) != (now.1 == 0)
+        || now.1 > last_request.1 * 2
 }
--- a/crates/foxtailhold/src/batch_control/window.rs
+++ b/crates/foxtailhold/src/batch_control/window.rs
@@ -1,9 +1,10 @@
-//! The mark: batch items that may be in flight at one replica.
+//! Congestion window: the number of batch items that may be in flight at one replica.
 //!
-//! The mark is what the slots leave after the online requests there and a headroom for those to
-//! come. The online requests are those that instances tell of, and besides what a load report shows
-//! above all that was known when it was made. It falls at once and rises in small steps, as a sender's window does under additive
-//! increase (Chiu and Jain, 1989); the headroom doubles under pressure and shrinks slowly.
+//! The window is what remains of the slots after the online requests there and a headroom for those
+//! to come. The online requests are the ones that instances announce, plus the excess of load
+//! reports over all requests known at the time of the report. The window shrinks at once and grows
+//! in small steps, like a sender's window under additive increase (Chiu and Jain, 1989); the
+//! headroom doubles under pressure and shrinks slowly.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,49 +13,49 @@
 use crate::replicas::LoadReport;
 use crate::time::MonoMs;
 
-/// Time between two rises of the mark.
-pub const RISE_MS: u64 = 25;
-/// After pressure no batch is added for at least this long.
-pub const HOLD_MS: u64 = 200;
+/// Least time between two increases of the window.
+pub const GROWTH_PERIOD_MS: u64 = 25;
+/// After pressure the window does not grow for at least this long.
+pub const PRESSURE_HOLD_MS: u64 = 200;
 /// The headroom shrinks by one slot this often.
-pub const HEADROOM_FALL_MS: u64 = 500;
-/// Without a report for this long the mark is zero.
-pub const STALE_MS: u64 = 2_000;
-/// What all reports of this time show above the known requests counts as there now; what only one
-/// shows was under way.
-const UNKNOWN_WINDOW_MS: u64 = 300;
+pub const HEADROOM_SHRINK_PERIOD_MS: u64 = 500;
+/// Without a load report for this long the window is zero.
+pub const REPORT_TTL_MS: u64 = 2_000;
+/// The smallest excess over known requests within this time counts as online load. An excess in
+/// only one report was a request in transit.
+const EXCESS_WINDOW_MS: u64 = 300;
 /// Uncertainty of when a report was made and when a request reached the replica.
-const SLOP_MS: u64 = 50;
-/// History kept for comparing late reports.
+const UNCERTAINTY_MS: u64 = 50;
+/// History kept to evaluate delayed reports.
 const HISTORY_MS: u64 = 5_000;
 
 #[derive(Debug, Clone, Copy)]
-struct Noticed {
+struct OnlineCount {
     number: u64,
     in_flight: u32,
     at: MonoMs,
 }
 
-/// The mark of one replica.
+/// The congestion window of one replica.
 #[derive(Debug, Clone, Default)]
 pub struct CongestionWindow {
     share_percent: u64,
     slots: u32,
-    mark: u32,
+    size: u32,
     headroom: u32,
     batch: u32,
-    noticed: BTreeMap<InstanceId, Noticed>,
-    /// Known requests there, batch and online, after each change.
+    online_counts: BTreeMap<InstanceId, OnlineCount>,
+    /// Number of known requests at the replica, batch and online, after each change.
     known: VecDeque<(MonoMs, u32)>,
-    /// Requests above the known ones by each report, by the time it was made.
-    unknown: VecDeque<(MonoMs, u32)>,
-    pressed_at: Option<MonoMs>,
-    risen_at: MonoMs,
-    headroom_fell_at: MonoMs,
+    /// Excess over the known requests in each load report, by the time it was made.
+    excess: VecDeque<(MonoMs, u32)>,
+    pressure_at: Option<MonoMs>,
+    increased_at: MonoMs,
+    headroom_reduced_at: MonoMs,
 }
 
 impl CongestionWindow {
-    /// A mark of zero that may rise to `share_percent` of the slots.
+    /// Creates a window of zero that may grow to `share_percent` of the slots.
     pub fn new(share_percent: u64) -> Self {
         CongestionWindow {
             share_percent,
@@ -62,17 +63,17 @@
         }
     }
 
-    /// The mark as last updated.
+    /// The window as of the last update.
     pub fn value(&self) -> u32 {
-        self.mark
+        self.size
     }
 
-    /// Slots of the replica, zero before the first report.
+    /// Slots of the replica, zero before the first load report.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// The least headroom: one slot in sixteen.
+    /// The least headroom: one slot in sixteen, at least one.
     pub fn least_headroom(slots: u32) -> u32 {
         (slots / 16).max(1)
     }
@@ -82,30 +83,30 @@
         self.headroom
     }
 
-    /// Whether pressure was noticed and has not cleared.
+    /// Whether pressure occurred and has not cleared, so that the window does not grow.
     pub fn is_held(&self) -> bool {
-        self.pressed_at.is_some()
+        self.pressure_at.is_some()
     }
 
-    /// Online requests thought to be there.
+    /// Estimated number of online requests at the replica.
     pub fn online(&self) -> u32 {
-        let unknown = self.unknown.iter().map(|(_, count)| *count).min();
-        unknown.unwrap_or(0) + self.noticed_online()
+        let excess = self.excess.iter().map(|(_, count)| *count).min();
+        excess.unwrap_or(0) + self.announced_online()
     }
 
-    fn noticed_online(&self) -> u32 {
-        let noticed = self.noticed.values();
+    fn announced_online(&self) -> u32 {
+        let noticed = self.online_counts.values();
         noticed.map(|noticed| noticed.in_flight).sum()
     }
 
-    /// Notes how many batch items are in flight.
+    /// Sets the number of batch items in flight.
     pub fn batch_in_flight(&mut self, count: u32, now: MonoMs) {
         self.batch = count;
-        self.note_known(now);
+        self.record_known(now);
     }
 
-    fn note_known(&mut self, now: MonoMs) {
-        let known = self.batch + self.noticed_online();
+    fn record_known(&mut self, now: MonoMs) {
+        let known = self.batch + self.announced_online();
         if self.known.back().is_some_and(|(_, last)| *last == known) {
             return;
         }
@@ -119,92 +120,93 @@
         }
     }
 
-    /// Takes over `count` items that were in flight before this steward knew of them.
+    /// Adds `count` items that were in flight before this controller knew of them.
     pub fn adopt(&mut self, count: u32) {
         for (_, known) in &mut self.known {
             *known += count;
         }
-        for (_, unknown) in &mut self.unknown {
-            *unknown = unknown.saturating_sub(count);
+        for (_, excess) in &mut self.excess {
+            *excess = excess.saturating_sub(count);
         }
-        self.mark = (self.mark + count).min(self.room());
+        self.size = (self.size + count).min(self.available());
     }
 
-    /// Takes a load report in; one made before the last is passed over.
+    /// Applies a load report; one made before the last is ignored.
     pub fn reported(&mut self, report: &LoadReport, received_at: MonoMs) {
         let made_at = MonoMs(received_at.0.saturating_sub(report.age_ms));
-        if self.unknown.back().is_some_and(|(last, _)| made_at < *last) {
+        if self.excess.back().is_some_and(|(last, _)| made_at < *last) {
             return;
         }
         if self.slots == 0 {
             self.headroom = Self::least_headroom(report.slots);
         }
         self.slots = report.slots;
-        let there = report.running + report.waiting;
-        let unknown = there.saturating_sub(self.most_known(made_at));
-        self.unknown.push_back((made_at, unknown));
+        let total = report.running + report.waiting;
+        let excess = total.saturating_sub(self.max_known(made_at));
+        self.excess.push_back((made_at, excess));
         if is_queued(report) {
-            self.press(received_at);
+            self.record_pressure(received_at);
             return;
         }
-        let cleared =
-            |pressed_at| made_at > pressed_at && received_at.since_ms(pressed_at) >= HOLD_MS;
-        if self.pressed_at.is_some_and(cleared) {
-            self.pressed_at = None;
+        let cleared = |pressure_at| {
+            made_at > pressure_at && received_at.since_ms(pressure_at) >= PRESSURE_HOLD_MS
+        };
+        if self.pressure_at.is_some_and(cleared) {
+            self.pressure_at = None;
         }
     }
 
-    /// Takes a notice of online work in; one older than the last of its instance is passed over.
-    /// More than the slots can hold is pressure.
+    /// Applies a notice of online load; one older than the last of its instance is ignored. More
+    /// requests than slots count as pressure.
     pub fn noticed(&mut self, notice: &OnlineLoadNotice, now: MonoMs) {
         if notice.pressed {
-            self.press(now);
+            self.record_pressure(now);
         }
-        let last = self.noticed.get(&notice.from);
+        let last = self.online_counts.get(&notice.from);
         if last.is_some_and(|last| last.number >= notice.number) {
             return;
         }
-        let noticed = Noticed {
+        let noticed = OnlineCount {
             number: notice.number,
             in_flight: notice.in_flight,
             at: now,
         };
-        self.noticed.insert(notice.from.clone(), noticed);
-        self.note_known(now);
+        self.online_counts.insert(notice.from.clone(), noticed);
+        self.record_known(now);
         if self.slots > 0 && self.batch > 0 && self.online() + self.batch > self.slots {
-            self.press(now);
+            self.record_pressure(now);
         }
     }
 
-    /// Moves the mark: down at once, up by a step where nothing holds it.
+    /// Updates the window: it shrinks at once and grows by one step if nothing holds it.
     pub fn update(&mut self, now: MonoMs) {
-        let valid = |noticed: &Noticed| now.since_ms(noticed.at) <= NOTICE_VALID_MS;
-        self.noticed.retain(|_, noticed| valid(noticed));
-        self.note_known(now);
-        let Some((last, _)) = self.unknown.back().copied() else {
+        let valid = |noticed: &OnlineCount| now.since_ms(noticed.at) <= NOTICE_VALID_MS;
+        self.online_counts.retain(|_, noticed| valid(noticed));
+        self.record_known(now);
+        let Some((last, _)) = self.excess.back().copied() else {
             return;
         };
         self.shrink_headroom(now);
-        self.unknown
-            .retain(|(at, _)| last.since_ms(*at) <= UNKNOWN_WINDOW_MS);
-        if now.since_ms(last) > STALE_MS {
-            self.mark = 0;
+        self.excess
+            .retain(|(at, _)| last.since_ms(*at) <= EXCESS_WINDOW_MS);
+        if now.since_ms(last) > REPORT_TTL_MS {
+            self.size = 0;
             return;
         }
-        let room = self.room();
-        if room <= self.mark {
-            self.mark = room;
-            self.risen_at = now;
+        let available = self.available();
+        if available <= self.size {
+            self.size = available;
+            self.increased_at = now;
             return;
         }
-        if self.is_held() || now.since_ms(self.risen_at) < RISE_MS {
+        if self.is_held() || now.since_ms(self.increased_at) < GROWTH_PERIOD_MS {
             return;
         }
-        self.risen_at = now;
-        self.mark = room.min(self.mark + Self::least_headroom(self.slots));
+        self.increased_at = now;
+        self.size = available.min(self.size + Self::least_headroom(self.slots));
     }
 
-    fn room(&self) -> u32 {
+    fn available(&self) -> u32 {
         let share = u64::from(self.slots) * self.share_percent / 100;
         self.slots
             .saturating_sub(self.online())
@@ -212,40 +214,41 @@
             .min(share as u32)
     }
 
-    fn press(&mut self, now: MonoMs) {
-        let most = (self.slots / 4).max(1);
-        if self.pressed_at.is_none() {
-            self.headroom = (self.headroom * 2).clamp(1, most);
+    fn record_pressure(&mut self, now: MonoMs) {
+        let maximum = (self.slots / 4).max(1);
+        if self.pressure_at.is_none() {
+            self.headroom = (self.headroom * 2).clamp(1, maximum);
         }
-        self.pressed_at = Some(now);
-        self.headroom_fell_at = now;
+        self.pressure_at = Some(now);
+        self.headroom_reduced_at = now;
     }
 
     fn shrink_headroom(&mut self, now: MonoMs) {
         let least = Self::least_headroom(self.slots);
-        if self.is_held() || now.since_ms(self.headroom_fell_at) < HEADROOM_FALL_MS {
+        if self.is_held() || now.since_ms(self.headroom_reduced_at) < HEADROOM_SHRINK_PERIOD_MS {
             return;
         }
-        self.headroom_fell_at = now;
+        self.headroom_reduced_at = now;
         self.headroom = self.headroom.saturating_sub(1).max(least);
     }
 
-    /// The most known requests that can have been there at `at`: a cancelled one stays until the
-    /// engine's next step, a started one is there before the steward hears of it.
-    fn most_known(&self, at: MonoMs) -> u32 {
-        let from = MonoMs(at.0.saturating_sub(SLOP_MS));
+    /// The largest number of known requests that can have been at the replica at `at`. A cancelled
+    /// request stays until the engine's next step, and a started one is there before the controller
+    /// hears of it.
+    fn max_known(&self, at: MonoMs) -> u32 {
+        let from = MonoMs(at.0.saturating_sub(UNCERTAINTY_MS));
         let mut before = 0;
-        let mut most = 0;
+        let mut maximum = 0;
         for (changed_at, count) in &self.known {
             if *changed_at <= from {
                 before = *count;
                 continue;
             }
-            if *changed_at > at + SLOP_MS {
+            if *changed_at > at + UNCERTAINTY_MS {
                 break;
             }
-            most = most.max(*count);
+            maximum = maximum.max(*count);
         }
-        most.max(before)
+        maximum.max(before)
     }
 }
--- a/crates/foxtailhold/src/breaker.rs
+++ b/crates/foxtailhold/src/breaker.rs
@@ -1,28 +1,28 @@
-//! Circuit breaker of one backend server (Nygard, "Release It!"): set aside for a growing, jittered
-//! time after failures, then tried again by one request at a time.
+//! Circuit breaker of one backend server (Nygard, "Release It!"). After failures the server is
+//! ejected for a growing, jittered time, then probed by one request at a time.
 
 use crate::time::MonoMs;
 
-/// Time set aside after the first failure.
+/// Ejection time after the first failure.
 pub const BASE_MS: u64 = 500;
-/// Longest time set aside.
+/// Longest ejection time before jitter.
 pub const MAX_MS: u64 = 30_000;
-/// A trial whose outcome is not known by then gives way to another one.
-pub const TRIAL_MS: u64 = 10_000;
+/// A probe without an outcome after this time is replaced by another one.
+pub const PROBE_TIMEOUT_MS: u64 = 10_000;
 
 /// Whether a backend server may be used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// It serves.
+    /// It may be used without restriction.
     #[default]
     Available,
-    /// It failed before; the next request is its trial.
+    /// The ejection time is over; the next request is a probe.
     HalfOpen,
-    /// It failed, or its trial runs.
+    /// It failed, or a probe is in progress.
     Ejected,
 }
 
-/// The breaker.
+/// Breaker state of one backend server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Breaker {
     failures: u32,
@@ -30,7 +30,8 @@
 }
 
 impl Breaker {
-    /// Notes a failure; `draw` is a random number for the jitter of a half up or down.
+    /// Records a failure. `draw` is a random number for the jitter, which is up to half of the
+    /// ejection time in either direction.
     pub fn failed(&mut self, now: MonoMs, draw: u64) {
         let base_ms = MAX_MS.min(BASE_MS << self.failures.min(16));
         self.failures = self.failures.saturating_add(1);
@@ -38,24 +39,24 @@
         self.blocked_until = self.blocked_until.max(now + jittered_ms);
     }
 
-    /// Notes a success: it serves again.
+    /// Records a success, which ends the ejection.
     pub fn succeeded(&mut self) {
         *self = Breaker::default();
     }
 
-    /// Notes that a request is sent; where that is the trial, others wait for its outcome.
+    /// Records that a request is sent. If it is the probe, other requests wait for its outcome.
     pub fn sent(&mut self, now: MonoMs) {
         if self.availability(now) == Availability::HalfOpen {
-            self.blocked_until = now + TRIAL_MS;
+            self.blocked_until = now + PROBE_TIMEOUT_MS;
         }
     }
 
-    /// Until when it is set aside.
+    /// End of the ejection time.
     pub fn blocked_until(&self) -> MonoMs {
         self.blocked_until
     }
 
-    /// Whether it may be used.
+    /// Whether the backend server may be used at `now`.
     pub fn availability(&self, now: MonoMs) -> Availability {
         if self.failures == 0 {
             return Availability::Available;
--- a/crates/foxtailhold/src/crashes.rs
+++ b/crates/foxtailhold/src/crashes.rs
@@ -1,9 +1,10 @@
-//! Evidence against requests that crash backend servers, joined over all instances.
+//! Crash evidence against requests, merged over all instances.
 //!
-//! A backend server crashes once in each of its starts, so the evidence against a request is a set of
-//! starts. Sets of several instances and of the store are joined by union: hearing of a crash twice,
-//! late or in another order changes nothing, and many copies of a request in flight at one crash
-//! count once. A neighbour of a crashing request collects evidence too, until it is seen to run.
+//! A backend server crashes at most once per start, so the evidence against a request is a set of
+//! starts. The sets of several instances and of the store are merged by union: learning of a crash
+//! twice, late or in another order changes nothing, and many copies of a request in flight at one
+//! crash count once. A request that merely ran beside a crashing one collects evidence too, until
+//! it is seen to run.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -12,44 +13,47 @@
 use crate::quarantine::{CrashId, Fingerprint, MAX_ENTRIES, PROBATION_MS, SUSPECT_TTL_MS};
 use crate::time::WallMs;
 
-/// Crashes after which a request is refused. A neighbour on the same backend servers has to be hit
-/// three times in a row before it has run, which is rare; each more costs a backend server.
+/// Crashes after which a request is refused. An innocent request on the same backend servers must
+/// be hit three times in a row before it has run, which is rare, and each further crash costs a
+/// backend server.
 pub const MAX_CRASHES: usize = 3;
-/// Runs of a request after that. What was refused may be innocent: connections also end where a backend
-/// server has too many of them. The contract allows one more, which is left for a run whose only witness
-/// was lost and for instances that do not agree yet who decides.
+/// Probes of a request after that. A refused request may be innocent, since connections also end
+/// where a backend server has too many of them. The contract allows one more, which is left for an
+/// attempt whose only witness was lost and for instances that do not agree yet on who decides.
 pub const MAX_PROBES: usize = 2;
-/// Time of refusal after [`MAX_CRASHES`], and after the crash of each late run. The first one is short, so
-/// that an innocent request is soon served again; after the last late run nobody waits for the end.
-pub const REFUSED_MS: [u64; MAX_PROBES + 1] = [10_000, 60_000, 86_400_000];
-/// Events after which a run has shown that its request does not crash what begins to run it.
+/// Duration of the refusal after [`MAX_CRASHES`] and after the crash of each probe. The first is
+/// short, so that an innocent request is soon served again. After the last probe no caller waits
+/// for the end.
+pub const REFUSAL_MS: [u64; MAX_PROBES + 1] = [10_000, 60_000, 86_400_000];
+/// Events after which an attempt has shown that its request does not crash the backend server.
 pub const STABLE_AFTER_EVENTS: u64 = 8;
 
-/// How a request stands.
+/// Status of a request, given its crash evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashStatus {
-    /// It may run.
+    /// The request may run.
     Free,
-    /// It was refused for its time, and may run once, alone, to show whether it is innocent.
+    /// The refusal is over. The request may run once, alone, as a probe that shows whether it is
+    /// innocent.
     OnProbation,
-    /// It is refused.
+    /// The request is refused.
     Refused {
-        /// How long.
+        /// Remaining duration of the refusal in ms.
         left_ms: u64,
     },
 }
 
-/// The crashes of one request.
+/// The crashes that occurred under one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashEvidence {
-    /// Which starts of backend servers ended under it.
+    /// Starts of backend servers that ended while the request was in flight there.
     pub crashes: BTreeSet<CrashId>,
-    /// Time of the last crash, by the clock of the instance that saw it.
+    /// Time of the last crash in Unix ms, by the clock of the instance that saw it.
     pub last_unix_ms: u64,
 }
 
 impl CrashEvidence {
-    /// Adds what another one knows; returns whether that was new.
+    /// Merges the evidence of another instance or of the store. Returns whether it added a crash.
     pub fn join(&mut self, other: &CrashEvidence) -> bool {
         let before = self.crashes.len();
         self.crashes.extend(other.crashes.iter().cloned());
@@ -57,10 +61,10 @@
         self.crashes.len() > before
     }
 
-    /// Until when the request is refused.
+    /// Time in Unix ms until which the request is refused; `None` below [`MAX_CRASHES`] crashes.
     fn refused_until(&self) -> Option<u64> {
-        let late = self.crashes.len().checked_sub(MAX_CRASHES)?;
-        let refused_ms = REFUSED_MS[late.min(MAX_PROBES)];
+        let probes = self.crashes.len().checked_sub(MAX_CRASHES)?;
+        let refused_ms = REFUSAL_MS[probes.min(MAX_PROBES)];
         Some(self.last_unix_ms.saturating_add(refused_ms))
     }
 
@@ -72,19 +76,20 @@
     }
 }
 
-/// What one instance knows against requests.
+/// The crash evidence known to one instance.
 #[derive(Debug, Clone, Default)]
 pub struct CrashRegistry {
-    known: HashMap<Fingerprint, CrashEvidence>,
+    records: HashMap<Fingerprint, CrashEvidence>,
 }
 
 impl CrashRegistry {
-    /// Whether nothing is known against any request.
+    /// Whether there is no evidence against any request.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.records.is_empty()
     }
 
-    /// Notes a crash that this instance saw. `None`: it was known.
+    /// Records a crash that this instance saw. Returns the updated evidence, or `None` if the crash
+    /// was already known.
     pub fn crashed(
         &mut self,
         fingerprint: Fingerprint,
@@ -98,43 +103,48 @@
         if !self.join(fingerprint, &new) {
             return None;
         }
-        self.known.get(&fingerprint)
+        self.records.get(&fingerprint)
     }
 
-    /// Joins the evidence of another instance or of the store; returns whether that was new.
+    /// Merges evidence of another instance or of the store. Returns whether it added a crash.
     pub fn join(&mut self, fingerprint: Fingerprint, evidence: &CrashEvidence) -> bool {
-        let is_new = self.known.entry(fingerprint).or_default().join(evidence);
-        if self.known.len() > MAX_ENTRIES {
+        let is_new = self.records.entry(fingerprint).or_default().join(evidence);
+        if self.records.len() > MAX_ENTRIES {
             self.drop_oldest();
         }
         is_new
     }
 
     fn drop_oldest(&mut self) {
-        let by_end = self.known.iter().min_by_key(|(_, known)| known.expires());
+        let by_end = self
+            .records
+            .iter()
+            .min_by_key(|(_, records)| records.expires());
         if let Some(oldest) = by_end.map(|(fingerprint, _)| *fingerprint) {
-            self.known.remove(&oldest);
+            self.records.remove(&oldest);
         }
     }
 
-    /// Forgets what is known against a request that was seen to run; returns whether there was any.
+    /// Drops the evidence against a request that was seen to run. Returns whether there was any.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
-        self.known.remove(&fingerprint).is_some()
+        self.records.remove(&fingerprint).is_some()
     }
 
     /// The evidence against a request.
     pub fn evidence(&self, fingerprint: Fingerprint) -> Option<&CrashEvidence> {
-        self.known.get(&fingerprint)
+        self.records.get(&fingerprint)
     }
 
-    /// How many backend servers a request has crashed.
+    /// Number of crashes that occurred under a request.
     pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
-        self.known.get(&fingerprint).map_or(0, |e| e.crashes.len())
+        self.records
+            .get(&fingerprint)
+            .map_or(0, |e| e.crashes.len())
     }
 
-    /// How a request stands.
+    /// The status of a request.
     pub fn status(&self, fingerprint: Fingerprint, now: WallMs) -> CrashStatus {
-        let evidence = self.known.get(&fingerprint);
+        let evidence = self.records.get(&fingerprint);
         match evidence.and_then(CrashEvidence::refused_until) {
             None => CrashStatus::Free,
             Some(until) if until > now.0 => CrashStatus::Refused {
@@ -144,60 +154,64 @@
         }
     }
 
-    /// Forgets what has expired.
+    /// Drops expired evidence and returns the requests concerned.
     pub fn expire(&mut self, now: WallMs) -> Vec<Fingerprint> {
-        let is_over = |evidence: &CrashEvidence| evidence.expires() <= now.0;
-        let over = self.known.iter().filter(|(_, evidence)| is_over(evidence));
-        let over: Vec<Fingerprint> = over.map(|(fingerprint, _)| *fingerprint).collect();
-        for fingerprint in &over {
-            self.known.remove(fingerprint);
+        let is_expired = |evidence: &CrashEvidence| evidence.expires() <= now.0;
+        let expired = self
+            .records
+            .iter()
+            .filter(|(_, evidence)| is_expired(evidence));
+        let expired: Vec<Fingerprint> = expired.map(|(fingerprint, _)| *fingerprint).collect();
+        for fingerprint in &expired {
+            self.records.remove(fingerprint);
         }
-        over
+        expired
     }
 }
 
-/// Pause of a batch item before the run whose crash would be one too many: engines that end for a reason
-/// of their own often do so together, and are known to be down by then.
-const ITEM_PAUSE_MS: u64 = 1_000;
-/// Rest of a batch item after [`MAX_CRASHES`]. An innocent one is soon done.
-const ITEM_FIRST_REST_MS: u64 = 2_500;
-/// Later rests, as parts of the time until the item is given up.
-const ITEM_REST_PARTS: [u64; 2] = [6, 3];
+/// Backoff of a batch item before the attempt whose crash would be one too many. Engines that end
+/// for their own reasons often end together, and they are known to be down after this time.
+const ITEM_DELAY_MS: u64 = 1_000;
+/// Backoff of a batch item after [`MAX_CRASHES`]. It is short, so that an innocent item is soon
+/// done.
+const ITEM_FIRST_BACKOFF_MS: u64 = 2_500;
+/// Later backoffs: the time until the item is given up, divided by these numbers.
+const ITEM_BACKOFF_DIVISORS: [u64; 2] = [6, 3];
 
-/// When a batch item may run again.
+/// When a batch item may run again after crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ItemBackoff {
-    /// At once.
+    /// The item may run at once.
     None,
-    /// After this time.
+    /// The item may run after a delay.
     Delay {
-        /// How long.
+        /// Length of the delay in ms.
         pause_ms: u64,
     },
-    /// Not any more.
+    /// The item may not run again.
     NoMoreAttempts,
 }
 
-/// Decides the rest of a batch item that has crashed so many backend servers and is given up in
-/// `left_ms`. It cannot be listed as failed before, so its late runs are spread over that time.
+/// Decides the backoff of a batch item with this number of crashes that is given up in `left_ms`.
+/// It cannot be reported as failed before that, so its probes are spread over the remaining time.
 pub fn item_backoff(crashes: usize, left_ms: u64) -> ItemBackoff {
-    let Some(late) = crashes.checked_sub(MAX_CRASHES) else {
+    let Some(probes) = crashes.checked_sub(MAX_CRASHES) else {
         return match crashes + 1 == MAX_CRASHES {
             true => ItemBackoff::Delay {
-                pause_ms: ITEM_PAUSE_MS,
+                pause_ms: ITEM_DELAY_MS,
             },
             false => ItemBackoff::None,
         };
     };
-    let Some(later) = late.checked_sub(1) else {
+    let Some(later) = probes.checked_sub(1) else {
         return ItemBackoff::Delay {
-            pause_ms: ITEM_FIRST_REST_MS,
+            pause_ms: ITEM_FIRST_BACKOFF_MS,
         };
     };
-    match ITEM_REST_PARTS.get(later) {
+    match ITEM_BACKOFF_DIVISORS.get(later) {
         None => ItemBackoff::NoMoreAttempts,
-        Some(part) => ItemBackoff::Delay {
-            pause_ms: left_ms / part,
+        Some(divisor) => ItemBackoff::Delay {
+            pause_ms: left_ms / divisor,
         },
     }
 }
--- a/crates/foxtailhold/src/leaving.rs
+++ b/crates/foxtailhold/src/leaving.rs
@@ -1,9 +1,10 @@
-//! Which backend servers are leaving, as instances tell each other.
+//! Notices of leaving backend servers that instances exchange.
 //!
-//! An instance that sees it first-hand, in the fleet list, in a load report or in a refusal, marks
-//! the backend server and renews the mark under a higher number as long as it sees it. The newest
-//! number wins, after Perlman (1983). A mark that is not renewed expires [`MARK_TTL_MS`] after its
-//! number first came; the number is remembered for longer, so that late messages revive nothing.
+//! An instance that observes a leaving backend server itself, in the fleet list, in a load report
+//! or in a refusal, creates a notice and renews it under a higher number as long as the observation
+//! lasts. The newest number wins, after Perlman (1983). A notice that is not renewed expires
+//! [`NOTICE_TTL_MS`] after its number first arrived. The number is remembered for longer, so that
+//! late messages do not revive an expired notice.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,108 +14,110 @@
 use crate::ids::BackendId;
 use crate::time::{MonoMs, WallMs};
 
-/// A mark that is not renewed for this long is void.
-pub const MARK_TTL_MS: u64 = 12_000;
-/// A mark is renewed when it is this old.
-pub const RENEW_MS: u64 = 3_000;
-/// The number of a void mark is remembered for this long.
-pub const REMEMBER_MS: u64 = 120_000;
-/// Most marks in one message, the newest first.
-pub const MARKS_PER_MESSAGE: usize = 32;
-/// Most marks kept.
-const MARKS_KEPT: usize = 1_000;
+/// A notice that is not renewed for this long expires.
+pub const NOTICE_TTL_MS: u64 = 12_000;
+/// A notice is renewed at this age.
+pub const RENEWAL_AGE_MS: u64 = 3_000;
+/// The number of a notice is remembered for this long.
+pub const NUMBER_TTL_MS: u64 = 120_000;
+/// Largest number of notices in one message, the newest first.
+pub const NOTICES_PER_MESSAGE: usize = 32;
+/// Largest number of notices kept.
+const MAX_NOTICES: usize = 1_000;
 
-/// What one instance tells of one backend server.
+/// Notice that a backend server is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingNotice {
-    /// The backend server.
+    /// The leaving backend server.
     pub backend: BackendId,
-    /// Number of the mark: the wall clock of the instance that set it, or one more than the last.
+    /// Sequence number of the notice: the wall clock of the instance that created it, or one more
+    /// than the last number.
     pub number: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct NoticeRecord {
     number: u64,
-    heard_at: MonoMs,
+    received_at: MonoMs,
 }
 
-impl Known {
+impl NoticeRecord {
     fn is_valid(&self, now: MonoMs) -> bool {
-        now.since_ms(self.heard_at) < MARK_TTL_MS
+        now.since_ms(self.received_at) < NOTICE_TTL_MS
     }
 }
 
-/// The marks that one instance knows.
+/// The notices known to one instance.
 #[derive(Debug, Clone, Default)]
 pub struct LeavingBackends {
-    known: BTreeMap<BackendId, Known>,
+    known: BTreeMap<BackendId, NoticeRecord>,
 }
 
 impl LeavingBackends {
-    /// Notes that this instance sees it first-hand. Returns whether it was not marked before.
+    /// Records that this instance itself observes the backend server leaving. Returns whether no
+    /// valid notice existed before.
     pub fn observe(&mut self, backend: &BackendId, wall: WallMs, now: MonoMs) -> bool {
         let known = self.known.get(backend);
-        if known.is_some_and(|known| now.since_ms(known.heard_at) < RENEW_MS) {
+        if known.is_some_and(|known| now.since_ms(known.received_at) < RENEWAL_AGE_MS) {
             return false;
         }
         let next = known.map_or(0, |known| known.number + 1);
-        self.take(backend, next.max(wall.0), now)
+        self.store(backend, next.max(wall.0), now)
     }
 
-    /// Takes a peer's marks in. Returns whether any was news.
-    pub fn merge(&mut self, marks: &[LeavingNotice], now: MonoMs) -> bool {
-        let mut news = false;
-        for mark in marks {
-            news |= self.take(&mark.backend, mark.number, now);
+    /// Merges the notices of a peer. Returns whether any backend server is newly marked as leaving.
+    pub fn merge(&mut self, notices: &[LeavingNotice], now: MonoMs) -> bool {
+        let mut is_new = false;
+        for notice in notices {
+            is_new |= self.store(&notice.backend, notice.number, now);
         }
-        news
+        is_new
     }
 
-    /// Whether a backend server is marked.
+    /// Whether a valid notice exists for a backend server.
     pub fn is_leaving(&self, backend: &BackendId, now: MonoMs) -> bool {
         self.known
             .get(backend)
             .is_some_and(|known| known.is_valid(now))
     }
 
-    /// What peers are told.
+    /// Notices to send to peers, the newest first.
     pub fn outgoing(&self, now: MonoMs) -> Vec<LeavingNotice> {
         let valid = self.known.iter().filter(|(_, known)| known.is_valid(now));
-        let mut marks: Vec<(&BackendId, &Known)> = valid.collect();
-        marks.sort_by_key(|(_, known)| Reverse(known.heard_at));
-        marks.truncate(MARKS_PER_MESSAGE);
-        let mut told = Vec::with_capacity(marks.len());
-        for (backend, known) in marks {
-            told.push(LeavingNotice {
+        let mut notices: Vec<(&BackendId, &NoticeRecord)> = valid.collect();
+        notices.sort_by_key(|(_, known)| Reverse(known.received_at));
+        notices.truncate(NOTICES_PER_MESSAGE);
+        let mut outgoing = Vec::with_capacity(notices.len());
+        for (backend, known) in notices {
+            outgoing.push(LeavingNotice {
                 backend: backend.clone(),
                 number: known.number,
             });
         }
-        told
+        outgoing
     }
 
-    /// Forgets marks long void.
+    /// Drops notices after [`NUMBER_TTL_MS`].
     pub fn tick(&mut self, now: MonoMs) {
         self.known
-            .retain(|_, known| now.since_ms(known.heard_at) < REMEMBER_MS);
+            .retain(|_, known| now.since_ms(known.received_at) < NUMBER_TTL_MS);
     }
 
-    /// Takes a number in if it is the newest. Returns whether the backend server was not marked.
-    fn take(&mut self, backend: &BackendId, number: u64, now: MonoMs) -> bool {
+    /// Stores a number if it is the newest. Returns whether the backend server had no valid notice.
+    fn store(&mut self, backend: &BackendId, number: u64, now: MonoMs) -> bool {
         let known = self.known.get(backend);
         if known.is_some_and(|known| known.number >= number) {
             return false;
         }
-        if known.is_none() && self.known.len() >= MARKS_KEPT {
+        if known.is_none() && self.known.len() >= MAX_NOTICES {
             return false;
         }
-        let news = !self.is_leaving(backend, now);
-        let heard = Known {
+        let is_new = !self.is_leaving(backend, now);
+        let record = NoticeRecord {
             number,
-            heard_at: now,
+            received_at: now,
         };
-        self.known.insert(backend.clone(), heard);
-        news
+        self.known.insert(backend.clone(), record);
+        is_new
     }
 }
--- a/crates/foxtailhold/src/limits/bucket.rs
+++ b/crates/foxtailhold/src/limits/bucket.rs
@@ -1,9 +1,9 @@
-//! A token bucket whose rate may change while it runs.
+//! A token bucket whose rate and burst can change at run time.
 
 use crate::limits::MAX_RETRY_AFTER_MS;
 use crate::time::MonoMs;
 
-/// The bucket. Its level may be below zero where more was used than charged.
+/// A token bucket. Its level falls below zero where a request used more than it was charged.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -13,7 +13,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds `level`.
+    /// Creates a bucket that holds `level`, at most `burst`.
     pub fn new(rate_per_s: f64, burst: f64, level: f64, now: MonoMs) -> Self {
         TokenBucket {
             rate_per_s,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Sets rate and burst; what has flowed in so far is kept up to the new burst.
+    /// Sets rate and burst. The current level is kept, up to the new burst.
     pub fn set_rate(&mut self, rate_per_s: f64, burst: f64, now: MonoMs) {
         self.fill(now);
         self.rate_per_s = rate_per_s;
@@ -31,7 +31,7 @@
         self.level = self.level.min(burst);
     }
 
-    /// Milliseconds until `amount` is there, zero where it is.
+    /// Time in ms until the level reaches `amount`, zero if it has, at most [`MAX_RETRY_AFTER_MS`].
     pub fn wait_ms(&mut self, amount: f64, now: MonoMs) -> u64 {
         self.fill(now);
         if self.level >= amount {
@@ -41,7 +41,7 @@
         wait_ms.clamp(1.0, MAX_RETRY_AFTER_MS as f64) as u64
     }
 
-    /// Takes `amount`, below zero if need be.
+    /// Takes `amount` out; the level may fall below zero.
     pub fn take(&mut self, amount: f64) {
         self.level -= amount;
     }
@@ -51,7 +51,7 @@
         self.level = (self.level + amount).min(self.burst);
     }
 
-    /// Takes out all that is above zero.
+    /// Removes and returns everything above zero.
     pub fn drain(&mut self, now: MonoMs) -> f64 {
         self.fill(now);
         let drained = self.level.max(0.0);
@@ -59,13 +59,13 @@
         drained
     }
 
-    /// What it holds.
+    /// The level after refilling up to `now`.
     pub fn level(&mut self, now: MonoMs) -> f64 {
         self.fill(now);
         self.level
     }
 
-    /// Whether it holds its burst.
+    /// Whether the level has reached the burst.
     pub fn is_full(&mut self, now: MonoMs) -> bool {
         self.level(now) >= self.burst
     }
--- a/crates/foxtailhold/src/limits/coordinator.rs
+++ b/crates/foxtailhold/src/limits/coordinator.rs
@@ -1,4 +1,4 @@
-//! The home's side: divides customers' limits among the instances that ask.
+//! Coordinator side: divides customers' limits among the instances that request shares.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,56 +9,56 @@
 };
 use crate::time::MonoMs;
 
-/// One part in this many is kept for an instance that asks for the first time.
+/// One part in this many is reserved for instances that request a share for the first time.
 const SPARE_DIVISOR: u32 = 16;
-/// A holder is granted this much more than it used, in percent.
+/// A holder is granted this percentage of the demand that it reports.
 const HEADROOM_PERCENT: f64 = 125.0;
-/// A share that misses its target by less than this is not worth another exchange.
-const HURRY_PPM: u32 = FULL_SHARE_PPM / 20;
+/// A share that misses its target by less than this does not justify an early renewal.
+const RENEWAL_THRESHOLD_PPM: u32 = FULL_SHARE_PPM / 20;
 
-/// What one instance may be holding. Until it asks again it may not have had the last answer, so
-/// the larger of old and new counts.
+/// What one instance may be holding. Until its next request the instance may not have received the
+/// last grant, so the larger of the old and the new share counts.
 #[derive(Debug, Clone)]
-struct Held {
+struct HolderState {
     number: u64,
     before: Share,
     granted: Share,
     demand: Demand,
     expires_at: MonoMs,
-    /// More is due to it than was free.
-    short: bool,
+    /// The target share was larger than what was free.
+    below_target: bool,
 }
 
-impl Held {
-    fn counted(&self) -> Share {
+impl HolderState {
+    fn possible_share(&self) -> Share {
         let mut share = self.before.max(self.granted);
         share.slots = share.slots.max(self.demand.in_flight);
         share
     }
 }
 
-/// One customer's limits at its home. The buckets hold what is not granted.
+/// One customer's limits at the coordinator. The buckets hold the credit that belongs to no grant.
 #[derive(Debug, Clone)]
 struct Division {
     terms: CustomerLimits,
     budget: Share,
-    holders: BTreeMap<InstanceId, Held>,
+    holders: BTreeMap<InstanceId, HolderState>,
     requests: TokenBucket,
     tokens: TokenBucket,
-    /// When holders were last told to give room.
+    /// When holders were last asked to renew early, to free capacity for another holder.
     recalled_at: Option<MonoMs>,
 }
 
 impl Division {
-    /// Whether a holder other than `from` is short of what is due to it.
-    fn short_beside(&self, from: &InstanceId) -> bool {
+    /// Whether a holder other than `from` received less than its target.
+    fn other_below_target(&self, from: &InstanceId) -> bool {
         let mut others = self.holders.iter().filter(|(id, _)| *id != from);
-        others.any(|(_, held)| held.short)
+        others.any(|(_, held)| held.below_target)
     }
 
-    /// What may be given of `free`: the last of it goes by halves, so that whoever comes next
-    /// finds some.
-    fn giveable(&self, free: Share) -> Share {
+    /// What may be granted out of `free`. The last part is given out by halves, so that the next
+    /// instance still finds some.
+    fn grantable(&self, free: Share) -> Share {
         let half = |free: u32, whole: u32| free - free.min(whole / SPARE_DIVISOR) / 2;
         Share {
             requests_ppm: half(free.requests_ppm, self.budget.requests_ppm),
@@ -67,56 +67,63 @@
         }
     }
 
-    /// How many instances there are as far as this one knows; whoever asks is one, also before the
-    /// list and gossip show it.
+    /// Number of known instances. Every instance that requests a share counts, even before the
+    /// platform's list and gossip show it.
     fn instances(&self, views: &MembershipViews) -> u32 {
         let others = self.holders.keys().filter(|id| !views.is_me(id)).count();
         views.listed().max(others as u32 + 1)
     }
 
-    /// What is due to a holder of `held` while another home's grants may be valid: its share is
-    /// confirmed, shrinks only to make room, and is raised to `part` where it is below.
-    fn due_beside_another(&self, from: &InstanceId, held: Share, part: Share) -> Share {
-        let kept = match self.short_beside(from) {
+    /// Target for a holder of `held` while grants of another coordinator may be valid. The share is
+    /// confirmed, shrinks only to free capacity for another holder, and is raised to `part` if it
+    /// is below.
+    fn target_beside_other_coordinator(
+        &self,
+        from: &InstanceId,
+        held: Share,
+        part: Share,
+    ) -> Share {
+        let kept = match self.other_below_target(from) {
             true => held.min(self.target(from)),
             false => held,
         };
         kept.max(part)
     }
 
-    fn counted(&self) -> Share {
+    fn possible_share(&self) -> Share {
         let mut sum = Share::default();
         for held in self.holders.values() {
-            sum = sum.plus(held.counted());
+            sum = sum.plus(held.possible_share());
         }
         sum
     }
 
-    /// Drops the shares that have lapsed.
+    /// Drops shares whose lease has expired.
     fn expire(&mut self, now: MonoMs) {
         let before = self.holders.len();
         self.holders.retain(|_, held| held.expires_at > now);
         if self.holders.len() < before {
-            self.keep_rest(now);
+            self.set_free_rates(now);
         }
     }
 
-    /// Sets the buckets to what the budget leaves, and returns it.
-    fn keep_rest(&mut self, now: MonoMs) -> Share {
-        let free = self.budget.minus(self.counted());
+    /// Sets the buckets to the rates of the ungranted budget and returns that budget.
+    fn set_free_rates(&mut self, now: MonoMs) -> Share {
+        let free = self.budget.minus(self.possible_share());
         free.fill(&self.terms, &mut self.requests, &mut self.tokens, now);
         free
     }
 
-    /// What gathered here before another home granted shares is not given a second time.
-    fn drop_level(&mut self, now: MonoMs) {
+    /// Empties the buckets, so that credit which another coordinator may have granted is not
+    /// granted twice.
+    fn clear_credit(&mut self, now: MonoMs) {
         self.requests.drain(now);
         self.tokens.drain(now);
     }
 
     fn target(&self, from: &InstanceId) -> Share {
         let (terms, budget) = (&self.terms, self.budget);
-        let of = |whole: u32, wanted: fn(&Demand, &CustomerLimits) -> u32| {
+        let target_of = |whole: u32, wanted: fn(&Demand, &CustomerLimits) -> u32| {
             let mut claims: Vec<ShareClaim> = Vec::with_capacity(self.holders.len());
             for (id, held) in &self.holders {
                 claims.push(ShareClaim {
@@ -127,13 +134,13 @@
             max_min(whole, whole / SPARE_DIVISOR, &mut claims)
         };
         Share {
-            requests_ppm: of(budget.requests_ppm, wanted_requests_ppm),
-            tokens_ppm: of(budget.tokens_ppm, wanted_tokens_ppm),
-            slots: of(budget.slots, wanted_slots),
+            requests_ppm: target_of(budget.requests_ppm, wanted_requests_ppm),
+            tokens_ppm: target_of(budget.tokens_ppm, wanted_tokens_ppm),
+            slots: target_of(budget.slots, wanted_slots),
         }
     }
 
-    /// Takes the part of the buckets out that goes with `gained` of `free`.
+    /// Takes the credit out of the buckets that belongs to `gained`, as a part of `free`.
     fn credit(&mut self, gained: Share, free: Share, now: MonoMs) -> Credit {
         let ratio = |gained: u32, free: u32| f64::from(gained) / f64::from(free.max(1));
         let credit = Credit {
@@ -168,114 +175,119 @@
     wanted.ceil() as u32
 }
 
-/// The limits of all customers whose home is one instance. Customers at rest take no memory.
+/// The limits of all customers that one instance coordinates. Idle customers use no memory.
 #[derive(Debug, Clone, Default)]
 pub struct LimitCoordinator {
     divisions: HashMap<CustomerId, Division>,
 }
 
 impl LimitCoordinator {
-    /// Answers an ask; `None` where this instance is not the home or the ask is outdated.
+    /// Answers a share request. Returns `None` if this instance is not the coordinator or the
+    /// request is outdated.
     ///
-    /// A share is only raised out of what is free; one that is held shrinks to its target at most,
-    /// also where more is granted than there is since the budget shrank.
+    /// A share is raised only out of what is free. A share in use shrinks at most to its target,
+    /// even where more is granted than the budget now holds because the budget shrank.
     ///
-    /// While grants of another home may be valid, each instance is due the nth part that it would
-    /// fall back to, and a share held above it is confirmed unless another one lacks room.
+    /// While grants of another coordinator may be valid, each instance is entitled to 1/n of the
+    /// limit, the part that it would fall back to. A larger share is confirmed unless another
+    /// holder lacks capacity.
     pub fn ask(
         &mut self,
         from: &InstanceId,
-        ask: &ShareRequest,
+        request: &ShareRequest,
         terms: &CustomerLimits,
         views: &MembershipViews,
         now: MonoMs,
     ) -> Option<ShareGrant> {
-        if !views.is_coordinator(&ask.customer) {
+        if !views.is_coordinator(&request.customer) {
             return None;
         }
         let budget = Share::part(terms, views.live(), views.listed());
-        let foreign = views.foreign_grants_until(&ask.customer) > now;
-        let division = self.division(&ask.customer, terms, foreign, now);
+        let other_grants_valid = views.foreign_grants_until(&request.customer) > now;
+        let division = self.division(&request.customer, terms, other_grants_valid, now);
         let known = division.holders.get(from);
-        if known.is_some_and(|known| known.number >= ask.number) {
+        if known.is_some_and(|known| known.number >= request.number) {
             return None;
         }
-        if foreign {
-            division.drop_level(now);
+        if other_grants_valid {
+            division.clear_credit(now);
         }
         (division.terms, division.budget) = (*terms, budget);
         division.expire(now);
         division.holders.remove(from);
-        let available = budget.minus(division.counted());
-        if let Some(demand) = ask.demand {
-            let held = Held {
-                number: ask.number,
-                before: ask.held,
+        let available = budget.minus(division.possible_share());
+        if let Some(demand) = request.demand {
+            let held = HolderState {
+                number: request.number,
+                before: request.held,
                 granted: Share::default(),
                 demand,
                 expires_at: now + LEASE_MS,
-                short: false,
+                below_target: false,
             };
             division.holders.insert(from.clone(), held);
         }
-        let free = division.keep_rest(now);
-        division.requests.give(ask.returned.requests);
-        division.tokens.give(ask.returned.tokens);
-        ask.demand?;
-        let room = available.minus(ask.held);
-        let (target, room) = match foreign {
-            false => (division.target(from), division.giveable(room)),
+        let free = division.set_free_rates(now);
+        division.requests.give(request.returned.requests);
+        division.tokens.give(request.returned.tokens);
+        request.demand?;
+        let room = available.minus(request.held);
+        let (target, room) = match other_grants_valid {
+            false => (division.target(from), division.grantable(room)),
             true => {
                 let part = Share::part(terms, 1, division.instances(views));
-                (division.due_beside_another(from, ask.held, part), room)
+                (
+                    division.target_beside_other_coordinator(from, request.held, part),
+                    room,
+                )
             }
         };
-        let share = target.min(ask.held.plus(room));
-        let gained = share.minus(ask.held);
-        let credit = match foreign {
+        let share = target.min(request.held.plus(room));
+        let gained = share.minus(request.held);
+        let credit = match other_grants_valid {
             false => division.credit(gained.min(free), free, now),
             true => Credit {
                 requests: terms.burst_requests * part(gained.requests_ppm),
                 tokens: terms.burst_tokens * part(gained.tokens_ppm),
             },
         };
-        let rising = far(target, share);
+        let rising = is_far_below(target, share);
         if let Some(held) = division.holders.get_mut(from) {
-            (held.granted, held.short) = (share, rising);
+            (held.granted, held.below_target) = (share, rising);
         }
-        division.keep_rest(now);
+        division.set_free_rates(now);
         Some(ShareGrant {
-            customer: ask.customer.clone(),
-            number: ask.number,
+            customer: request.customer.clone(),
+            number: request.number,
             share,
             credit,
-            renew_soon: rising || far(ask.held, share),
+            renew_soon: rising || is_far_below(request.held, share),
             rising,
         })
     }
 
-    /// The holders that should ask at once, since they hold more than is due to them and another
-    /// one lacks room. They are named once in [`FAST_RENEWAL_MS`].
+    /// Holders that should renew at once, because they hold more than their target and another
+    /// holder lacks capacity. Returns holders at most once every [`FAST_RENEWAL_MS`].
     pub fn recall(&mut self, customer: &CustomerId, now: MonoMs) -> Vec<InstanceId> {
         let Some(division) = self.divisions.get_mut(customer) else {
             return Vec::new();
         };
-        let again = |at: MonoMs| now.since_ms(at) < FAST_RENEWAL_MS;
-        let short = division.holders.values().any(|held| held.short);
-        if !short || division.recalled_at.is_some_and(again) {
+        let is_recent = |at: MonoMs| now.since_ms(at) < FAST_RENEWAL_MS;
+        let below_target = division.holders.values().any(|held| held.below_target);
+        if !below_target || division.recalled_at.is_some_and(is_recent) {
             return Vec::new();
         }
         division.recalled_at = Some(now);
-        let mut above = Vec::new();
+        let mut above_target = Vec::new();
         for (id, held) in &division.holders {
-            if !held.short && far(held.granted, division.target(id)) {
-                above.push(id.clone());
+            if !held.below_target && is_far_below(held.granted, division.target(id)) {
+                above_target.push(id.clone());
             }
         }
-        above
+        above_target
     }
 
-    /// Forgets customers at rest: none holds a share and all has flowed back.
+    /// Drops idle customers: those without a share in use and with full buckets.
     pub fn sweep(&mut self, now: MonoMs) {
         self.divisions.retain(|_, division| {
             division.expire(now);
@@ -285,12 +297,12 @@
         });
     }
 
-    /// Customers that take memory.
+    /// Number of customers in memory.
     pub fn len(&self) -> usize {
         self.divisions.len()
     }
 
-    /// Whether no customer takes memory.
+    /// Whether no customer is in memory.
     pub fn is_empty(&self) -> bool {
         self.divisions.is_empty()
     }
@@ -299,10 +311,10 @@
         &mut self,
         customer: &CustomerId,
         terms: &CustomerLimits,
-        foreign: bool,
+        other_grants_valid: bool,
         now: MonoMs,
     ) -> &mut Division {
-        let full = if foreign { 0.0 } else { 1.0 };
+        let full = if other_grants_valid { 0.0 } else { 1.0 };
         self.divisions
             .entry(customer.clone())
             .or_insert_with(|| Division {
@@ -326,8 +338,10 @@
     }
 }
 
-/// Whether `share` misses `wanted` by so much that the holder should ask again soon.
-fn far(wanted: Share, share: Share) -> bool {
+/// Whether `share` is so far below `target` that the holder should renew early.
+fn is_far_below(wanted: Share, share: Share) -> bool {
     let missing = wanted.minus(share);
-    missing.requests_ppm > HURRY_PPM || missing.tokens_ppm > HURRY_PPM || missing.slots > 0
+    missing.requests_ppm > RENEWAL_THRESHOLD_PPM
+        || missing.tokens_ppm > RENEWAL_THRESHOLD_PPM
+        || missing.slots > 0
 }
--- a/crates/foxtailhold/src/limits/holder.rs
+++ b/crates/foxtailhold/src/limits/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side: one customer's limits on one instance.
+//! Holder side: one customer's limits on one instance.
 
 use crate::ids::CustomerId;
 use crate::limits::{
@@ -7,62 +7,64 @@
 };
 use crate::time::MonoMs;
 
-/// When to come back after all slots were taken.
+/// Retry time for a request that is refused because all slots are in use.
 const SLOT_RETRY_AFTER_MS: u64 = 500;
-/// Demand is counted over at least this time.
-const LEAST_PERIOD_MS: u64 = 200;
-/// Requests wait at most this long for other holders to give room, which they do when they ask.
-const NO_ROOM_WAIT_MS: u64 = EXCHANGE_MS + 2 * FAST_RENEWAL_MS;
-/// While requests wait for room the home is asked this often; it has told the others to give.
-const NO_ROOM_ASK_MS: u64 = 50;
-/// An ask that was not answered for this time is given up.
+/// Shortest period over which demand is measured.
+const MIN_PERIOD_MS: u64 = 200;
+/// Longest time that requests wait for other holders to free capacity, which those do at their next
+/// renewal.
+const CAPACITY_WAIT_MS: u64 = EXCHANGE_MS + 2 * FAST_RENEWAL_MS;
+/// Renewal period while requests wait for capacity. The coordinator has asked the other holders to
+/// renew by then.
+const CAPACITY_RENEWAL_MS: u64 = 50;
+/// A share request without a response after this time counts as lost.
 pub const RESPONSE_TIMEOUT_MS: u64 = 600;
 
-/// One of a contract's limits.
+/// One of the limits of a contract.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Tokens a second.
+    /// Tokens per second.
     Tokens,
     /// Requests in flight.
     Slots,
 }
 
-/// What becomes of a request.
+/// Decision on a request under the customer's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitDecision {
-    /// It is within the limits.
+    /// The request is within the limits.
     Admitted,
-    /// The home has not answered for this customer yet, or raises its share: decide again with
-    /// [`ShareHolder::admit_again`] when it has answered, or after a short wait call
-    /// [`ShareHolder::fall_back`].
+    /// The coordinator has not responded for this customer yet, or is raising the share. Decide
+    /// again with [`ShareHolder::admit_again`] when it has responded, or call
+    /// [`ShareHolder::fall_back`] after a short wait.
     Wait,
-    /// It is over a limit.
+    /// The request exceeds a limit.
     Over {
-        /// Which.
+        /// The limit that is exceeded.
         limit: LimitKind,
-        /// When there should be room.
+        /// Time in ms until capacity should be available.
         after_ms: u64,
     },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    Fresh,
+enum ShareState {
+    AwaitingGrant,
     Granted { until: MonoMs },
     Fallback,
     Released,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct PendingRequest {
     number: u64,
     at: MonoMs,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct MeasuredDemand {
     requests: f64,
     tokens: f64,
     slots: u32,
@@ -71,44 +73,44 @@
 /// One customer's limits on one instance.
 #[derive(Debug, Clone)]
 pub struct ShareHolder {
-    standing: Standing,
+    state: ShareState,
     share: Share,
     requests: TokenBucket,
     tokens: TokenBucket,
     in_flight: u32,
-    seen: Seen,
-    seen_since: MonoMs,
+    measured: MeasuredDemand,
+    measured_since: MonoMs,
     last_demand: Demand,
     used_at: MonoMs,
-    asked: Option<Asked>,
-    asked_at: MonoMs,
-    ask_at: MonoMs,
-    /// Until when requests wait for room, while the home has answered that more is due than others
-    /// have given so far.
-    no_room_until: Option<MonoMs>,
+    pending: Option<PendingRequest>,
+    requested_at: MonoMs,
+    next_request_at: MonoMs,
+    /// Requests wait until this time for capacity. Set while the coordinator reports that the
+    /// target share is larger than what other holders have freed.
+    wait_until: Option<MonoMs>,
 }
 
 impl ShareHolder {
-    /// A customer without requests here so far.
+    /// Creates the state of a customer without requests on this instance.
     pub fn new(now: MonoMs) -> Self {
         ShareHolder {
-            standing: Standing::Released,
+            state: ShareState::Released,
             share: Share::default(),
             requests: TokenBucket::new(0.0, 0.0, 0.0, now),
             tokens: TokenBucket::new(0.0, 0.0, 0.0, now),
             in_flight: 0,
-            seen: Seen::default(),
-            seen_since: now,
+            measured: MeasuredDemand::default(),
+            measured_since: now,
             last_demand: Demand::default(),
             used_at: now,
-            asked: None,
-            asked_at: now,
-            ask_at: now,
-            no_room_until: None,
+            pending: None,
+            requested_at: now,
+            next_request_at: now,
+            wait_until: None,
         }
     }
 
-    /// Decides on a request that is charged `tokens`; `listed` is the number of all instances.
+    /// Decides on a request that is charged `tokens`. `listed` is the number of all instances.
     pub fn admit(
         &mut self,
         terms: &CustomerLimits,
@@ -116,13 +118,13 @@
         tokens: f64,
         now: MonoMs,
     ) -> LimitDecision {
-        self.seen.requests += 1.0;
-        self.seen.tokens += tokens;
-        self.seen.slots = self.seen.slots.max(self.in_flight + 1);
+        self.measured.requests += 1.0;
+        self.measured.tokens += tokens;
+        self.measured.slots = self.measured.slots.max(self.in_flight + 1);
         self.admit_again(terms, listed, tokens, now)
     }
 
-    /// Decides on a request that was told to wait: its demand is counted already.
+    /// Decides again on a request that had to wait; it is not counted as new demand.
     pub fn admit_again(
         &mut self,
         terms: &CustomerLimits,
@@ -131,22 +133,24 @@
         now: MonoMs,
     ) -> LimitDecision {
         self.used_at = now;
-        self.lapse(terms, listed, now);
-        let waits = self.no_room_until.map(|until| until > now);
-        if matches!(self.standing, Standing::Fresh | Standing::Released) {
-            self.standing = Standing::Fresh;
+        self.expire(terms, listed, now);
+        let is_waiting = self.wait_until.map(|until| until > now);
+        if matches!(self.state, ShareState::AwaitingGrant | ShareState::Released) {
+            self.state = ShareState::AwaitingGrant;
             let (limit, after_ms) = (LimitKind::Requests, EXCHANGE_MS);
-            return match waits {
+            return match is_waiting {
                 Some(false) => LimitDecision::Over { limit, after_ms },
                 _ => LimitDecision::Wait,
             };
         }
-        if let Some((limit, after_ms)) = self.over(now) {
-            if waits == Some(true) {
+        if let Some((limit, after_ms)) = self.exceeded_limit(now) {
+            if is_waiting == Some(true) {
                 return LimitDecision::Wait;
             }
             if self.demand_grew() {
-                self.ask_at = self.ask_at.min(self.asked_at + FAST_RENEWAL_MS);
+                self.next_request_at = self
+                    .next_request_at
+                    .min(self.requested_at + FAST_RENEWAL_MS);
             }
             return LimitDecision::Over { limit, after_ms };
         }
@@ -156,25 +160,25 @@
         LimitDecision::Admitted
     }
 
-    /// Ends an admitted request: `unused` is what was charged and not generated, negative where
-    /// more was.
+    /// Ends an admitted request. `unused_tokens` is the charge minus the generated tokens, negative
+    /// if more were generated.
     pub fn finish(&mut self, unused_tokens: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens.give(unused_tokens);
     }
 
-    /// Goes on without a home's answer, where there has been none.
+    /// Continues on the fallback share if the coordinator has never responded.
     pub fn fall_back(&mut self, terms: &CustomerLimits, listed: u32, now: MonoMs) {
-        if self.standing != Standing::Fresh || self.no_room_until.is_some() {
+        if self.state != ShareState::AwaitingGrant || self.wait_until.is_some() {
             return;
         }
-        self.standing = Standing::Fallback;
+        self.state = ShareState::Fallback;
         self.set_share(Share::part(terms, 1, listed), terms, now);
         self.requests.give(terms.burst_requests);
         self.tokens.give(terms.burst_tokens);
     }
 
-    /// The ask that is due, if one is. It is sent once, to the home as it is then.
+    /// The share request that is due, if any. It is sent once, to the coordinator at that time.
     pub fn ask(
         &mut self,
         customer: &CustomerId,
@@ -183,22 +187,22 @@
         now: MonoMs,
     ) -> Option<ShareRequest> {
         if self
-            .asked
+            .pending
             .is_some_and(|a| now.since_ms(a.at) < RESPONSE_TIMEOUT_MS)
-            || now < self.ask_at
+            || now < self.next_request_at
         {
             return None;
         }
-        if self.standing == Standing::Released {
+        if self.state == ShareState::Released {
             return None;
         }
         if self.is_idle(now) {
             return self.release(customer, number, now);
         }
         let held = self.held(now);
-        self.asked = Some(Asked { number, at: now });
-        self.asked_at = now;
-        self.ask_at = now + EXCHANGE_MS;
+        self.pending = Some(PendingRequest { number, at: now });
+        self.requested_at = now;
+        self.next_request_at = now + EXCHANGE_MS;
         Some(ShareRequest {
             customer: customer.clone(),
             number,
@@ -208,71 +212,75 @@
         })
     }
 
-    /// Takes the home's answer in. Only the answer to the last ask counts.
+    /// Applies a grant. Only the response to the last share request counts.
     pub fn granted(&mut self, terms: &CustomerLimits, grant: &ShareGrant, now: MonoMs) {
-        let Some(asked) = self.asked.filter(|asked| asked.number == grant.number) else {
+        let Some(pending) = self
+            .pending
+            .filter(|pending| pending.number == grant.number)
+        else {
             return;
         };
-        self.asked = None;
-        let until = asked.at + LEASE_MS;
+        self.pending = None;
+        let until = pending.at + LEASE_MS;
         if until <= now {
             return;
         }
         let held = self.held(now);
-        let waits_until = self.no_room_until.unwrap_or(now + NO_ROOM_WAIT_MS);
-        let lacks_room = grant.rising || grant.share.is_empty();
-        self.no_room_until = lacks_room.then_some(waits_until);
+        let wait_deadline = self.wait_until.unwrap_or(now + CAPACITY_WAIT_MS);
+        let lacks_capacity = grant.rising || grant.share.is_empty();
+        self.wait_until = lacks_capacity.then_some(wait_deadline);
         if grant.share.is_empty() && held.is_empty() {
-            self.standing = Standing::Fresh;
-            self.ask_at = now + NO_ROOM_ASK_MS;
+            self.state = ShareState::AwaitingGrant;
+            self.next_request_at = now + CAPACITY_RENEWAL_MS;
             return;
         }
-        let first = !matches!(self.standing, Standing::Granted { .. });
+        let first = !matches!(self.state, ShareState::Granted { .. });
         if first {
-            self.drop_level(now);
+            self.clear_credit(now);
         }
-        self.standing = Standing::Granted { until };
+        self.state = ShareState::Granted { until };
         self.set_share(grant.share, terms, now);
         self.requests.give(grant.credit.requests);
         self.tokens.give(grant.credit.tokens);
         if grant.share.max(held) != grant.share {
-            self.ask_at = now;
-        } else if grant.rising && waits_until > now {
-            self.ask_at = now + NO_ROOM_ASK_MS;
+            self.next_request_at = now;
+        } else if grant.rising && wait_deadline > now {
+            self.next_request_at = now + CAPACITY_RENEWAL_MS;
         } else if first || grant.renew_soon {
-            self.ask_at = asked.at + FAST_RENEWAL_MS;
+            self.next_request_at = pending.at + FAST_RENEWAL_MS;
         }
     }
 
-    /// Takes in that the home wants to be asked at once, since another holder lacks room.
+    /// Makes a renewal due at once, since another holder lacks capacity.
     pub fn recalled(&mut self, now: MonoMs) {
-        self.ask_at = self.ask_at.min(now);
+        self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// Notes that the ask was not answered.
+    /// Records that a share request got no response.
     pub fn not_answered(&mut self, number: u64, now: MonoMs) {
-        if self.asked.is_some_and(|asked| asked.number == number) {
-            self.asked = None;
-            self.ask_at = now + FAST_RENEWAL_MS;
-            if self.standing == Standing::Fresh {
-                self.no_room_until = None;
+        if self.pending.is_some_and(|pending| pending.number == number) {
+            self.pending = None;
+            self.next_request_at = now + FAST_RENEWAL_MS;
+            if self.state == ShareState::AwaitingGrant {
+                self.wait_until = None;
             }
         }
     }
 
-    /// Whether the home has answered or need not.
+    /// Whether the instance can decide without waiting for the coordinator's first response.
     pub fn is_settled(&self) -> bool {
-        self.standing != Standing::Fresh
+        self.state != ShareState::AwaitingGrant
     }
 
-    /// Whether it can be forgotten: nothing runs, and no more could be had by starting anew.
+    /// Whether the state can be dropped: no request is in flight, and a new state would admit no
+    /// more than this one.
     pub fn is_forgettable(&mut self, now: MonoMs) -> bool {
         let full = self.requests.is_full(now) && self.tokens.is_full(now);
-        match self.standing {
-            Standing::Released => self.in_flight == 0,
-            Standing::Fallback => self.is_idle(now) && full,
-            Standing::Fresh => self.is_idle(now),
-            Standing::Granted { .. } => false,
+        match self.state {
+            ShareState::Released => self.in_flight == 0,
+            ShareState::Fallback => self.is_idle(now) && full,
+            ShareState::AwaitingGrant => self.is_idle(now),
+            ShareState::Granted { .. } => false,
         }
     }
 
@@ -281,12 +289,12 @@
         self.in_flight
     }
 
-    /// Whether it goes on without a home's grant: it has none, or the last one has lapsed.
+    /// Whether the fallback share is in use, because there is no grant or its lease has expired.
     pub fn in_fallback(&self, now: MonoMs) -> bool {
-        match self.standing {
-            Standing::Fallback => true,
-            Standing::Granted { until } => until <= now,
-            Standing::Fresh | Standing::Released => false,
+        match self.state {
+            ShareState::Fallback => true,
+            ShareState::Granted { until } => until <= now,
+            ShareState::AwaitingGrant | ShareState::Released => false,
         }
     }
 
@@ -295,7 +303,7 @@
         self.share
     }
 
-    fn over(&mut self, now: MonoMs) -> Option<(LimitKind, u64)> {
+    fn exceeded_limit(&mut self, now: MonoMs) -> Option<(LimitKind, u64)> {
         if self.in_flight >= self.share.slots {
             return Some((LimitKind::Slots, SLOT_RETRY_AFTER_MS));
         }
@@ -309,31 +317,31 @@
         }
     }
 
-    /// What a home has granted and has not lapsed.
+    /// The share under a valid grant, empty without one.
     fn held(&self, now: MonoMs) -> Share {
-        match self.standing {
-            Standing::Granted { until } if until > now => self.share,
+        match self.state {
+            ShareState::Granted { until } if until > now => self.share,
             _ => Share::default(),
         }
     }
 
-    /// Whether more has come than the home was told of.
+    /// Whether the demand exceeds the one last reported to the coordinator.
     fn demand_grew(&self) -> bool {
-        let (seen, last) = (&self.seen, &self.last_demand);
-        seen.requests > last.requests_per_s
-            || seen.tokens > last.tokens_per_s
-            || seen.slots > last.slots
+        let (measured, last) = (&self.measured, &self.last_demand);
+        measured.requests > last.requests_per_s
+            || measured.tokens > last.tokens_per_s
+            || measured.slots > last.slots
     }
 
     fn is_idle(&self, now: MonoMs) -> bool {
         self.in_flight == 0 && now.since_ms(self.used_at) >= IDLE_MS
     }
 
-    fn lapse(&mut self, terms: &CustomerLimits, listed: u32, now: MonoMs) {
-        if let Standing::Granted { until } = self.standing
+    fn expire(&mut self, terms: &CustomerLimits, listed: u32, now: MonoMs) {
+        if let ShareState::Granted { until } = self.state
             && until <= now
         {
-            self.standing = Standing::Fallback;
+            self.state = ShareState::Fallback;
             self.set_share(Share::part(terms, 1, listed), terms, now);
         }
     }
@@ -343,24 +351,24 @@
         share.fill(terms, &mut self.requests, &mut self.tokens, now);
     }
 
-    fn drop_level(&mut self, now: MonoMs) {
+    fn clear_credit(&mut self, now: MonoMs) {
         self.requests.drain(now);
         self.tokens.drain(now);
     }
 
     fn release(&mut self, customer: &CustomerId, number: u64, now: MonoMs) -> Option<ShareRequest> {
-        let Standing::Granted { until } = self.standing else {
+        let ShareState::Granted { until } = self.state else {
             return None;
         };
-        self.standing = Standing::Released;
-        self.no_room_until = None;
+        self.state = ShareState::Released;
+        self.wait_until = None;
         self.share = Share::default();
         let mut returned = Credit::default();
         if until > now {
             returned.requests = self.requests.level(now);
             returned.tokens = self.tokens.level(now);
         }
-        self.asked = None;
+        self.pending = None;
         self.requests = TokenBucket::new(0.0, 0.0, 0.0, now);
         self.tokens = TokenBucket::new(0.0, 0.0, 0.0, now);
         Some(ShareRequest {
@@ -372,34 +380,34 @@
         })
     }
 
-    /// Demand since it was last counted, falling by half at most, so that one quiet period does
-    /// not cost the share. Within a short period it can only rise.
+    /// Demand since the last measurement. It falls by half at most, so that one quiet period does
+    /// not cost the share. Within a period below [`MIN_PERIOD_MS`] it can only rise.
     fn demand(&mut self, terms: &CustomerLimits, now: MonoMs) -> Demand {
-        let period_ms = now.since_ms(self.seen_since);
-        let counts = period_ms >= LEAST_PERIOD_MS;
-        let period_s = period_ms.max(LEAST_PERIOD_MS) as f64 / 1_000.0;
+        let period_ms = now.since_ms(self.measured_since);
+        let is_full_period = period_ms >= MIN_PERIOD_MS;
+        let period_s = period_ms.max(MIN_PERIOD_MS) as f64 / 1_000.0;
         let last = self.last_demand;
-        let (least, divisor) = if counts { (0.5, 2) } else { (1.0, 1) };
-        let requests_per_s = self.seen.requests / period_s;
-        let tokens_per_s = self.seen.tokens / period_s;
+        let (min_factor, divisor) = if is_full_period { (0.5, 2) } else { (1.0, 1) };
+        let requests_per_s = self.measured.requests / period_s;
+        let tokens_per_s = self.measured.tokens / period_s;
         let demand = Demand {
             requests_per_s: requests_per_s
-                .max(last.requests_per_s * least)
+                .max(last.requests_per_s * min_factor)
                 .min(terms.requests_per_s),
             tokens_per_s: tokens_per_s
-                .max(last.tokens_per_s * least)
+                .max(last.tokens_per_s * min_factor)
                 .min(terms.tokens_per_s),
             slots: self
-                .seen
+                .measured
                 .slots
                 .max(last.slots / divisor)
                 .max(self.in_flight),
             in_flight: self.in_flight,
         };
         self.last_demand = demand;
-        if counts {
-            self.seen = Seen::default();
-            self.seen_since = now;
+        if is_full_period {
+            self.measured = MeasuredDemand::default();
+            self.measured_since = now;
         }
         demand
     }
--- a/crates/foxtailhold/src/limits/message.rs
+++ b/crates/foxtailhold/src/limits/message.rs
@@ -1,4 +1,4 @@
-//! What holders of shares and homes say to each other.
+//! Messages between share holders and limit coordinators.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,23 +7,23 @@
 use crate::limits::TokenBucket;
 use crate::time::MonoMs;
 
-/// The whole of a limit, in millionths.
+/// A whole limit, in millionths.
 pub const FULL_SHARE_PPM: u32 = 1_000_000;
-/// Seconds of the token rate that may be used at once.
+/// The burst of the token limit, in seconds of the token rate.
 pub const TOKEN_BURST_S: f64 = 2.0;
 
-/// A contract's limits.
+/// The limits of one contract.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CustomerLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Requests at once.
+    /// Largest burst of requests.
     pub burst_requests: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens_per_s: f64,
-    /// Tokens at once.
+    /// Largest burst of tokens.
     pub burst_tokens: f64,
-    /// Requests in flight.
+    /// Largest number of requests in flight.
     pub slots: u32,
 }
 
@@ -42,11 +42,11 @@
 /// A part of a customer's limits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// Of the request rate and its burst, in millionths.
+    /// Part of the request rate and burst, in millionths.
     pub requests_ppm: u32,
-    /// Of the token rate and its burst, in millionths.
+    /// Part of the token rate and burst, in millionths.
     pub tokens_ppm: u32,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub slots: u32,
 }
 
@@ -67,12 +67,12 @@
         tokens.set_rate(rate_per_s * part, burst * part, now);
     }
 
-    /// Whether no request can be admitted on it: one of its parts is nothing.
+    /// Whether the share admits no request, since one of its parts is zero.
     pub fn is_empty(self) -> bool {
         self.requests_ppm == 0 || self.tokens_ppm == 0 || self.slots == 0
     }
 
-    /// The larger of the two in each limit.
+    /// The larger value for each limit.
     pub fn max(self, other: Share) -> Share {
         Share {
             requests_ppm: self.requests_ppm.max(other.requests_ppm),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The smaller of the two in each limit.
+    /// The smaller value for each limit.
     pub fn min(self, other: Share) -> Share {
         Share {
             requests_ppm: self.requests_ppm.min(other.requests_ppm),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The sum, held at the largest number.
+    /// The sum for each limit, saturating at the largest value.
     pub fn plus(self, other: Share) -> Share {
         Share {
             requests_ppm: self.requests_ppm.saturating_add(other.requests_ppm),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The difference, held at zero.
+    /// The difference for each limit, saturating at zero.
     pub fn minus(self, other: Share) -> Share {
         Share {
             requests_ppm: self.requests_ppm.saturating_sub(other.requests_ppm),
@@ -108,78 +108,78 @@
         }
     }
 
-    /// `numerator` parts of `denominator` of the whole; a part of the slots is rounded up.
+    /// `numerator`/`denominator` of all limits, with the slots rounded up.
     pub fn part(terms: &CustomerLimits, numerator: u32, denominator: u32) -> Share {
         let denominator = u64::from(denominator.max(1));
         let slots = u64::from(terms.slots) * u64::from(numerator);
-        let of = |whole: u32| (u64::from(whole) * u64::from(numerator) / denominator) as u32;
+        let scaled = |whole: u32| (u64::from(whole) * u64::from(numerator) / denominator) as u32;
         Share {
-            requests_ppm: of(FULL_SHARE_PPM),
-            tokens_ppm: of(FULL_SHARE_PPM),
+            requests_ppm: scaled(FULL_SHARE_PPM),
+            tokens_ppm: scaled(FULL_SHARE_PPM),
             slots: slots.div_ceil(denominator) as u32,
         }
     }
 }
 
-/// What has gathered in the buckets and moves with a share.
+/// Bucket levels that move between instances with a share.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Credit {
-    /// Requests.
+    /// Number of requests.
     pub requests: f64,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: f64,
 }
 
-/// What came to a holder since it asked last.
+/// Demand on a holder since its last share request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests a second, with those refused.
+    /// Requests per second, including refused ones.
     pub requests_per_s: f64,
-    /// Tokens a second, with those refused.
+    /// Tokens per second, including those of refused requests.
     pub tokens_per_s: f64,
-    /// Most requests in flight or refused for want of a slot.
+    /// Largest number of requests that were in flight or refused for lack of a slot.
     pub slots: u32,
     /// Requests in flight now.
     pub in_flight: u32,
 }
 
-/// Asks for a share.
+/// A request for a share of one customer's limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShareRequest {
-    /// Whose limit.
+    /// The customer whose limits are shared.
     pub customer: CustomerId,
-    /// Rises with each ask of an instance, over its restarts too.
+    /// Increases with each share request of an instance, also over restarts.
     pub number: u64,
-    /// What the holder holds, from any home.
+    /// The share that the holder has in use, granted by any coordinator.
     pub held: Share,
-    /// What it could use; `None` gives the share back.
+    /// The demand to serve; `None` returns the share.
     pub demand: Option<Demand>,
-    /// Given back from the holder's buckets.
+    /// Credit returned from the holder's buckets.
     pub returned: Credit,
 }
 
-/// The asks of one instance to one home.
+/// The share requests of one instance to one coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShareRequests {
-    /// The instance.
+    /// The requesting instance.
     pub from: InstanceId,
-    /// One for each customer.
+    /// One request for each customer.
     pub requests: Vec<ShareRequest>,
 }
 
-/// A share granted for [`crate::limits::LEASE_MS`].
+/// A share that is granted for [`crate::limits::LEASE_MS`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShareGrant {
-    /// Whose limit.
+    /// The customer whose limits are shared.
     pub customer: CustomerId,
-    /// The ask answered.
+    /// Number of the share request that is answered.
     pub number: u64,
-    /// The share.
+    /// The granted share, which replaces the one in use.
     pub share: Share,
-    /// Added to the holder's buckets.
+    /// Credit to add to the holder's buckets.
     pub credit: Credit,
-    /// Whether the holder should ask again after [`crate::limits::FAST_RENEWAL_MS`].
+    /// Whether the holder should renew after [`crate::limits::FAST_RENEWAL_MS`].
     pub renew_soon: bool,
-    /// Whether more is due to the holder as soon as others have given room.
+    /// Whether the share will be raised as soon as other holders have freed capacity.
     pub rising: bool,
 }
--- a/crates/foxtailhold/src/limits/mod.rs
+++ b/crates/foxtailhold/src/limits/mod.rs
@@ -1,14 +1,15 @@
-//! A customer's limits over all instances, without a store write per request.
+//! Enforces a customer's limits over all instances without a store write per request.
 //!
-//! One instance, the home of the customer by rendezvous hashing ([`crate::rendezvous`]), divides
-//! the limit: it grants each instance that has requests a share for [`LEASE_MS`], by demand. The
-//! holder counts the lease from before it asked, the home from when it was asked, so the holder's
-//! ends first. Without a home that answers, an instance falls back to one nth of the limit, where
-//! n counts all instances that the platform lists or gossip sees.
+//! One instance, the customer's limit coordinator chosen by rendezvous hashing
+//! ([`crate::rendezvous`]), divides the limits: it grants each instance that has requests a share
+//! for [`LEASE_MS`], according to demand. The holder counts the lease from before it sent the
+//! request and the coordinator from when it received it, so the lease ends at the holder first.
+//! Without a coordinator that responds, an instance falls back to 1/n of the limit, where n counts
+//! all instances that the platform lists or gossip sees.
 //!
-//! Shares at any moment add up to at most the whole, and what has gathered in the buckets moves
-//! with them, so over any window the instances together admit at most `rate * window + burst`,
-//! plus one request for each instance. `docs/design/limits.md` gives the bounds without a home.
+//! The shares never add up to more than the whole, and the levels of the buckets move with them.
+//! Over any period the instances together therefore admit at most `rate * period + burst`, plus one
+//! request for each instance. `docs/design/limits.md` gives the bounds without a coordinator.
 
 mod bucket;
 mod coordinator;
@@ -26,13 +27,13 @@
 };
 pub use views::MembershipViews;
 
-/// A share is valid for this time after it was asked for.
+/// A share is valid for this time after it was requested.
 pub const LEASE_MS: u64 = 3_000;
-/// A holder with requests asks this often.
+/// A holder with requests renews its share this often.
 pub const EXCHANGE_MS: u64 = 1_000;
-/// A holder asks again this soon where its share is being changed.
+/// A holder renews its share after this time while the share is changing.
 pub const FAST_RENEWAL_MS: u64 = 200;
-/// A holder without requests for this time gives its share back.
+/// A holder without requests for this time returns its share.
 pub const IDLE_MS: u64 = 1_000;
-/// Longest time to come back that a limit gives, in milliseconds.
+/// Longest retry time that a limit returns.
 pub const MAX_RETRY_AFTER_MS: u64 = 60_000;
--- a/crates/foxtailhold/src/limits/views.rs
+++ b/crates/foxtailhold/src/limits/views.rs
@@ -1,4 +1,4 @@
-//! The instances among which homes are chosen, and how the choice changed lately.
+//! The instances among which limit coordinators are chosen, and recent changes of this set.
 
 use crate::ids::{CustomerId, InstanceId};
 use crate::limits::LEASE_MS;
@@ -11,7 +11,7 @@
     ended_at: MonoMs,
 }
 
-/// The live instances as one instance sees them, with the views of the last lease.
+/// The live instances as seen by one instance, with the member sets of the last lease period.
 #[derive(Debug, Clone)]
 pub struct MembershipViews {
     me: InstanceId,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Sets the live members, and how many instances there are in all with those out of reach.
+    /// Sets the live members. `listed` is the number of all instances, including unreachable ones.
     pub fn set(&mut self, mut members: Vec<InstanceId>, listed: u32, now: MonoMs) {
         members.sort();
         self.listed = listed.max(members.len() as u32).max(1);
@@ -47,32 +47,32 @@
         self.past.push(PastView { members, ended_at });
     }
 
-    /// Live instances in reach.
+    /// Number of live and reachable instances.
     pub fn live(&self) -> u32 {
         self.members.len() as u32
     }
 
-    /// All instances, with those out of reach.
+    /// Number of all instances, including unreachable ones.
     pub fn listed(&self) -> u32 {
         self.listed
     }
 
-    /// The home of a customer's limits.
+    /// The limit coordinator of a customer.
     pub fn coordinator(&self, customer: &CustomerId) -> Option<&InstanceId> {
         rendezvous::home(&self.members, customer.as_str().as_bytes())
     }
 
-    /// Whether it is this instance.
+    /// Whether `id` is this instance.
     pub fn is_me(&self, id: &InstanceId) -> bool {
         *id == self.me
     }
 
-    /// Whether this instance is the home of a customer's limits.
+    /// Whether this instance is the limit coordinator of a customer.
     pub fn is_coordinator(&self, customer: &CustomerId) -> bool {
         self.coordinator(customer) == Some(&self.me)
     }
 
-    /// Until when another instance's grants for a customer may be valid.
+    /// Time until which grants of another coordinator for the customer may be valid.
     pub fn foreign_grants_until(&self, customer: &CustomerId) -> MonoMs {
         let mut until = self.started_at + LEASE_MS;
         let key = customer.as_str().as_bytes();
--- a/crates/foxtailhold/src/membership.rs
+++ b/crates/foxtailhold/src/membership.rs
@@ -1,6 +1,6 @@
-//! The instances of the system, as one of them sees them: a full view kept by gossip with
-//! incarnation numbers, after SWIM (Das, Gupta and Motivala, 2002): shuffled round-robin probes,
-//! indirect probes, suspicion before removal, refutation by the suspect.
+//! Membership of the system's instances as seen by one of them. The full view is maintained by
+//! gossip with incarnation numbers, following SWIM (Das, Gupta and Motivala, 2002): shuffled
+//! round-robin probes, indirect probes, suspicion before removal, and refutation by the suspect.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,59 +17,61 @@
 
 /// One probe is sent in each period.
 pub const PROBE_PERIOD_MS: u64 = 500;
-/// A suspect that does not refute for this long is dead, in a view of two.
+/// A suspect that does not refute for this long is declared dead, in a view of two members.
 pub const SUSPICION_MS: u64 = 2_000;
-/// Added to it for each doubling of the view, as a refutation needs more rounds there.
+/// Added to [`SUSPICION_MS`] for each doubling of the view, since a refutation needs more rounds to
+/// spread.
 pub const SUSPICION_STEP_MS: u64 = 500;
-/// Answers in a row by peers that know more members, after which all is asked for.
-const ANSWERS_BEHIND: u32 = 6;
-/// A dead or departed member is forgotten after this time.
+/// Consecutive responses of peers that know more members, after which the full state is requested.
+const MAX_RESPONSES_BEHIND: u32 = 6;
+/// A dead member is removed from the view after this time.
 pub const FORGET_MS: u64 = 60_000;
-/// All that a peer knows is asked for this often, to heal what gossip lost.
+/// The full state of a peer is requested this often, to repair what gossip lost.
 pub const RESYNC_MS: u64 = 60_000;
-/// Members asked to probe one that did not answer.
+/// Number of members that are asked to probe a member that did not respond.
 pub const INDIRECT_PROBES: usize = 3;
-/// One probe in this many goes to a dead member too, which may have been cut off.
+/// One probe in this many also goes to a dead member, which may only have been isolated.
 const DEAD_PROBE_EVERY: u32 = 4;
-/// Outcomes of probes that tell whether the instance is cut off.
-const OUTCOMES_KEPT: usize = 10;
-/// Fewest outcomes that tell it.
-const OUTCOMES_NEEDED: usize = 3;
-/// Most updates carried by one message.
+/// Number of recent probe outcomes that decide whether this instance is isolated.
+const PROBE_OUTCOMES_KEPT: usize = 10;
+/// Fewest probe outcomes needed for that decision.
+const MIN_PROBE_OUTCOMES: usize = 3;
+/// Largest number of updates in one message.
 pub const UPDATES_PER_MESSAGE: usize = 12;
 
-/// How a member is seen.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Takes requests.
+    /// Accepts requests.
     Alive,
-    /// A probe failed.
+    /// A probe of the member failed.
     Suspect,
-    /// In a planned stop: finishes what it has.
+    /// In a planned shutdown: finishes its work and accepts nothing new.
     Leaving,
-    /// Gone.
+    /// No longer part of the system.
     Dead,
 }
 
-/// One member as told by gossip.
+/// The record of one member that gossip spreads.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The instance.
+    /// Identifies the instance.
     pub id: InstanceId,
-    /// Raised by the instance itself, to refute a suspicion or to start anew.
+    /// Version of the record. Raised by the instance itself, to refute a suspicion or after a
+    /// restart.
     pub incarnation: u64,
-    /// Its state in this incarnation.
+    /// State in this incarnation.
     pub state: MemberState,
-    /// Where it takes requests of callers.
+    /// Address for requests of callers.
     pub caller_address: SocketAddr,
-    /// Where it takes messages of peers.
+    /// Address for messages of other instances.
     pub peer_address: SocketAddr,
-    /// Where it takes calls of operators.
+    /// Address for operator calls.
     pub operator_address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: AvailabilityZone,
-    /// Whether it may be given to callers, by its contracts.
+    /// Whether callers may be directed to the instance, given the state of its contracts.
     pub listing: Listing,
 }
 
@@ -79,86 +81,86 @@
     }
 }
 
-/// A gossip message; the answer has the same form.
+/// A gossip message. The response has the same form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender.
+    /// The sending instance.
     pub from: InstanceId,
-    /// Updates, the sender's own record always among them.
+    /// Member updates; the sender's own record is always included.
     pub updates: Vec<Member>,
-    /// Whether the receiver should answer with all it knows.
+    /// Whether the receiver should respond with its full state.
     pub want_all: bool,
-    /// What the sender has of the contracts.
+    /// State of the contracts at the sender.
     pub contracts: Advert,
-    /// Backend servers that are leaving.
+    /// Notices of leaving backend servers.
     pub leaving: Vec<LeavingNotice>,
-    /// Members that the sender knows.
+    /// Number of members known to the sender.
     pub members: u32,
 }
 
-/// What a message carries besides membership.
+/// Contents of a gossip message besides membership.
 #[derive(Debug, Clone, Default)]
 pub struct GossipPayload {
-    /// What the sender has of the contracts.
+    /// State of the contracts at the sender.
     pub contracts: Advert,
-    /// Backend servers that are leaving.
+    /// Notices of leaving backend servers.
     pub leaving: Vec<LeavingNotice>,
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct MemberRecord {
     member: Member,
     changed_at: MonoMs,
-    sends_left: u32,
+    transmissions_left: u32,
 }
 
-/// The view of one instance.
+/// The membership view of one instance.
 #[derive(Debug, Clone)]
 pub struct Membership {
     me: Member,
-    known: BTreeMap<InstanceId, Known>,
+    known: BTreeMap<InstanceId, MemberRecord>,
     order: Vec<InstanceId>,
-    outcomes: VecDeque<bool>,
+    probe_outcomes: VecDeque<bool>,
     probes: u32,
-    behind: u32,
-    synced_at: Option<MonoMs>,
+    responses_behind: u32,
+    full_state_at: Option<MonoMs>,
     ticked_at: Option<MonoMs>,
     rng: SmallRng,
 }
 
 impl Membership {
-    /// A view that holds only the instance itself. `seed` feeds its random choices.
+    /// Creates a view that holds only this instance. `seed` seeds its random choices.
     pub fn new(me: Member, seed: u64) -> Self {
         Membership {
             me,
             known: BTreeMap::new(),
             order: Vec::new(),
-            outcomes: VecDeque::new(),
+            probe_outcomes: VecDeque::new(),
             probes: 0,
-            behind: 0,
-            synced_at: None,
+            responses_behind: 0,
+            full_state_at: None,
             ticked_at: None,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// The instance itself.
+    /// The record of this instance.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// All members known, the instance itself first.
+    /// All known members, this instance first.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.me).chain(self.known.values().map(|known| &known.member))
     }
 
-    /// Marks the instance itself as leaving.
+    /// Marks this instance as leaving.
     pub fn leave(&mut self) {
         self.me.state = MemberState::Leaving;
         self.me.incarnation += 1;
     }
 
-    /// Changes whether the instance itself may be given to callers.
+    /// Sets whether callers may be sent to this instance.
     pub fn set_listing(&mut self, listing: Listing) {
         if self.me.listing != listing {
             self.me.listing = listing;
@@ -166,13 +168,17 @@
         }
     }
 
-    /// Whether most of the last probes got no answer, directly or through others.
+    /// Whether most of the recent probes got no response, neither directly nor indirectly.
     pub fn is_isolated(&self) -> bool {
-        let answered = self.outcomes.iter().filter(|answered| **answered).count();
-        self.outcomes.len() >= OUTCOMES_NEEDED && answered * 2 < self.outcomes.len()
+        let answered = self
+            .probe_outcomes
+            .iter()
+            .filter(|answered| **answered)
+            .count();
+        self.probe_outcomes.len() >= MIN_PROBE_OUTCOMES && answered * 2 < self.probe_outcomes.len()
     }
 
-    /// The member to probe next: each of those not dead once in a shuffled round.
+    /// The next member to probe. Every member that is not dead is probed once per shuffled round.
     pub fn probe_target(&mut self) -> Option<Member> {
         for _ in 0..2 {
             while let Some(id) = self.order.pop() {
@@ -189,81 +195,82 @@
         None
     }
 
-    /// Now and then a dead member, which answers if it was only cut off.
+    /// Occasionally returns a dead member to probe, which responds if it was only isolated.
     pub fn dead_probe_target(&mut self) -> Option<Member> {
         self.probes = self.probes.wrapping_add(1);
         if !self.probes.is_multiple_of(DEAD_PROBE_EVERY) {
             return None;
         }
-        let is_dead = |known: &&Known| known.member.state == MemberState::Dead;
-        let dead: Vec<&Known> = self.known.values().filter(is_dead).collect();
+        let is_dead = |known: &&MemberRecord| known.member.state == MemberState::Dead;
+        let dead: Vec<&MemberRecord> = self.known.values().filter(is_dead).collect();
         Some(dead.choose(&mut self.rng)?.member.clone())
     }
 
-    /// Members to ask to probe `target`, which did not answer.
+    /// Members to ask for an indirect probe of `target`, which did not respond.
     pub fn indirect_probers(&mut self, target: &InstanceId) -> Vec<Member> {
-        let mut helpers = Vec::new();
+        let mut probers = Vec::new();
         for known in self.known.values() {
             if known.member.state == MemberState::Alive && known.member.id != *target {
-                helpers.push(known.member.clone());
+                probers.push(known.member.clone());
             }
         }
-        helpers.shuffle(&mut self.rng);
-        helpers.truncate(INDIRECT_PROBES);
-        helpers
+        probers.shuffle(&mut self.rng);
+        probers.truncate(INDIRECT_PROBES);
+        probers
     }
 
-    /// The message of a probe. A member thought to be suspect or dead is told so, to refute it.
-    pub fn probe(&mut self, to: Option<&InstanceId>, carried: GossipPayload) -> Gossip {
-        let want_all = self.synced_at.is_none();
+    /// The message of a probe. A member that is recorded as suspect, leaving or dead receives that
+    /// record, so that it can refute it.
+    pub fn probe(&mut self, to: Option<&InstanceId>, payload: GossipPayload) -> Gossip {
+        let want_all = self.full_state_at.is_none();
         let known = to.and_then(|to| self.known.get(to));
         let known = known.map(|known| known.member.clone());
-        let told = known.filter(|known| known.state != MemberState::Alive);
-        self.message(want_all, told, carried)
+        let record = known.filter(|known| known.state != MemberState::Alive);
+        self.message(want_all, record, payload)
     }
 
-    /// Takes a message in and returns the answer.
-    pub fn on_message(&mut self, gossip: &Gossip, carried: GossipPayload, now: MonoMs) -> Gossip {
+    /// Applies a message and returns the response.
+    pub fn on_message(&mut self, gossip: &Gossip, payload: GossipPayload, now: MonoMs) -> Gossip {
         self.merge(&gossip.updates, now);
         if !gossip.want_all {
             let sender = self.outdated_sender(gossip);
-            return self.message(false, sender, carried);
+            return self.message(false, sender, payload);
         }
         Gossip {
             from: self.me.id.clone(),
             updates: self.members().cloned().collect(),
             want_all: false,
-            contracts: carried.contracts,
-            leaving: carried.leaving,
+            contracts: payload.contracts,
+            leaving: payload.leaving,
             members: self.count(),
         }
     }
 
-    /// Takes the answer to a probe in.
+    /// Applies the response to a probe. `asked_all` is whether the probe requested the full state.
     pub fn on_probe_response(&mut self, gossip: &Gossip, asked_all: bool, now: MonoMs) {
         if asked_all {
-            self.synced_at = Some(now);
+            self.full_state_at = Some(now);
         }
-        self.note_outcome(true);
+        self.record_outcome(true);
         self.merge(&gossip.updates, now);
-        self.behind = match gossip.members > self.count() {
-            true => self.behind + 1,
+        self.responses_behind = match gossip.members > self.count() {
+            true => self.responses_behind + 1,
             false => 0,
         };
-        if self.behind >= ANSWERS_BEHIND {
-            self.behind = 0;
-            self.synced_at = None;
+        if self.responses_behind >= MAX_RESPONSES_BEHIND {
+            self.responses_behind = 0;
+            self.full_state_at = None;
         }
     }
 
-    /// Notes that a member answered others, not this instance.
+    /// Records that a member responded to an indirect probe.
     pub fn on_indirect_response(&mut self) {
-        self.note_outcome(true);
+        self.record_outcome(true);
     }
 
-    /// Notes that a probe of `id` got no answer, directly or through others.
+    /// Records that a probe of `id` got no response, neither directly nor indirectly.
     pub fn on_probe_failure(&mut self, id: &InstanceId, now: MonoMs) {
-        self.note_outcome(false);
+        self.record_outcome(false);
         let Some(known) = self.known.get(id) else {
             return;
         };
@@ -277,18 +284,18 @@
         self.merge(&[member], now);
     }
 
-    /// Lets time pass: suspects become dead, the dead are forgotten.
+    /// Declares expired suspects dead and removes dead members after [`FORGET_MS`].
     pub fn tick(&mut self, now: MonoMs) {
         let suspicion_ms = self.suspicion_ms();
         let last = self.ticked_at.replace(now);
         if last.is_some_and(|last| now.since_ms(last) > SUSPICION_MS) {
-            self.resumed(now);
+            self.handle_resume(now);
         }
         if self
-            .synced_at
+            .full_state_at
             .is_some_and(|at| now.since_ms(at) > RESYNC_MS)
         {
-            self.synced_at = None;
+            self.full_state_at = None;
         }
         let mut dead = Vec::new();
         for known in self.known.values() {
@@ -304,31 +311,31 @@
             known.member.state != MemberState::Dead || now.since_ms(known.changed_at) < FORGET_MS
         });
         if self.known.is_empty() {
-            self.outcomes.clear();
+            self.probe_outcomes.clear();
         }
     }
 
-    /// After a pause of this process, nothing that it waited for has had its time, and it must
-    /// hear peers before it counts as connected.
-    fn resumed(&mut self, now: MonoMs) {
+    /// Handles a pause of this process: the time limits of suspects start again, and the instance
+    /// counts as isolated until it hears from peers.
+    fn handle_resume(&mut self, now: MonoMs) {
         for known in self.known.values_mut() {
             if known.member.state == MemberState::Suspect {
                 known.changed_at = now;
             }
         }
-        self.synced_at = None;
-        self.outcomes = VecDeque::from([false; OUTCOMES_NEEDED]);
+        self.full_state_at = None;
+        self.probe_outcomes = VecDeque::from([false; MIN_PROBE_OUTCOMES]);
     }
 
-    fn note_outcome(&mut self, answered: bool) {
-        self.outcomes.push_back(answered);
-        while self.outcomes.len() > OUTCOMES_KEPT {
-            self.outcomes.pop_front();
+    fn record_outcome(&mut self, answered: bool) {
+        self.probe_outcomes.push_back(answered);
+        while self.probe_outcomes.len() > PROBE_OUTCOMES_KEPT {
+            self.probe_outcomes.pop_front();
         }
     }
 
     fn merge(&mut self, updates: &[Member], now: MonoMs) {
-        let sends_left = self.sends_of_update();
+        let transmissions_left = self.transmissions_per_update();
         for update in updates {
             if update.id == self.me.id {
                 self.refute(update);
@@ -345,17 +352,17 @@
                 let index = self.rng.random_range(0..=self.order.len());
                 self.order.insert(index, update.id.clone());
             }
-            let known = Known {
+            let known = MemberRecord {
                 member: update.clone(),
                 changed_at: now,
-                sends_left,
+                transmissions_left,
             };
             self.known.insert(update.id.clone(), known);
         }
     }
 
-    /// Raises the own incarnation over a record of this instance that is not its own: a suspicion,
-    /// or one from before a restart, also on a clock that went back.
+    /// Raises the own incarnation if a record of this instance is not its own: a suspicion, or a
+    /// record from before a restart, even if the clock went back.
     fn refute(&mut self, update: &Member) {
         let (theirs, ours) = (update.incarnation, self.me.incarnation);
         if theirs > ours || (theirs == ours && *update != self.me) {
@@ -363,14 +370,14 @@
         }
     }
 
-    /// What is known of the sender, where it is newer than the sender's own record.
+    /// The recorded state of the sender, if it differs from the record in the sender's message.
     fn outdated_sender(&self, gossip: &Gossip) -> Option<Member> {
-        let told = gossip
+        let record = gossip
             .updates
             .iter()
             .find(|member| member.id == gossip.from)?;
         let known = &self.known.get(&gossip.from)?.member;
-        (known != told).then(|| known.clone())
+        (known != record).then(|| known.clone())
     }
 
     fn count(&self) -> u32 {
@@ -381,8 +388,8 @@
         SUSPICION_MS + SUSPICION_STEP_MS * u64::from(self.count().ilog2())
     }
 
-    /// An update is sent on about 3 log2(n) times, enough to reach all with high probability.
-    fn sends_of_update(&self) -> u32 {
+    /// An update is sent about 3 log2(n) times, which reaches all members with high probability.
+    fn transmissions_per_update(&self) -> u32 {
         3 * (usize::BITS - (self.known.len() + 1).leading_zeros())
     }
 
@@ -390,28 +397,28 @@
         &mut self,
         want_all: bool,
         sender: Option<Member>,
-        carried: GossipPayload,
+        payload: GossipPayload,
     ) -> Gossip {
         let mut updates = vec![self.me.clone()];
         updates.extend(sender);
-        let mut waiting = Vec::new();
+        let mut pending = Vec::new();
         for known in self.known.values_mut() {
-            if known.sends_left > 0 {
-                waiting.push(known);
+            if known.transmissions_left > 0 {
+                pending.push(known);
             }
         }
-        waiting.sort_by_key(|known| std::cmp::Reverse(known.sends_left));
-        waiting.truncate(UPDATES_PER_MESSAGE - updates.len());
-        for known in waiting {
-            known.sends_left -= 1;
+        pending.sort_by_key(|known| std::cmp::Reverse(known.transmissions_left));
+        pending.truncate(UPDATES_PER_MESSAGE - updates.len());
+        for known in pending {
+            known.transmissions_left -= 1;
             updates.push(known.member.clone());
         }
         Gossip {
             from: self.me.id.clone(),
             updates,
             want_all,
-            contracts: carried.contracts,
-            leaving: carried.leaving,
+            contracts: payload.contracts,
+            leaving: payload.leaving,
             members: self.count(),
         }
     }
--- a/crates/foxtailhold/src/quarantine.rs
+++ b/crates/foxtailhold/src/quarantine.rs
@@ -1,13 +1,14 @@
-//! Requests that crash backend servers.
+//! Quarantine of requests that are suspected of crashing backend servers.
 //!
-//! A crash makes suspects of all requests in flight there. A suspect is sent again only in a trial:
-//! no other suspect runs on that backend server, and no instance sends new requests there. If the
-//! backend server crashes again the suspect is convicted, unless another request that was sent
-//! there during the trial may be the cause; a doubt counts once. A suspect that survives its trial is cleared.
+//! When a backend server crashes, every request in flight there becomes a suspect. A suspect is
+//! only sent again in a probe: no other suspect runs on that backend server, and no instance sends
+//! new requests there. If the backend server crashes again, the suspect is convicted, unless
+//! another request that was sent there during the probe may be the cause; such a doubt counts once.
+//! A suspect that survives its probe is cleared.
 //!
-//! Every instance keeps the same table from the notices that all of them send to each other. Trials
-//! are granted by one instance, the home of [`PROBES_KEY`] by rendezvous hashing. Two homes for a
-//! moment, or a lost notice, cost further trials.
+//! Every instance builds the same table from the notices that all instances exchange. Probes are
+//! granted by one instance, the coordinator of probes, chosen for [`PROBES_KEY`] by rendezvous
+//! hashing. Two coordinators at the same time, or a lost notice, only cost additional probes.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -20,27 +21,28 @@
 use crate::ids::{BackendId, CustomerId};
 use crate::time::MonoMs;
 
-/// Key whose home grants trials.
+/// Rendezvous key that selects the coordinator of probes.
 pub const PROBES_KEY: &[u8] = b"crash-trials";
-/// A suspect nobody asks for is forgotten after this time.
+/// A suspect that is not requested again is forgotten after this time.
 pub const SUSPECT_TTL_MS: u64 = 120_000;
-/// How long a conviction lasts.
-pub const CONVICTED_MS: u64 = 600_000;
-/// After its conviction a request stays suspect for this time.
+/// Duration of a conviction.
+pub const CONVICTION_MS: u64 = 600_000;
+/// After its conviction a request stays a suspect for this time.
 pub const PROBATION_MS: u64 = 3_600_000;
-/// Time to hear from all instances what they had in flight at a crash.
+/// Time to receive from all instances what they had in flight at a crash.
 pub const GATHER_MS: u64 = 300;
-/// A trial whose end is not reported gives way to another one.
-pub const TRIAL_MS: u64 = 30_000;
-/// Time between the grant of a trial and its request. All instances hear of the grant meanwhile and
-/// send nothing more there, and what is there already has shown that it does not crash the engine.
+/// A probe whose end is not reported is dropped after this time.
+pub const PROBE_TIMEOUT_MS: u64 = 30_000;
+/// Time between the grant of a probe and its request. Meanwhile all instances learn of the grant
+/// and stop sending requests there, and the requests that are already there show that they do not
+/// crash the engine.
 pub const PROBE_DELAY_MS: u64 = 200;
-/// When to ask again for a trial.
-pub const WAIT_MS: u64 = 40;
-/// Suspects and convictions kept.
+/// Time after which an instance asks for a probe again.
+pub const PROBE_RETRY_MS: u64 = 40;
+/// Largest number of entries in each table; the entry that expires first is dropped.
 pub const MAX_ENTRIES: usize = 8_192;
 
-/// What tells a request from others: its customer and body.
+/// Identifies a request by customer and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u128);
 
@@ -54,7 +56,7 @@
         Fingerprint(hash.digest128())
     }
 
-    /// The fingerprint of an opaque request: the host stands for the customer.
+    /// The fingerprint of an opaque request, where the host stands for the customer.
     pub fn of_opaque(host: &str, target: &str, body: &[u8]) -> Self {
         let mut hash = Xxh3::new();
         for part in [host, target] {
@@ -83,106 +85,106 @@
 /// A request in flight at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlightRequest {
-    /// The request.
+    /// Identifies the request.
     pub fingerprint: Fingerprint,
-    /// How long ago it was sent.
+    /// Time in ms since it was sent.
     pub age_ms: u64,
 }
 
-/// One crash. The same crash has the same value at all instances.
+/// One crash of a backend server. The same crash has the same value at all instances.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashId {
-    /// The backend server.
+    /// The backend server that crashed.
     pub backend: BackendId,
-    /// When the process that crashed had started, in ms since the Unix epoch by its own clock; 0
-    /// where its load report did not say.
+    /// When the process that crashed had started, in ms since the Unix epoch by its own clock; 0 if
+    /// its load report did not say.
     pub started_unix_ms: u64,
 }
 
-/// What instances tell each other.
+/// A notice that instances exchange to build the same table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineNotice {
     /// A backend server crashed with these requests of one instance in flight.
     Crashed {
-        /// Which crash.
+        /// Identifies the crash.
         crash: CrashId,
-        /// The requests.
+        /// Requests of the sending instance in flight at the crash.
         flights: Vec<InFlightRequest>,
     },
-    /// A suspect is tried.
+    /// A probe of a suspect was granted.
     ProbeStarted {
-        /// The suspect.
+        /// The suspect under probe.
         fingerprint: Fingerprint,
-        /// Where.
+        /// The backend server that runs the probe.
         backend: BackendId,
     },
-    /// A trial ended without a verdict.
+    /// A probe ended without a verdict.
     Inconclusive {
-        /// The suspect.
+        /// The suspect that was under probe.
         fingerprint: Fingerprint,
     },
-    /// A suspect survived its trial.
+    /// A suspect survived its probe.
     Cleared {
-        /// The request.
+        /// The request that is cleared.
         fingerprint: Fingerprint,
     },
-    /// A suspect crashed the backend server of its trial.
+    /// A suspect crashed the backend server of its probe.
     Convicted {
-        /// The request.
+        /// The request that is convicted.
         fingerprint: Fingerprint,
-        /// How long the conviction lasts.
+        /// Remaining duration of the conviction in ms.
         left_ms: u64,
     },
 }
 
-/// How a request stands.
+/// Status of a request in quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing is held against it.
+    /// The request is not under suspicion.
     Clear,
-    /// It is sent only in a trial.
+    /// The request is only sent in a probe.
     Suspect,
-    /// It is refused.
+    /// The request is refused.
     Convicted {
-        /// How long.
+        /// Remaining duration of the conviction in ms.
         left_ms: u64,
     },
 }
 
-/// Answer to an instance that asks to send a suspect.
+/// Response to an instance that asks to probe a suspect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeResponse {
-    /// Send it there, alone of its kind.
+    /// The suspect may be sent to this backend server; no other suspect runs there.
     Granted {
-        /// Where.
+        /// The backend server for the probe.
         backend: BackendId,
-        /// Whether the trial lasts until the request's end, not only until its first event.
+        /// Whether the probe lasts until the end of the request, not only until its first event.
         strict: bool,
-        /// How long to wait before it is sent.
+        /// Time in ms to wait before the request is sent.
         quiet_ms: u64,
     },
-    /// Ask again.
+    /// No probe is possible now; ask again later.
     Wait {
-        /// When.
+        /// Time in ms after which to ask again.
         after_ms: u64,
     },
-    /// It is not a suspect here.
+    /// The coordinator does not suspect the request.
     Clear,
-    /// It is convicted.
+    /// The request is convicted.
     Convicted {
-        /// How long.
+        /// Remaining duration of the conviction in ms.
         left_ms: u64,
     },
 }
 
-/// How a trial ended.
+/// How a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeOutcome {
-    /// The backend server lived on.
+    /// The backend server did not crash.
     Survived,
     /// The backend server crashed.
     Crashed,
-    /// The request was not sent or was cut for another reason.
+    /// The request was not sent, or it was cancelled for another reason.
     Unknown,
 }
 
@@ -191,46 +193,46 @@
     last_crash: Option<CrashId>,
     strict: bool,
     doubted: bool,
-    expires: MonoMs,
+    expires_at: MonoMs,
 }
 
 #[derive(Debug, Clone)]
-struct Trial {
+struct Probe {
     backend: BackendId,
-    since: MonoMs,
+    started_at: MonoMs,
     crashed_at: Option<MonoMs>,
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct RecentRequest {
     backend: BackendId,
     fingerprint: Fingerprint,
     sent_at: MonoMs,
-    at: MonoMs,
+    recorded_at: MonoMs,
 }
 
-/// The table of one instance.
+/// The quarantine table of one instance.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     convicted: HashMap<Fingerprint, MonoMs>,
     cleared: HashMap<Fingerprint, MonoMs>,
-    trials: HashMap<Fingerprint, Trial>,
-    seen: Vec<Seen>,
+    probes: HashMap<Fingerprint, Probe>,
+    recent: Vec<RecentRequest>,
 }
 
-fn drop_oldest<T>(map: &mut HashMap<Fingerprint, T>, expires: impl Fn(&T) -> MonoMs) {
+fn drop_oldest<T>(map: &mut HashMap<Fingerprint, T>, expires_at: impl Fn(&T) -> MonoMs) {
     if map.len() <= MAX_ENTRIES {
         return;
     }
-    let oldest = map.iter().min_by_key(|(_, value)| expires(value));
+    let oldest = map.iter().min_by_key(|(_, value)| expires_at(value));
     if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
         map.remove(&fingerprint);
     }
 }
 
 impl Quarantine {
-    /// How a request stands.
+    /// The status of a request.
     pub fn status(&self, fingerprint: Fingerprint, now: MonoMs) -> QuarantineStatus {
         if let Some(until) = self.convicted.get(&fingerprint)
             && *until > now
@@ -244,7 +246,7 @@
         }
     }
 
-    /// All requests that do not stand clear.
+    /// The status of all requests that are suspected or convicted.
     pub fn standings(&self, now: MonoMs) -> HashMap<Fingerprint, QuarantineStatus> {
         let known = self.suspects.keys().chain(self.convicted.keys());
         known
@@ -252,12 +254,12 @@
             .collect()
     }
 
-    /// Backend servers where a trial runs.
+    /// Backend servers with a probe in progress.
     pub fn probed_backends(&self) -> impl Iterator<Item = &BackendId> {
-        self.trials.values().map(|trial| &trial.backend)
+        self.probes.values().map(|probe| &probe.backend)
     }
 
-    /// What an instance that has just started needs to know.
+    /// Notices that bring an instance that has just started up to date.
     pub fn snapshot(&self, now: MonoMs) -> Vec<QuarantineNotice> {
         let mut notices = Vec::new();
         for (fingerprint, until) in &self.convicted {
@@ -279,25 +281,25 @@
                 flights: vec![flight],
             });
         }
-        for (fingerprint, trial) in &self.trials {
+        for (fingerprint, probe) in &self.probes {
             notices.push(QuarantineNotice::ProbeStarted {
                 fingerprint: *fingerprint,
-                backend: trial.backend.clone(),
+                backend: probe.backend.clone(),
             });
         }
         notices
     }
 
-    /// Takes a notice in, an own one too. Returns whether anything changed.
+    /// Applies a notice, also one of this instance. Returns whether anything changed.
     pub fn on_notice(&mut self, notice: &QuarantineNotice, now: MonoMs) -> bool {
         match notice {
             QuarantineNotice::Crashed { crash, flights } => self.crashed(crash, flights, now),
             QuarantineNotice::ProbeStarted {
                 fingerprint,
                 backend,
-            } => self.trial_begun(*fingerprint, backend, now),
+            } => self.start_probe(*fingerprint, backend, now),
             QuarantineNotice::Inconclusive { fingerprint } => {
-                self.trials.remove(fingerprint).is_some()
+                self.probes.remove(fingerprint).is_some()
             }
             QuarantineNotice::Cleared { fingerprint } => self.clear(*fingerprint, now),
             QuarantineNotice::Convicted {
@@ -311,11 +313,11 @@
         let mut changed = false;
         for flight in flights {
             let fingerprint = flight.fingerprint;
-            self.seen.push(Seen {
+            self.recent.push(RecentRequest {
                 backend: crash.backend.clone(),
                 fingerprint,
                 sent_at: MonoMs(now.0.saturating_sub(flight.age_ms)),
-                at: now,
+                recorded_at: now,
             });
             let strict = self.cleared.contains_key(&fingerprint);
             let suspect = self.suspects.entry(fingerprint);
@@ -323,49 +325,49 @@
                 last_crash: None,
                 strict,
                 doubted: false,
-                expires: now,
+                expires_at: now,
             });
             changed |= suspect.last_crash.as_ref() != Some(crash);
             suspect.last_crash = Some(crash.clone());
-            suspect.expires = suspect.expires.max(now + SUSPECT_TTL_MS);
+            suspect.expires_at = suspect.expires_at.max(now + SUSPECT_TTL_MS);
         }
-        drop_oldest(&mut self.suspects, |suspect| suspect.expires);
+        drop_oldest(&mut self.suspects, |suspect| suspect.expires_at);
         changed
     }
 
-    fn trial_begun(&mut self, fingerprint: Fingerprint, backend: &BackendId, now: MonoMs) -> bool {
-        let trial = Trial {
+    fn start_probe(&mut self, fingerprint: Fingerprint, backend: &BackendId, now: MonoMs) -> bool {
+        let probe = Probe {
             backend: backend.clone(),
-            since: now,
+            started_at: now,
             crashed_at: None,
         };
-        self.trials.insert(fingerprint, trial);
+        self.probes.insert(fingerprint, probe);
         true
     }
 
     fn clear(&mut self, fingerprint: Fingerprint, now: MonoMs) -> bool {
-        self.trials.remove(&fingerprint);
+        self.probes.remove(&fingerprint);
         self.cleared.insert(fingerprint, now + SUSPECT_TTL_MS);
         drop_oldest(&mut self.cleared, |until| *until);
         self.suspects.remove(&fingerprint).is_some()
     }
 
     fn convict(&mut self, fingerprint: Fingerprint, left_ms: u64, now: MonoMs) -> bool {
-        self.trials.remove(&fingerprint);
-        let until = now + left_ms.min(CONVICTED_MS);
+        self.probes.remove(&fingerprint);
+        let until = now + left_ms.min(CONVICTION_MS);
         self.convicted.insert(fingerprint, until);
         drop_oldest(&mut self.convicted, |until| *until);
         let suspect = self.suspects.entry(fingerprint).or_insert(Suspect {
             last_crash: None,
             strict: false,
             doubted: false,
-            expires: now,
+            expires_at: now,
         });
-        suspect.expires = until + PROBATION_MS;
+        suspect.expires_at = until + PROBATION_MS;
         true
     }
 
-    /// At the home: an instance asks to send a suspect to one of `backends`, best first.
+    /// At the coordinator: handles a request to probe a suspect on one of `backends`, best first.
     pub fn ask(
         &mut self,
         fingerprint: Fingerprint,
@@ -377,15 +379,17 @@
             QuarantineStatus::Convicted { left_ms } => return ProbeResponse::Convicted { left_ms },
             QuarantineStatus::Suspect => {}
         }
-        let wait = ProbeResponse::Wait { after_ms: WAIT_MS };
-        if self.trials.contains_key(&fingerprint) {
+        let wait = ProbeResponse::Wait {
+            after_ms: PROBE_RETRY_MS,
+        };
+        if self.probes.contains_key(&fingerprint) {
             return wait;
         }
         for backend in backends {
             if self.probed_backends().any(|taken| taken == backend) {
                 continue;
             }
-            self.trial_begun(fingerprint, backend, now);
+            self.start_probe(fingerprint, backend, now);
             let suspect = self.suspects.get(&fingerprint);
             return ProbeResponse::Granted {
                 backend: backend.clone(),
@@ -396,7 +400,8 @@
         wait
     }
 
-    /// At the home: a trial ended. Returns the notice to send, where there is one at once.
+    /// At the coordinator: records the end of a probe. Returns the notice to send, if it is known
+    /// at once.
     pub fn probe_ended(
         &mut self,
         fingerprint: Fingerprint,
@@ -404,13 +409,13 @@
         end: ProbeOutcome,
         now: MonoMs,
     ) -> Option<QuarantineNotice> {
-        let trial = self.trials.get_mut(&fingerprint)?;
-        if trial.backend != *backend {
+        let probe = self.probes.get_mut(&fingerprint)?;
+        if probe.backend != *backend {
             return None;
         }
         let notice = match end {
             ProbeOutcome::Crashed => {
-                trial.crashed_at.get_or_insert(now);
+                probe.crashed_at.get_or_insert(now);
                 return None;
             }
             ProbeOutcome::Survived => QuarantineNotice::Cleared { fingerprint },
@@ -420,20 +425,21 @@
         Some(notice)
     }
 
-    /// Forgets what has expired and gives the verdicts that are due.
+    /// Drops expired entries and returns the verdicts that are due.
     pub fn tick(&mut self, now: MonoMs) -> Vec<QuarantineNotice> {
-        self.suspects.retain(|_, suspect| suspect.expires > now);
+        self.suspects.retain(|_, suspect| suspect.expires_at > now);
         self.convicted.retain(|_, until| *until > now);
         self.cleared.retain(|_, until| *until > now);
-        self.trials
-            .retain(|_, trial| trial.crashed_at.is_some() || trial.since + TRIAL_MS > now);
+        self.probes.retain(|_, probe| {
+            probe.crashed_at.is_some() || probe.started_at + PROBE_TIMEOUT_MS > now
+        });
         let mut notices = Vec::new();
-        for (fingerprint, trial) in &self.trials {
-            let due = trial.crashed_at.is_some_and(|at| at + GATHER_MS <= now);
+        for (fingerprint, probe) in &self.probes {
+            let due = probe.crashed_at.is_some_and(|at| at + GATHER_MS <= now);
             if !due {
                 continue;
             }
-            let is_doubtful = self.is_doubtful(*fingerprint, trial);
+            let is_doubtful = self.is_doubtful(*fingerprint, probe);
             let suspect = self.suspects.get_mut(fingerprint);
             let doubted = suspect.map(|s| std::mem::replace(&mut s.doubted, is_doubtful));
             notices.push(verdict(*fingerprint, is_doubtful && doubted == Some(false)));
@@ -441,15 +447,19 @@
         for notice in &notices {
             self.on_notice(notice, now);
         }
-        self.seen.retain(|seen| seen.at + TRIAL_MS > now);
+        self.recent
+            .retain(|recent| recent.recorded_at + PROBE_TIMEOUT_MS > now);
         notices
     }
 
-    /// Whether another request was sent to the backend server of a trial while it ran.
-    fn is_doubtful(&self, fingerprint: Fingerprint, trial: &Trial) -> bool {
-        for seen in &self.seen {
-            let other = seen.fingerprint != fingerprint && seen.backend == trial.backend;
-            if other && seen.at >= trial.since && seen.sent_at >= trial.since + PROBE_DELAY_MS / 2 {
+    /// Whether another request was sent to the backend server of a probe while the probe ran.
+    fn is_doubtful(&self, fingerprint: Fingerprint, probe: &Probe) -> bool {
+        for recent in &self.recent {
+            let other = recent.fingerprint != fingerprint && recent.backend == probe.backend;
+            if other
+                && recent.recorded_at >= probe.started_at
+                && recent.sent_at >= probe.started_at + PROBE_DELAY_MS / 2
+            {
                 return true;
             }
         }
@@ -463,6 +473,6 @@
     }
     QuarantineNotice::Convicted {
         fingerprint,
-        left_ms: CONVICTED_MS,
+        left_ms: CONVICTION_MS,
     }
 }
--- a/crates/foxtailhold/src/replicas.rs
+++ b/crates/foxtailhold/src/replicas.rs
@@ -1,5 +1,5 @@
-//! What one instance knows of each backend server: the fleet list's entry, the last load report,
-//! and its own sends since that report.
+//! What one instance knows of each backend server: its entry in the fleet list, its last load
+//! report, and the requests sent to it since that report.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::ids::{AvailabilityZone, BackendId, TargetName};
 use crate::time::MonoMs;
 
-/// What a backend server is.
+/// Kind of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
@@ -18,70 +18,70 @@
     Service,
 }
 
-/// Whether the fleet list calls a machine live.
+/// State of a backend server in the fleet list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FleetState {
-    /// In use.
+    /// Accepts new work.
     Live,
-    /// Going away: gets no new work.
+    /// Is being removed and gets no new work.
     Leaving,
 }
 
-/// One backend server in the fleet list.
+/// An entry of the fleet list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its identifier.
+    /// Identifies the backend server.
     pub id: BackendId,
-    /// Engine or service.
+    /// Whether it is a model engine or a plain service.
     pub kind: BackendKind,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the backend server.
     pub availability_zone: AvailabilityZone,
-    /// Live or leaving.
+    /// Whether it is live or leaving.
     pub state: FleetState,
-    /// Models or services it serves.
+    /// Models or services that it serves.
     pub targets: Vec<TargetName>,
 }
 
-/// A load report of a backend server. It lags.
+/// A load report of a backend server. It describes the past, by `age_ms`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests admitted and waiting.
+    /// Requests that are admitted and waiting.
     pub waiting: u32,
-    /// Requests the running batch can hold.
+    /// Largest number of requests in the running batch.
     pub slots: u32,
     /// Share of the KV cache in use, 0 to 1.
     pub kv_used: f64,
-    /// Age of the report when it was given.
+    /// Age of the report in ms when it was returned.
     pub age_ms: u64,
-    /// Whether the server itself says that it is leaving.
+    /// Whether the server itself reports that it is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// When its process started, in ms since the Unix epoch by its own clock; 0 where it does not
-    /// say. Another value means that it was started anew.
+    /// When its process started, in ms since the Unix epoch by its own clock; 0 if it does not say.
+    /// A changed value means that the process was restarted.
     #[serde(default)]
     pub started_unix_ms: u64,
 }
 
-/// Load of one backend server as one instance estimates it.
+/// Load of one backend server as estimated by one instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ReplicaLoad {
-    /// The last report.
+    /// The last load report.
     pub report: LoadReport,
     /// When the report was received; `None` before the first.
     pub reported_at: Option<MonoMs>,
-    /// Own requests sent since the report was made and not yet finished.
+    /// Requests of this instance that were sent since the report was made and have not ended.
     pub sent_since_report: u32,
-    /// Own requests in flight.
+    /// Requests of this instance in flight.
     pub in_flight: u32,
 }
 
 impl ReplicaLoad {
-    /// Requests thought to be at the backend server.
+    /// Estimated number of requests at the backend server.
     pub fn estimate(&self) -> u32 {
         let reported = self.report.running + self.report.waiting + self.sent_since_report;
         reported.max(self.in_flight)
--- a/crates/foxtailhold/src/routes.rs
+++ b/crates/foxtailhold/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes of a contract: which requests go to which service, and under which limits.
 //!
-//! A route is found by host and longest path prefix. What may be repeated follows from its
-//! [`RouteKind`] alone, never from the method or the name of a request.
+//! A route is found by host and longest path prefix. Whether a request may be repeated follows from
+//! the route's [`RouteKind`] alone, never from the method or the name of a request.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,36 +9,36 @@
 
 use crate::ids::TargetName;
 
-/// Result of checking routes.
+/// Result of validating routes.
 pub type Result<T> = std::result::Result<T, RouteError>;
 
-/// Why a table of routes is refused.
+/// Reason why a route table is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RouteError {
-    /// A prefix does not begin and end with a slash.
+    /// A path prefix does not begin and end with a slash.
     #[error("the prefix {prefix:?} of route {route} must begin and end with '/'")]
     BadPrefix {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// Its prefix.
+        /// The invalid prefix.
         prefix: String,
     },
-    /// A route has no service with a weight.
+    /// A route has no service with a weight above zero.
     #[error("route {route} names no service with a weight over 0")]
     NoService {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
 }
 
-/// What may be repeated, and how a request is answered.
+/// How requests of a route are answered, and whether they may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Whole answers; may run more than once.
+    /// Complete responses; a request may run more than once.
     Idempotent,
-    /// Whole answers; may run at most once.
+    /// Complete responses; a request may run at most once.
     Once,
-    /// A stream of events; may run at most once.
+    /// A stream of events; a request may run at most once.
     Stream,
     /// A stream of events that another backend server can continue after a given event.
     ResumableStream,
@@ -47,7 +47,7 @@
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request may be sent again when it may already have run.
     pub fn is_idempotent(self) -> bool {
         matches!(
             self,
@@ -55,52 +55,52 @@
         )
     }
 
-    /// Whether answers are streams of events.
+    /// Whether responses are streams of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
-/// Bounds of a batch route.
+/// Limits of a batch route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchLimits {
-    /// All results are due this long after the job was first sent.
+    /// Time from the first submission of a job until all its results are due.
     pub due_ms: u64,
-    /// An item may be given up this long after the job was first sent.
+    /// Time from the first submission of a job after which an item may be given up.
     pub give_up_ms: u64,
-    /// Tokens of all unfinished items, over all instances; 0: no bound.
+    /// Largest number of tokens of all unfinished items over all instances; 0 means no limit.
     pub quota_tokens: u64,
 }
 
-/// One route.
+/// A route of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: String,
-    /// Host that it serves.
+    /// Host name that the route serves, without a port.
     pub host: String,
     /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// How requests are answered and whether they may be repeated.
     pub kind: RouteKind,
     /// Services with their weights.
     pub services: Vec<(TargetName, u32)>,
-    /// Longest time that a caller is kept waiting; 0: no limit.
+    /// Longest time that a caller waits; 0 means no limit.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most.
+    /// Latency objective of a response.
     pub objective_ms: u64,
-    /// Longest pause between two events of a stream that is still on time.
+    /// Longest time between two events of a stream that is still on time.
     pub pause_ms: u64,
-    /// Rank, 0 the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Most backend servers that one request may be sent to.
+    /// Largest number of backend servers that one request is sent to.
     pub attempts: u32,
-    /// Bounds of a batch route.
+    /// Limits of a batch route; `None` for other routes.
     pub batch: Option<BatchLimits>,
 }
 
 impl Route {
-    /// The service for a draw from 0 to `u32::MAX`, by weight.
+    /// Selects a service by weight, for a random number `draw`.
     pub fn service(&self, draw: u32) -> &TargetName {
         let total: u64 = self
             .services
@@ -118,25 +118,25 @@
     }
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on what clients send and how long they take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Largest head of a request.
+    /// Largest size of a request head.
     pub header_bytes: usize,
-    /// Largest body.
+    /// Largest size of a request body.
     pub body_bytes: usize,
-    /// Time for a head.
+    /// Time limit for a request head.
     pub header_ms: u64,
     /// Idle connections are closed after this time.
     pub idle_ms: u64,
 }
 
-/// A service that routes name.
+/// Properties of a service that routes refer to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceLimits {
-    /// Connections that one of its backend servers takes, from all callers together.
+    /// Connections that each of its backend servers accepts, from all callers together.
     pub connections: u32,
-    /// Whether it generates tokens, with places for a fixed number of requests.
+    /// Whether it is a model engine, with slots for a fixed number of requests.
     pub is_engine: bool,
 }
 
@@ -150,7 +150,7 @@
 }
 
 impl RouteTable {
-    /// Checks and indexes routes.
+    /// Validates and indexes routes.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -159,7 +159,7 @@
     ) -> Result<Self> {
         let mut hosts: HashMap<String, Vec<Route>> = HashMap::new();
         for route in routes {
-            check(&route)?;
+            validate(&route)?;
             let host = route.host.to_ascii_lowercase();
             hosts.entry(host).or_default().push(route);
         }
@@ -174,28 +174,28 @@
         })
     }
 
-    /// Version of the configuration, 0 before the first one.
+    /// Version of the configuration; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What clients may send.
+    /// Limits on what clients send; `None` if the configuration has none.
     pub fn limits(&self) -> Option<ClientLimits> {
         self.limits
     }
 
-    /// A service's bounds.
+    /// The properties of a service; `None` if the configuration does not name it.
     pub fn service(&self, name: &TargetName) -> Option<&ServiceLimits> {
         self.services.get(name)
     }
 
-    /// Services that hold places for requests.
+    /// Services that are model engines.
     pub fn engines(&self) -> impl Iterator<Item = &TargetName> {
         let engines = self.services.iter().filter(|(_, bounds)| bounds.is_engine);
         engines.map(|(name, _)| name)
     }
 
-    /// The route of a host and path; a port in the host is ignored.
+    /// The route of a host and path. A port in the host is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
@@ -206,7 +206,7 @@
     }
 }
 
-fn check(route: &Route) -> Result<()> {
+fn validate(route: &Route) -> Result<()> {
     let prefix = &route.prefix;
     if !prefix.starts_with('/') || !prefix.ends_with('/') {
         return Err(RouteError::BadPrefix {
