--- a/crates/foxtailhold/src/routing.rs
+++ b/crates/foxtailhold/src/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend server for one request.
+//! Selection of a backend server for one request.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -9,35 +9,35 @@
 /// A backend server that may serve the request, with its estimated load.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// The backend server.
+    /// Identifies the backend server.
     pub id: &'a BackendId,
-    /// Its availability zone.
+    /// Availability zone of the backend server.
     pub availability_zone: &'a AvailabilityZone,
-    /// Hash of its identifier, from [`affinity_seed`].
+    /// Hash of the identifier, from [`affinity_seed`].
     pub affinity_seed: u64,
-    /// Whether it takes new work.
+    /// Whether the fleet list calls it live or leaving; only a live one gets new work.
     pub state: FleetState,
-    /// Its load.
+    /// Load as estimated by this instance.
     pub load: ReplicaLoad,
-    /// Whether recent failures set it aside.
+    /// Whether recent failures have ejected it.
     pub availability: Availability,
-    /// Whether a request suspected of crashes runs there alone of its kind.
+    /// Whether a request suspected of crashes is being probed there.
     pub under_probe: bool,
-    /// Mean time between events in µs; 0 where none was seen.
+    /// Mean time between events in µs; 0 if none was seen.
     pub gap_us: u64,
 }
 
-/// The backend servers of one model or service, read only where the policy looks.
+/// The backend servers of one model or service. Entries are built only where the policy reads them.
 pub trait Candidates {
-    /// How many there are.
+    /// Number of candidates.
     fn len(&self) -> usize;
 
-    /// Whether there is none.
+    /// Whether there is no candidate.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// One of them.
+    /// The candidate at `index`.
     fn get(&self, index: usize) -> Candidate<'_>;
 }
 
@@ -51,22 +51,22 @@
     }
 }
 
-/// What the choice may depend on.
+/// Properties of a request that a policy may use.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// The instance's own availability zone.
+    /// Availability zone of this instance.
     pub availability_zone: &'a AvailabilityZone,
     /// Hash of the prompt's prefix, for the engines' prefix caches.
     pub prefix_hash: u64,
-    /// Backend servers already tried.
+    /// Backend servers that this request was already sent to.
     pub tried: &'a [BackendId],
-    /// A number drawn for this choice, to break ties evenly.
+    /// A random number that breaks ties evenly.
     pub draw: u64,
 }
 
-/// A way to choose.
+/// A policy that selects a backend server.
 pub trait RoutePolicy: Clone + Send + Sync + 'static {
-    /// The index of the chosen candidate, `None` where none may be used.
+    /// The index of the selected candidate; `None` if none may be used.
     fn choose<C: Candidates>(&self, query: &RouteQuery<'_>, candidates: &C) -> Option<usize>;
 }
 
@@ -74,7 +74,7 @@
     candidate.state == FleetState::Live && !query.tried.contains(candidate.id)
 }
 
-/// Fewest requests first, ties broken by the draw: the plain baseline.
+/// Baseline policy: the candidate with the fewest requests, ties broken at random.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeastLoaded;
 
@@ -86,28 +86,29 @@
             .filter(|index| is_allowed(query, &candidates.get(*index)))
             .min_by_key(|index| {
                 let candidate = candidates.get(*index);
-                let set_aside = candidate.availability == Availability::Ejected;
-                (set_aside, candidate.load.estimate())
+                let is_ejected = candidate.availability == Availability::Ejected;
+                (is_ejected, candidate.load.estimate())
             })
     }
 }
 
-/// Load over the mean that a replica may have and still get the requests of its prefixes.
-const BOUND_PERCENT: u64 = 125;
-/// A replica below this share of its slots keeps its prefixes whatever the mean is.
-const IDLE_SHARE: u64 = 4;
-/// Slots assumed where the load report has not come yet.
+/// Load relative to the mean, in percent, up to which a replica still gets the requests of its
+/// prefixes.
+const LOAD_BOUND_PERCENT: u64 = 125;
+/// A replica below one slot in this many keeps its prefixes whatever the mean load is.
+const IDLE_DIVISOR: u64 = 4;
+/// Slots assumed until the first load report.
 const DEFAULT_SLOTS: u32 = 16;
-/// A replica whose events come this much slower than the mean is slow.
+/// A replica is slow if its gap between events exceeds the mean by this factor.
 const SLOW_FACTOR: u64 = 4;
-/// Gaps below this are never slow, in µs.
+/// Gaps below this are never slow.
 const SLOW_FLOOR_US: u64 = 50_000;
-/// One choice in so many looks at slow replicas too, so that a recovered one is noticed.
-const SLOW_TRY: u64 = 32;
+/// One selection in this many also considers slow replicas, so that a recovered one is noticed.
+const SLOW_RETRY_INTERVAL: u64 = 32;
 
-/// Prefix affinity by rendezvous hashing, bounded by load (Mirrokni, Thorup and Zadimoghaddam,
-/// 2018) over two homes; above their bounds the less loaded of two drawn (Mitzenmacher, 2001), the own availability
-/// zone first.
+/// Prefix affinity by rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
+/// 2018) over two preferred candidates. If both exceed their bounds, the less loaded of two random
+/// candidates (Mitzenmacher, 2001), first in the own availability zone.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BoundedAffinity;
 
@@ -117,7 +118,7 @@
 }
 
 /// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
-fn mixed(value: u64) -> u64 {
+fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
@@ -131,16 +132,16 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Fleet {
+struct FleetLoad {
     requests: u64,
     slots: u64,
     gap_sum_us: u64,
     gap_count: u64,
 }
 
-impl Fleet {
-    fn of<C: Candidates>(query: &RouteQuery<'_>, candidates: &C) -> Self {
-        let mut fleet = Fleet::default();
+impl FleetLoad {
+    fn measure<C: Candidates>(query: &RouteQuery<'_>, candidates: &C) -> Self {
+        let mut fleet = FleetLoad::default();
         for index in 0..candidates.len() {
             let candidate = candidates.get(index);
             if !is_allowed(query, &candidate) || candidate.availability != Availability::Available {
@@ -159,12 +160,12 @@
         candidate.gap_us > SLOW_FLOOR_US.max(mean_us * SLOW_FACTOR)
     }
 
-    /// Requests that a replica may have and still get more by affinity.
+    /// Number of requests up to which a replica still gets more by affinity.
     fn bound(&self, candidate: &Candidate<'_>) -> u64 {
         let own = slots(candidate);
-        let share = (self.requests + 1) * own * BOUND_PERCENT;
+        let share = (self.requests + 1) * own * LOAD_BOUND_PERCENT;
         let bound = share.div_ceil(self.slots.max(1) * 100);
-        bound.max(own / IDLE_SHARE)
+        bound.max(own / IDLE_DIVISOR)
     }
 
     fn is_below(&self, candidate: &Candidate<'_>) -> bool {
@@ -173,43 +174,45 @@
 }
 
 impl BoundedAffinity {
-    fn is_sound(query: &RouteQuery<'_>, fleet: &Fleet, candidate: &Candidate<'_>) -> bool {
-        let looks_at_slow = query.draw.is_multiple_of(SLOW_TRY);
+    fn is_healthy(query: &RouteQuery<'_>, fleet: &FleetLoad, candidate: &Candidate<'_>) -> bool {
+        let includes_slow = query.draw.is_multiple_of(SLOW_RETRY_INTERVAL);
         is_allowed(query, candidate)
             && candidate.availability != Availability::Ejected
             && !candidate.under_probe
-            && (looks_at_slow || !fleet.is_slow(candidate))
+            && (includes_slow || !fleet.is_slow(candidate))
     }
 
-    /// The two candidates of highest weight for the prefix. Every instance names the same ones, so
-    /// that copies of one request meet at few backend servers whatever instance they come through.
-    fn homes<C: Candidates>(
+    /// The two candidates with the highest weight for the prefix. Every instance computes the same
+    /// ones, so that copies of one request reach few backend servers whichever instance they come
+    /// through.
+    fn preferred<C: Candidates>(
         query: &RouteQuery<'_>,
-        fleet: &Fleet,
+        fleet: &FleetLoad,
         candidates: &C,
     ) -> [Option<usize>; 2] {
         let mut best: [Option<(u64, usize)>; 2] = [None, None];
         for index in 0..candidates.len() {
             let candidate = candidates.get(index);
-            if !Self::is_sound(query, fleet, &candidate) {
+            if !Self::is_healthy(query, fleet, &candidate) {
                 continue;
             }
-            let weight = mixed(candidate.affinity_seed ^ query.prefix_hash);
-            let place = Some((weight, index));
-            let is_above = |best: Option<(u64, usize)>| best.is_none_or(|(of, _)| weight > of);
+            let weight = mix(candidate.affinity_seed ^ query.prefix_hash);
+            let entry = Some((weight, index));
+            let is_above =
+                |best: Option<(u64, usize)>| best.is_none_or(|(other, _)| weight > other);
             if is_above(best[0]) {
-                best = [place, best[0]];
+                best = [entry, best[0]];
             } else if is_above(best[1]) {
-                best[1] = place;
+                best[1] = entry;
             }
         }
-        best.map(|home| home.map(|(_, index)| index))
+        best.map(|candidate_index| candidate_index.map(|(_, index)| index))
     }
 
-    /// The first sound candidate below its bound from `start` on.
-    fn drawn<C: Candidates>(
+    /// The first healthy candidate below its bound, searched cyclically from `start`.
+    fn first_below_bound<C: Candidates>(
         query: &RouteQuery<'_>,
-        fleet: &Fleet,
+        fleet: &FleetLoad,
         candidates: &C,
         start: u64,
         in_zone: bool,
@@ -221,21 +224,23 @@
             if in_zone && candidate.availability_zone != query.availability_zone {
                 continue;
             }
-            if Self::is_sound(query, fleet, &candidate) && fleet.is_below(&candidate) {
+            if Self::is_healthy(query, fleet, &candidate) && fleet.is_below(&candidate) {
                 return Some(index);
             }
         }
         None
     }
 
-    fn spilled<C: Candidates>(
+    fn spill<C: Candidates>(
         query: &RouteQuery<'_>,
-        fleet: &Fleet,
+        fleet: &FleetLoad,
         candidates: &C,
     ) -> Option<usize> {
         for in_zone in [true, false] {
-            let first = Self::drawn(query, fleet, candidates, query.draw >> 32, in_zone);
-            let second = Self::drawn(query, fleet, candidates, mixed(query.draw), in_zone);
+            let first =
+                Self::first_below_bound(query, fleet, candidates, query.draw >> 32, in_zone);
+            let second =
+                Self::first_below_bound(query, fleet, candidates, mix(query.draw), in_zone);
             let (Some(first), Some(second)) = (first, second) else {
                 continue;
             };
@@ -249,10 +254,11 @@
         None
     }
 
-    /// The best of what is left: sound ones over slow ones and those on trial, those set aside last.
+    /// The best remaining candidate: healthy ones before slow ones, then those under probe, ejected
+    /// ones last.
     fn last_resort<C: Candidates>(
         query: &RouteQuery<'_>,
-        fleet: &Fleet,
+        fleet: &FleetLoad,
         candidates: &C,
     ) -> Option<usize> {
         let count = candidates.len();
@@ -261,24 +267,24 @@
             .filter(|index| is_allowed(query, &candidates.get(*index)))
             .min_by_key(|index| {
                 let candidate = candidates.get(*index);
-                let set_aside = candidate.availability == Availability::Ejected;
-                let slow = fleet.is_slow(&candidate);
+                let is_ejected = candidate.availability == Availability::Ejected;
+                let is_slow = fleet.is_slow(&candidate);
                 let load = u64::from(candidate.load.estimate()) * 1_000 / slots(&candidate);
-                (set_aside, candidate.under_probe, slow, load)
+                (is_ejected, candidate.under_probe, is_slow, load)
             })
     }
 }
 
 impl RoutePolicy for BoundedAffinity {
     fn choose<C: Candidates>(&self, query: &RouteQuery<'_>, candidates: &C) -> Option<usize> {
-        let fleet = Fleet::of(query, candidates);
-        for home in Self::homes(query, &fleet, candidates) {
+        let fleet = FleetLoad::measure(query, candidates);
+        for candidate_index in Self::preferred(query, &fleet, candidates) {
             let is_below = |index: usize| fleet.is_below(&candidates.get(index));
-            if home.is_some_and(is_below) {
-                return home;
+            if candidate_index.is_some_and(is_below) {
+                return candidate_index;
             }
         }
-        Self::spilled(query, &fleet, candidates)
+        Self::spill(query, &fleet, candidates)
             .or_else(|| Self::last_resort(query, &fleet, candidates))
     }
 }
--- a/crates/foxtailhold/src/slots/allocator.rs
+++ b/crates/foxtailhold/src/slots/allocator.rs
@@ -1,4 +1,4 @@
-//! All pools of one allocator.
+//! The slot pools of all services, managed by one allocator.
 
 use std::collections::HashMap;
 
@@ -7,38 +7,39 @@
 use crate::slots::{BackendSlots, HeldSlot, SlotDecision, SlotOutcome, SlotRequest, SlotRequestId};
 use crate::time::MonoMs;
 
-/// A message to the instance of an ask.
+/// A message to the instance that sent a slot request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotNotice {
-    /// The ask.
+    /// Identifies the slot request.
     pub request: SlotRequestId,
-    /// What was decided; `None`: a granted batch item is to give way.
+    /// The decision on the request; `None` preempts the granted batch item.
     pub decision: Option<SlotDecision>,
 }
 
-/// Grants the places of all pools.
+/// Grants and releases the slots of all services, one pool for each service.
 #[derive(Debug, Default)]
 pub struct Allocator {
     pools: HashMap<TargetName, Pool>,
 }
 
 impl Allocator {
-    /// Replaces the backend servers of a pool.
+    /// Replaces the backend servers of a pool. Grants at backend servers that stay are kept.
     pub fn set_backends(&mut self, pool: &TargetName, all: &[BackendSlots]) {
         let pool = self.pools.entry(pool.clone()).or_default();
         pool.set_backends(all);
     }
 
-    /// Takes an ask. Whatever could be decided at once, also for others, is added to `decisions`.
+    /// Handles a slot request and returns the decision on it. Decisions on other requests that
+    /// became possible at the same time are appended to `decisions`.
     pub fn ask(
         &mut self,
         now: MonoMs,
-        ask: SlotRequest,
+        request: SlotRequest,
         decisions: &mut Vec<SlotNotice>,
     ) -> SlotDecision {
-        let id = ask.id.clone();
-        let pool = self.pools.entry(ask.pool.clone()).or_default();
-        let verdict = pool.ask(now, ask);
+        let id = request.id.clone();
+        let pool = self.pools.entry(request.pool.clone()).or_default();
+        let verdict = pool.ask(now, request);
         if verdict != SlotDecision::Queued {
             return verdict;
         }
@@ -50,58 +51,59 @@
         }
     }
 
-    /// Notes the end of a use or of a wait.
+    /// Frees the slot of a request, or removes the request from the queue, and grants the freed
+    /// slots.
     pub fn release(
         &mut self,
         now: MonoMs,
         pool: &TargetName,
-        ask: &SlotRequestId,
+        request: &SlotRequestId,
         outcome: SlotOutcome,
         decisions: &mut Vec<SlotNotice>,
     ) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
         };
-        pool.release(now, ask, outcome, ask.number);
+        pool.release(now, request, outcome, request.number);
         pool.decide(now, decisions);
     }
 
-    /// Takes an instance's own list of what it holds.
+    /// Reconciles the grants of `instance` with the list of slots that it reports.
     pub fn report(&mut self, now: MonoMs, instance: &InstanceId, held: &[HeldSlot]) {
         for (name, pool) in &mut self.pools {
-            let ours = held.iter().filter(|held| held.pool == *name);
-            let asks: Vec<(SlotRequestId, &HeldSlot)> = ours
+            let own_slots = held.iter().filter(|held| held.pool == *name);
+            let requests: Vec<(SlotRequestId, &HeldSlot)> = own_slots
                 .map(|held| {
                     let instance = instance.clone();
                     let number = held.number;
                     (SlotRequestId { instance, number }, held)
                 })
                 .collect();
-            pool.reconcile(now, &asks, |ask| ask.instance == *instance);
+            pool.reconcile(now, &requests, |request| request.instance == *instance);
         }
     }
 
-    /// Frees the places of instances that are gone, for others that wait.
+    /// Frees the slots of all instances for which `is_live` is false.
     pub fn keep_only(
         &mut self,
         now: MonoMs,
-        lives: impl Fn(&InstanceId) -> bool,
+        is_live: impl Fn(&InstanceId) -> bool,
         decisions: &mut Vec<SlotNotice>,
     ) {
         for pool in self.pools.values_mut() {
-            pool.forget(|ask| !lives(&ask.instance));
+            pool.forget(|request| !is_live(&request.instance));
             pool.decide(now, decisions);
         }
     }
 
-    /// Decides what time alone has changed.
+    /// Makes the decisions that became due with time.
     pub fn tick(&mut self, now: MonoMs, decisions: &mut Vec<SlotNotice>) {
         for pool in self.pools.values_mut() {
             pool.decide(now, decisions);
         }
     }
 
-    /// Places in use and requests in wait of each pool.
+    /// Name, slots in use and queued requests of each pool.
     pub fn loads(&self) -> impl Iterator<Item = (&TargetName, u64, u64)> {
         self.pools.iter().map(|(name, pool)| {
             let (used, waiting) = pool.load();
--- a/crates/foxtailhold/src/slots/mod.rs
+++ b/crates/foxtailhold/src/slots/mod.rs
@@ -1,10 +1,11 @@
-//! Places at model engines, handed out by one instance for all of them.
+//! Allocation of request slots at model engines by one instance.
 //!
-//! Engines admit requests in order of arrival and know no priorities, so what waits must wait
-//! before them, and no engine may get more than it can begin at once. Eleven instances that choose
-//! on their own collide within milliseconds; so one instance (the allocator) grants every place of
-//! a pool. It is soft state: each instance tells regularly what it holds, another instance can take
-//! over at any moment, and two allocators at once cost capacity, never correctness.
+//! Engines admit requests in order of arrival and know no priorities. Requests therefore wait in
+//! front of the engines, and no engine gets more requests than it can start at once. Eleven
+//! instances that choose engines independently collide within milliseconds, so a single instance,
+//! the allocator, grants the slots of all engines of a pool. Its state is soft: each instance
+//! regularly reports the slots that it holds, so another instance can take over at any time. Two
+//! allocators at the same time reduce capacity but do not affect correctness.
 
 mod allocator;
 pub mod health;
@@ -17,100 +18,101 @@
 
 use crate::ids::{AvailabilityZone, BackendId, InstanceId, TargetName};
 
-/// One request for a place, unique over all instances.
+/// Identifies a slot request, unique over all instances.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotRequestId {
-    /// The instance that asks, with its incarnation.
+    /// The requesting instance, with its incarnation.
     pub instance: InstanceId,
-    /// Its counter.
+    /// Counter of the requesting instance.
     pub number: u64,
 }
 
-/// Who waits for the answer.
+/// Priority class of a slot request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Urgency {
-    /// A person; 0 is the most urgent rank.
+    /// An online request.
     Online {
-        /// The route's rank.
+        /// Priority of the route; 0 is the most urgent.
         priority: u8,
     },
-    /// A batch item: it may be cut and continued later.
+    /// A batch item, which may be preempted and continued later.
     Batch,
 }
 
-/// A request for a place.
+/// A request for one slot at an engine of a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Its identity; asking again with the same one is harmless.
+    /// Sending a request again under the same identifier has no further effect.
     pub id: SlotRequestId,
-    /// The service.
+    /// The service whose engines are eligible.
     pub pool: TargetName,
-    /// Who waits.
+    /// Priority class of the request.
     pub urgency: Urgency,
-    /// Online: time left until its first event is late. Batch: slack until it can no longer land.
+    /// For an online request, the time left until its first event is late. For a batch item, the
+    /// time it can still wait and meet its deadline.
     pub slack_ms: u64,
-    /// Backend servers that must not be chosen: they have had this request.
+    /// Backend servers that have already received this request and must not be chosen again.
     pub avoid: Vec<BackendId>,
-    /// Availability zone of the instance that asks.
+    /// Availability zone of the requesting instance.
     pub zone: AvailabilityZone,
 }
 
-/// What the allocator says to an ask.
+/// The allocator's decision on a slot request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotDecision {
-    /// Send the request there now.
+    /// The request may be sent to this backend server now.
     Granted(BackendId),
-    /// It waits; a decision follows.
+    /// The request is queued; a later decision follows.
     Queued,
-    /// It would be late: not run, and the caller should come back later.
+    /// The request would miss its objective and has not been run.
     Refused {
-        /// When a place is likely to be free.
+        /// Estimated time in ms until a slot is free.
         retry_after_ms: u64,
     },
 }
 
-/// How the use of a place ended.
+/// How the use of a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotOutcome {
-    /// The answer was whole.
+    /// The response was complete.
     Done {
-        /// From sending to the end.
+        /// Time in ms from sending the request to the end of the response.
         held_ms: u64,
     },
-    /// The backend server had no room.
+    /// The backend server reported that it was full.
     Full,
     /// The backend server could not be reached.
     Unreachable,
-    /// The answer broke off or was wrong.
+    /// The response was truncated or invalid.
     Broken,
-    /// Nothing came for too long.
+    /// The backend server sent nothing within the time limit.
     Silent,
-    /// Given up by the caller, or cut for more urgent work.
+    /// The caller gave up, or the request was preempted.
     Abandoned,
 }
 
-/// One place in use, as its holder tells it.
+/// One slot in use, as reported by the instance that holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldSlot {
-    /// Counter of the ask.
+    /// Counter of the slot request.
     pub number: u64,
-    /// The service.
+    /// The service that the slot belongs to.
     pub pool: TargetName,
-    /// Where.
+    /// The backend server of the slot.
     pub backend: BackendId,
-    /// Who waits.
+    /// Priority class of the request that uses the slot.
     pub urgency: Urgency,
-    /// Time since the last sign of the backend server for this request.
+    /// Time in ms since the backend server last sent anything for this request.
     pub quiet_ms: u64,
 }
 
-/// A backend server's places.
+/// The slots of one backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendSlots {
-    /// The backend server.
+    /// The backend server that has the slots.
     pub backend: BackendId,
-    /// Where it is.
+    /// Availability zone of the backend server.
     pub zone: AvailabilityZone,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
 }
--- a/crates/foxtailhold/src/stall.rs
+++ b/crates/foxtailhold/src/stall.rs
@@ -1,52 +1,52 @@
-//! How long an engine may be silent before it is given up on. The bounds move with its load and
-//! with the pace seen at it.
+//! Time limits after which a silent engine is given up. They adapt to its load and to the latencies
+//! observed at it.
 
 use crate::replicas::ReplicaLoad;
 
-/// Least bound between two events.
+/// Least time limit between two events.
 pub const MIN_BOUND_MS: u64 = 2_000;
-/// Largest bound.
+/// Largest time limit.
 pub const MAX_BOUND_MS: u64 = 120_000;
-/// Time for the first event of an idle engine.
+/// Time allowed for the first event of an idle engine.
 pub const FIRST_EVENT_MS: u64 = 5_000;
-/// Bytes of a prompt that an engine reads in a millisecond at least.
+/// Prompt bytes that an engine reads per millisecond at least.
 pub const PREFILL_BYTES_PER_MS: u64 = 40;
-/// Multiple of the mean gap between events that is still taken for life.
+/// Multiple of the mean gap between events up to which a stream counts as alive.
 const GAP_FACTOR: u64 = 25;
-/// Time of one request where none was seen.
+/// Duration of a request where none was observed.
 const DEFAULT_SERVICE_MS: u64 = 2_000;
-/// Multiple of the expected wait that is still taken for life.
+/// Multiple of the expected wait up to which an engine counts as alive.
 const WAIT_FACTOR: u64 = 3;
-/// Tokens of an answer where the request does not bound them.
+/// Tokens of a response where the request sets no maximum.
 const DEFAULT_TOKENS: u64 = 4_096;
-/// Requests in a batch where the engine has not said.
+/// Slots of an engine that has not reported them.
 const DEFAULT_SLOTS: u32 = 16;
-/// Weight of the newest value in a mean, as a divisor.
-const MEAN_SHARE: u64 = 8;
+/// Weight of the newest value in a moving average, as a divisor.
+const MEAN_DIVISOR: u64 = 8;
 
-/// Pace of one engine as seen from here.
+/// Latencies of one engine as observed by this instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Pace {
     /// Mean time between events in µs; 0 before the first.
     pub gap_us: u64,
-    /// Mean time of a request in ms; 0 before the first.
+    /// Mean duration of a request in ms; 0 before the first.
     pub service_ms: u64,
 }
 
-/// The mean moved by one new value.
+/// The moving average after one more value; 0 stands for no value so far.
 pub fn moving_average(mean: u64, value: u64) -> u64 {
     if mean == 0 {
         return value.max(1);
     }
-    ((mean * (MEAN_SHARE - 1) + value) / MEAN_SHARE).max(1)
+    ((mean * (MEAN_DIVISOR - 1) + value) / MEAN_DIVISOR).max(1)
 }
 
-/// Bound between two events of a stream.
+/// Time limit between two events of a stream.
 pub fn next_event_bound_ms(pace: Pace) -> u64 {
     (pace.gap_us * GAP_FACTOR / 1_000).clamp(MIN_BOUND_MS, MAX_BOUND_MS)
 }
 
-/// Bound for the first event: the requests ahead, the prompt, and a margin.
+/// Time limit for the first event: the requests ahead, the prompt, and a margin.
 pub fn first_event_bound_ms(load: &ReplicaLoad, pace: Pace, prompt_bytes: u64) -> u64 {
     let slots = match load.report.slots {
         0 => DEFAULT_SLOTS,
@@ -62,7 +62,7 @@
     (FIRST_EVENT_MS + queue_ms + prompt_ms).min(MAX_BOUND_MS)
 }
 
-/// Bound for a whole unstreamed answer of at most `max_tokens`.
+/// Time limit for a whole unstreamed response of at most `max_tokens`.
 pub fn full_response_bound_ms(
     load: &ReplicaLoad,
     pace: Pace,
--- a/crates/foxtailhold/src/suspect.rs
+++ b/crates/foxtailhold/src/suspect.rs
@@ -1,48 +1,48 @@
-//! What an instance does with a request that it suspects, as the home of trials answers.
+//! What an instance does with a suspect request, given the responses of the coordinator of probes.
 
 use crate::ids::BackendId;
-use crate::quarantine::{ProbeResponse, WAIT_MS};
+use crate::quarantine::{PROBE_RETRY_MS, ProbeResponse};
 use crate::time::MonoMs;
 
-/// The home's word that nothing is held against a suspect counts once it has stood for this time, in which
-/// notices are offered again and again. Until then the home may not have heard of the crash, and after it
-/// the notice that the suspect was cleared has been lost.
-pub const CLEAR_STANDS_MS: u64 = 2_000;
+/// A suspect is treated as cleared once the coordinator has reported it as clear for this time,
+/// during which notices are sent again and again. Before that, the coordinator may not have heard
+/// of the crash; after it, the notice that cleared the suspect must have been lost.
+pub const CLEAR_CONFIRMATION_MS: u64 = 2_000;
 
-/// What to do with a suspect.
+/// Action to take on a suspect request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SuspectAction {
-    /// Send it to this backend server, as its trial.
+    /// Send the request to this backend server as a probe.
     Probe {
-        /// Where.
+        /// The backend server for the probe.
         backend: BackendId,
-        /// Whether the trial lasts until the request's end, not only until its first event.
+        /// Whether the probe lasts until the end of the request, not only until its first event.
         strict: bool,
-        /// How long to wait before it is sent.
+        /// Time in ms to wait before the request is sent.
         quiet_ms: u64,
     },
-    /// Send it like any other request.
+    /// Send the request like any other.
     Send,
-    /// Refuse it.
+    /// Refuse the request.
     Refuse {
-        /// How long its conviction lasts.
+        /// Remaining duration of the conviction in ms.
         left_ms: u64,
     },
-    /// Look at its standing again after this time, and ask again.
+    /// Check the status of the request again and ask the coordinator again.
     Retry {
-        /// When.
+        /// Time in ms after which to retry.
         after_ms: u64,
     },
 }
 
-/// The answers of the home to one suspect.
+/// The coordinator's responses for one suspect request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProbeNegotiation {
     clear_since: Option<MonoMs>,
 }
 
 impl ProbeNegotiation {
-    /// Takes an answer of the home.
+    /// Handles a response of the coordinator and returns the action to take.
     pub fn answered(&mut self, answer: ProbeResponse, now: MonoMs) -> SuspectAction {
         if answer != ProbeResponse::Clear {
             self.clear_since = None;
@@ -61,9 +61,11 @@
             ProbeResponse::Wait { after_ms } => SuspectAction::Retry { after_ms },
             ProbeResponse::Clear => {
                 let since = *self.clear_since.get_or_insert(now);
-                match now.since_ms(since) >= CLEAR_STANDS_MS {
+                match now.since_ms(since) >= CLEAR_CONFIRMATION_MS {
                     true => SuspectAction::Send,
-                    false => SuspectAction::Retry { after_ms: WAIT_MS },
+                    false => SuspectAction::Retry {
+                        after_ms: PROBE_RETRY_MS,
+                    },
                 }
             }
         }
--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -4,7 +4,9 @@
 use foxtailhold::batch_control::scheduler::{
     BatchScheduler, SchedulerAction, SchedulerReplica, WaitingItem,
 };
-use foxtailhold::batch_control::window::{CongestionWindow, HOLD_MS, RISE_MS, STALE_MS};
+use foxtailhold::batch_control::window::{
+    CongestionWindow, GROWTH_PERIOD_MS, PRESSURE_HOLD_MS, REPORT_TTL_MS,
+};
 use foxtailhold::batch_control::{
     BatchSlotGrant, BatchSlotRequest, GRANT_MS, OnlineLoadNotice, is_queued,
 };
@@ -50,7 +52,7 @@
     let mut now = START;
     mark.reported(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
-        now = now + RISE_MS;
+        now = now + GROWTH_PERIOD_MS;
         mark.update(now);
     }
     (mark, now)
@@ -63,7 +65,7 @@
     mark.update(START);
     assert_eq!(mark.value(), 0, "no report yet");
     mark.reported(&report(0, 0), START);
-    mark.update(START + RISE_MS);
+    mark.update(START + GROWTH_PERIOD_MS);
     assert_eq!(mark.value(), 1);
     assert_eq!(risen(share_percent).0.value(), expected);
 }
@@ -77,7 +79,7 @@
     mark.update(now);
     assert_eq!(mark.value(), expected);
     mark.noticed(&notice(1, 0, false), now);
-    mark.update(now + RISE_MS);
+    mark.update(now + GROWTH_PERIOD_MS);
     assert_eq!(mark.value(), expected, "a repeated notice changes nothing");
 }
 
@@ -86,19 +88,19 @@
     let (mut mark, now) = risen(100);
     mark.noticed(&notice(1, 0, true), now);
     let old = LoadReport {
-        age_ms: HOLD_MS + 10,
+        age_ms: PRESSURE_HOLD_MS + 10,
         ..report(0, 0)
     };
-    mark.reported(&old, now + HOLD_MS);
+    mark.reported(&old, now + PRESSURE_HOLD_MS);
     assert!(mark.is_held(), "the report is older than the pressure");
-    mark.reported(&report(0, 0), now + HOLD_MS);
+    mark.reported(&report(0, 0), now + PRESSURE_HOLD_MS);
     assert!(!mark.is_held());
 }
 
 #[test]
 fn mark_is_zero_without_reports() {
     let (mut mark, _) = risen(100);
-    mark.update(START + STALE_MS + 1);
+    mark.update(START + REPORT_TTL_MS + 1);
     assert_eq!(mark.value(), 0);
 }
 
@@ -133,7 +135,7 @@
     steward.asked(ask("soon", 0, 100, 3_600, 0), now);
     steward.reported(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
-        now = now + RISE_MS;
+        now = now + GROWTH_PERIOD_MS;
         steward.tick(now);
     }
     let grants: Vec<u32> = steward.grants().map(|(_, keep, _)| keep).collect();
@@ -147,7 +149,7 @@
     steward.asked(ask("late", 0, 100, 7_200, 0), now);
     steward.reported(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
-        now = now + RISE_MS;
+        now = now + GROWTH_PERIOD_MS;
         steward.tick(now);
     }
     let (granted, _) = steward.asked(ask("late", 15, 100, 7_200, 0), now);
--- a/crates/foxtailhold/tests/crashes.rs
+++ b/crates/foxtailhold/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! Evidence against requests that crash backend servers.
 
 use foxtailhold::crashes::{
-    CrashEvidence, CrashRegistry, CrashStatus, ItemBackoff, MAX_CRASHES, MAX_PROBES, REFUSED_MS,
+    CrashEvidence, CrashRegistry, CrashStatus, ItemBackoff, MAX_CRASHES, MAX_PROBES, REFUSAL_MS,
     item_backoff,
 };
 use foxtailhold::ids::BackendId;
@@ -52,7 +52,7 @@
 fn a_refusal_lasts_longer_with_each_crash_of_a_late_run() {
     let mut book = book(&[crash("a", 1), crash("b", 1), crash("c", 1)]);
     let mut now = NOW;
-    for (late, refused_ms) in REFUSED_MS.iter().enumerate() {
+    for (late, refused_ms) in REFUSAL_MS.iter().enumerate() {
         let left_ms = *refused_ms;
         assert_eq!(book.status(REQUEST, now), CrashStatus::Refused { left_ms });
         now = WallMs(now.0 + refused_ms - 1);
@@ -62,7 +62,7 @@
         assert_eq!(book.status(REQUEST, now), CrashStatus::OnProbation);
         book.crashed(REQUEST, crash("late", late as u64), now);
     }
-    let left_ms = REFUSED_MS[MAX_PROBES];
+    let left_ms = REFUSAL_MS[MAX_PROBES];
     assert_eq!(book.status(REQUEST, now), CrashStatus::Refused { left_ms });
 }
 
--- a/crates/foxtailhold/tests/leaving.rs
+++ b/crates/foxtailhold/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Marks of leaving backend servers reach all instances and end everywhere.
 
 use foxtailhold::ids::BackendId;
-use foxtailhold::leaving::{LeavingBackends, LeavingNotice, MARK_TTL_MS};
+use foxtailhold::leaving::{LeavingBackends, LeavingNotice, NOTICE_TTL_MS};
 use foxtailhold::membership::PROBE_PERIOD_MS;
 use foxtailhold::time::{MonoMs, WallMs};
 use rand::rngs::SmallRng;
@@ -82,7 +82,7 @@
             instances.period(Some(&backend));
             assert_eq!(instances.marked(&backend), count, "seed {seed}");
         }
-        let end_periods = (MARK_TTL_MS + SPREAD_MS) / PROBE_PERIOD_MS;
+        let end_periods = (NOTICE_TTL_MS + SPREAD_MS) / PROBE_PERIOD_MS;
         for _ in 0..end_periods {
             instances.period(None);
         }
@@ -96,7 +96,7 @@
     let mut marks = LeavingBackends::default();
     assert!(marks.observe(&backend, WallMs(9_000), MonoMs(1_000)));
     let late = marks.outgoing(MonoMs(1_000));
-    let after = MonoMs(1_000 + MARK_TTL_MS);
+    let after = MonoMs(1_000 + NOTICE_TTL_MS);
     assert!(!marks.is_leaving(&backend, after));
     assert!(!marks.merge(&late, after));
     assert!(!marks.is_leaving(&backend, after));
--- a/crates/foxtailhold/tests/quarantine.rs
+++ b/crates/foxtailhold/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use foxtailhold::ids::{BackendId, CustomerId};
 use foxtailhold::quarantine::{
-    CONVICTED_MS, CrashId, Fingerprint, GATHER_MS, InFlightRequest, PROBE_DELAY_MS, ProbeOutcome,
+    CONVICTION_MS, CrashId, Fingerprint, GATHER_MS, InFlightRequest, PROBE_DELAY_MS, ProbeOutcome,
     ProbeResponse, Quarantine, QuarantineNotice, QuarantineStatus,
 };
 use foxtailhold::time::MonoMs;
@@ -70,7 +70,7 @@
     let expected = match convicted {
         true => QuarantineNotice::Convicted {
             fingerprint: SUSPECT,
-            left_ms: CONVICTED_MS,
+            left_ms: CONVICTION_MS,
         },
         false => QuarantineNotice::Inconclusive {
             fingerprint: SUSPECT,
@@ -144,7 +144,7 @@
 
     let mut quarantine = on_trial();
     verdict(&mut quarantine, &[]);
-    let until = MonoMs(1_500) + GATHER_MS + CONVICTED_MS;
+    let until = MonoMs(1_500) + GATHER_MS + CONVICTION_MS;
     let left = quarantine.status(SUSPECT, MonoMs(until.0 - 1));
     assert_eq!(left, QuarantineStatus::Convicted { left_ms: 1 });
     assert_eq!(quarantine.status(SUSPECT, until), QuarantineStatus::Suspect);
--- a/crates/foxtailhold/tests/routing.rs
+++ b/crates/foxtailhold/tests/routing.rs
@@ -1,6 +1,6 @@
 //! Choice of a backend server, and what sets one aside.
 
-use foxtailhold::breaker::{Availability, BASE_MS, Breaker, MAX_MS, TRIAL_MS};
+use foxtailhold::breaker::{Availability, BASE_MS, Breaker, MAX_MS, PROBE_TIMEOUT_MS};
 use foxtailhold::ids::{AvailabilityZone, BackendId};
 use foxtailhold::replicas::{FleetState, LoadReport, ReplicaLoad};
 use foxtailhold::retry::{FLOOR_PER_S, MOST, RetryBudget, SHARE};
@@ -198,8 +198,11 @@
         assert_eq!(breaker.availability(now), Availability::HalfOpen);
         breaker.sent(now);
         assert_eq!(breaker.availability(now), Availability::Ejected);
-        assert_eq!(breaker.availability(now + TRIAL_MS), Availability::HalfOpen);
-        now = now + TRIAL_MS;
+        assert_eq!(
+            breaker.availability(now + PROBE_TIMEOUT_MS),
+            Availability::HalfOpen
+        );
+        now = now + PROBE_TIMEOUT_MS;
         base_ms = (base_ms * 2).min(MAX_MS);
     }
     breaker.succeeded();
--- a/crates/foxtailhold/tests/suspect.rs
+++ b/crates/foxtailhold/tests/suspect.rs
@@ -1,8 +1,8 @@
 //! What an instance does with a suspect, as the home of trials answers.
 
 use foxtailhold::ids::BackendId;
-use foxtailhold::quarantine::{ProbeResponse, WAIT_MS};
-use foxtailhold::suspect::{CLEAR_STANDS_MS, ProbeNegotiation, SuspectAction};
+use foxtailhold::quarantine::{PROBE_RETRY_MS, ProbeResponse};
+use foxtailhold::suspect::{CLEAR_CONFIRMATION_MS, ProbeNegotiation, SuspectAction};
 use foxtailhold::time::MonoMs;
 
 const START: MonoMs = MonoMs(1_000);
@@ -10,8 +10,10 @@
 #[test]
 fn a_home_that_has_not_heard_of_a_crash_does_not_clear_its_suspects() {
     let mut asking = ProbeNegotiation::default();
-    let again = SuspectAction::Retry { after_ms: WAIT_MS };
-    for after_ms in [0, 300, CLEAR_STANDS_MS - 1] {
+    let again = SuspectAction::Retry {
+        after_ms: PROBE_RETRY_MS,
+    };
+    for after_ms in [0, 300, CLEAR_CONFIRMATION_MS - 1] {
         assert_eq!(
             asking.answered(ProbeResponse::Clear, START + after_ms),
             again
@@ -23,7 +25,7 @@
 fn a_suspect_whose_clearing_was_not_heard_of_is_not_held_back_for_ever() {
     let mut asking = ProbeNegotiation::default();
     asking.answered(ProbeResponse::Clear, START);
-    let later = START + CLEAR_STANDS_MS;
+    let later = START + CLEAR_CONFIRMATION_MS;
     assert_eq!(
         asking.answered(ProbeResponse::Clear, later),
         SuspectAction::Send
@@ -35,12 +37,14 @@
     let mut asking = ProbeNegotiation::default();
     asking.answered(ProbeResponse::Clear, START);
     let wait = ProbeResponse::Wait { after_ms: 7 };
-    let later = START + CLEAR_STANDS_MS;
+    let later = START + CLEAR_CONFIRMATION_MS;
     assert_eq!(
         asking.answered(wait, later),
         SuspectAction::Retry { after_ms: 7 }
     );
-    let again = SuspectAction::Retry { after_ms: WAIT_MS };
+    let again = SuspectAction::Retry {
+        after_ms: PROBE_RETRY_MS,
+    };
     assert_eq!(asking.answered(ProbeResponse::Clear, later), again);
 }
 
