--- a/crates/foxtailhold/tests/admission.rs
+++ b/crates/foxtailhold/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission under load, case by case.
+//! Admission of requests under load. Guards against a flood that delays other customers, against
+//! requests queued although they cannot be served in time, and against retry times that coincide.
 
 use std::collections::HashMap;
 
@@ -24,7 +25,8 @@
     }
 }
 
-/// Keeps `count` requests of each customer waiting, serves `served` and counts whose they were.
+/// Keeps `count` requests of each customer waiting, serves `served` requests and counts them by
+/// customer.
 fn serve(customers: &[(&str, Urgency, usize)], served: usize) -> HashMap<CustomerId, usize> {
     let now = MonoMs(0);
     let mut queue = AdmissionQueue::new(1);
@@ -51,7 +53,7 @@
     for _ in 0..served {
         queue.leave(now, now);
         let Some(DequeueOutcome::Admitted(waiter)) = queue.next(now) else {
-            panic!("nobody was served");
+            panic!("no request was served");
         };
         let (customer, urgency) = owners.remove(&waiter).unwrap();
         *counts.entry(customer.clone()).or_insert(0) += 1;
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn a_flood_waits_behind_itself() {
+fn a_flood_delays_only_its_own_customer() {
     let customers = [
         ("flood", Urgency::Normal, WAITING_PER_CUSTOMER),
         ("other", Urgency::Normal, 1),
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn urgency_weighs_and_starves_nobody() {
+fn urgency_sets_the_weight_and_no_customer_starves() {
     let customers = [
         ("low", Urgency::Low, 20),
         ("normal", Urgency::Normal, 20),
@@ -88,7 +90,10 @@
 #[test_case(Some(1_000), true; "a deadline that can be met")]
 #[test_case(Some(100), false; "a deadline that cannot be met")]
 #[test_case(Some(0), false; "a deadline that has passed")]
-fn what_cannot_be_served_in_time_is_refused_at_once(deadline_ms: Option<u64>, waits: bool) {
+fn requests_that_cannot_be_served_in_time_are_refused_at_once(
+    deadline_ms: Option<u64>,
+    waits: bool,
+) {
     let mut queue = AdmissionQueue::new(1);
     let customer = id("granite-trail");
     let mut now = MonoMs(0);
@@ -108,7 +113,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_the_longest_for_a_newcomer() {
+fn a_full_queue_evicts_from_the_longest_queue_for_a_newcomer() {
     let mut queue = AdmissionQueue::new(0);
     let now = MonoMs(0);
     for index in 0..16 {
@@ -126,7 +131,7 @@
 }
 
 #[test]
-fn times_to_come_back_are_spread() {
+fn retry_times_are_spread() {
     let queue = AdmissionQueue::new(1);
     let mut times: Vec<u64> = (0..100)
         .map(|draw| queue.retry_after_ms(draw * 37))
@@ -148,12 +153,12 @@
 #[test_case(0, 60; "nothing waits in the engines")]
 #[test_case(12, 60; "the reserve waits")]
 #[test_case(40, 20; "more than the reserve waits")]
-fn the_window_follows_what_waits_in_the_engines(waiting: u32, settled: u32) {
+fn the_window_follows_the_requests_waiting_in_the_engines(waiting: u32, converged: u32) {
     let mut window = ConcurrencyWindow::new();
     for second in 0..20 {
         window.update(&reported(waiting), 3, MonoMs(second * 1_000));
     }
-    assert_eq!(window.size(), settled);
+    assert_eq!(window.size(), converged);
     for second in 20..40 {
         window.update(&reported(0), 3, MonoMs(second * 1_000));
     }
--- a/crates/foxtailhold/tests/admission_fuzz.rs
+++ b/crates/foxtailhold/tests/admission_fuzz.rs
@@ -1,5 +1,6 @@
-//! The admission queue against a simple model: bounded, no request lost or served twice, none
-//! served while it should be refused, and fair.
+//! Compares the admission queue with a simple model under random arrivals, ends, cancellations and
+//! window changes. Guards against unbounded queues, lost requests, requests served twice or after
+//! they expired, and requests that wait while the window has room.
 
 mod common;
 
@@ -91,10 +92,10 @@
             deadline,
             draw: self.now.0,
         };
-        let room = self.waiting.is_empty() && self.in_flight.len() < self.window as usize;
+        let has_room = self.waiting.is_empty() && self.in_flight.len() < self.window as usize;
         match self.queue.enter(&arrival, self.now) {
             EnqueueOutcome::Admitted => {
-                assert!(room, "admitted without room");
+                assert!(has_room, "admitted without room");
                 self.in_flight.push(self.now);
             }
             EnqueueOutcome::Waiting {
@@ -102,7 +103,7 @@
                 give_up_at,
                 evicted,
             } => {
-                assert!(!room, "waits while there is room");
+                assert!(!has_room, "waits while there is room");
                 assert!(give_up_at > self.now && give_up_at <= self.now + MAX_WAIT_MS);
                 assert!(deadline.is_none_or(|deadline| give_up_at <= deadline));
                 if let Some(evicted) = evicted {
@@ -116,13 +117,13 @@
                 assert!(self.waiting.insert(id, waiting).is_none());
             }
             EnqueueOutcome::Refused { after_ms } => {
-                assert!(!room, "refused while there is room");
+                assert!(!has_room, "refused while there is room");
                 assert!((MIN_RETRY_AFTER_MS..=MAX_RETRY_AFTER_MS).contains(&after_ms));
             }
         }
     }
 
-    fn pump(&mut self) {
+    fn dequeue_all(&mut self) {
         while let Some(released) = self.queue.next(self.now) {
             let (DequeueOutcome::Admitted(id) | DequeueOutcome::Expired(id)) = released;
             let waited = self.waiting.remove(&id).expect("released twice or unknown");
@@ -141,12 +142,12 @@
         assert_eq!(self.queue.waiting(), self.waiting.len());
         assert_eq!(self.queue.in_flight() as usize, self.in_flight.len());
         assert!(self.waiting.len() <= WAITING_IN_ALL);
-        let mut of_customer = BTreeMap::new();
+        let mut by_customer = BTreeMap::new();
         for waiting in self.waiting.values() {
-            *of_customer.entry(waiting.customer).or_insert(0) += 1;
+            *by_customer.entry(waiting.customer).or_insert(0) += 1;
         }
         assert!(
-            of_customer
+            by_customer
                 .values()
                 .all(|count| *count <= WAITING_PER_CUSTOMER)
         );
@@ -206,7 +207,7 @@
             }
             Step::Advance(ms) => model.now = model.now + ms,
         }
-        model.pump();
+        model.dequeue_all();
         model.check();
         model
     }
--- a/crates/foxtailhold/tests/batch_control_fuzz.rs
+++ b/crates/foxtailhold/tests/batch_control_fuzz.rs
@@ -1,11 +1,13 @@
-//! Stewards and owners of one replica under lost, late, repeated and reordered messages, two
-//! stewards, stewards killed, pressure at any time.
+//! Runs two batch controllers and the owners of one replica under random faults: messages that are
+//! lost, late, repeated or reordered, owners that disagree on the controller, controllers that are
+//! killed, and pressure at any time. Guards against more batch items in flight than the congestion
+//! windows allow and against items that are lost or run twice.
 //!
-//! `FOXTAILHOLD_FUZZ_CASES` and `FOXTAILHOLD_FUZZ_STEPS` make longer runs.
+//! `FOXTAILHOLD_FUZZ_CASES` and `FOXTAILHOLD_FUZZ_STEPS` set the number of cases and their length.
 
 mod batch_control_world;
 
-use batch_control_world::{LAG_MS, OWNERS, STEWARDS, Step, World};
+use batch_control_world::{CONTROLLERS, LAG_MS, OWNERS, Step, World};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -22,7 +24,7 @@
 
     fn transitions((): &()) -> BoxedStrategy<Step> {
         let owner = 0..OWNERS;
-        let steward = 0..STEWARDS;
+        let controller = 0..CONTROLLERS;
         prop_oneof![
             6 => (1..120_u64).prop_map(|ms| Step::Advance { ms }),
             1 => (400..1_700_u64).prop_map(|ms| Step::Advance { ms }),
@@ -31,18 +33,18 @@
             4 => (owner.clone(), 0..16_usize).prop_map(|(owner, nth)| Step::End { owner, nth }),
             1 => (owner.clone(), 0..16_usize).prop_map(|(owner, nth)| Step::Stop { owner, nth }),
             6 => owner.clone().prop_map(|owner| Step::OwnerTick { owner }),
-            5 => steward.clone().prop_map(|steward| Step::StewardTick { steward }),
-            5 => (steward.clone(), 0..2 * LAG_MS)
-                .prop_map(|(steward, lag_ms)| Step::Report { steward, lag_ms }),
-            2 => (1..8_u8, steward.clone(), any::<bool>())
-                .prop_map(|(requests, told, pressed)| Step::Burst { requests, told, pressed }),
+            5 => controller.clone().prop_map(|controller| Step::ControllerTick { controller }),
+            5 => (controller.clone(), 0..2 * LAG_MS)
+                .prop_map(|(controller, lag_ms)| Step::Report { controller, lag_ms }),
+            2 => (1..8_u8, controller.clone(), any::<bool>())
+                .prop_map(|(requests, notified, pressed)| Step::Burst { requests, notified, pressed }),
             2 => (1..8_u8).prop_map(|requests| Step::OnlineEnds { requests }),
             12 => (0..64_usize).prop_map(|nth| Step::Deliver { nth }),
             2 => (0..64_usize).prop_map(|nth| Step::Lose { nth }),
             3 => (0..64_usize).prop_map(|nth| Step::Repeat { nth }),
-            1 => (owner, steward.clone())
-                .prop_map(|(owner, steward)| Step::Follow { owner, steward }),
-            1 => steward.prop_map(|steward| Step::Kill { steward }),
+            1 => (owner, controller.clone())
+                .prop_map(|(owner, controller)| Step::SwitchController { owner, controller }),
+            1 => controller.prop_map(|controller| Step::Kill { controller }),
         ]
         .boxed()
     }
@@ -50,9 +52,9 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct StewardTest;
+struct ControllerTest;
 
-impl StateMachineTest for StewardTest {
+impl StateMachineTest for ControllerTest {
     type SystemUnderTest = World;
     type Reference = Steps;
 
@@ -75,12 +77,12 @@
 }
 
 fn from_env(name: &str, default: usize) -> usize {
-    let given = std::env::var(name).ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(default)
+    let value = std::env::var(name).ok();
+    value.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn batch_stays_under_the_marks_and_no_item_is_lost_or_runs_twice() {
+fn batch_stays_under_the_windows_and_no_item_is_lost_or_runs_twice() {
     let config = Config {
         cases: from_env("FOXTAILHOLD_FUZZ_CASES", 128) as u32,
         rng_seed: RngSeed::Fixed(0x57e3),
@@ -92,11 +94,11 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[0x57; 32]);
     let mut runner = TestRunner::new_with_rng(config.clone(), rng);
     let strategy = Steps::sequential_strategy(1..steps);
-    let ran = runner.run(&strategy, |(initial, steps, seen)| {
-        StewardTest::test_sequential(config.clone(), initial, steps, seen);
+    let result = runner.run(&strategy, |(initial, steps, seen)| {
+        ControllerTest::test_sequential(config.clone(), initial, steps, seen);
         Ok(())
     });
-    if let Err(error) = ran {
+    if let Err(error) = result {
         panic!("{error}");
     }
 }
--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the steward and the owner's desk.
+//! Rules of the congestion window, the batch controller and the owner's scheduler, one at a time.
 
 use foxtailhold::batch_control::controller::BatchController;
 use foxtailhold::batch_control::scheduler::{
@@ -46,68 +46,77 @@
     }
 }
 
-/// A mark that has risen all the way at an idle replica.
-fn risen(share_percent: u64) -> (CongestionWindow, MonoMs) {
-    let mut mark = CongestionWindow::new(share_percent);
+/// A window that has grown to its full size at an idle replica.
+fn grown_window(share_percent: u64) -> (CongestionWindow, MonoMs) {
+    let mut window = CongestionWindow::new(share_percent);
     let mut now = START;
-    mark.reported(&report(0, 0), now);
+    window.reported(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
         now = now + GROWTH_PERIOD_MS;
-        mark.update(now);
+        window.update(now);
     }
-    (mark, now)
+    (window, now)
 }
 
 #[test_case(100, 15; "all but the headroom")]
 #[test_case(50, 8; "half of the slots")]
-fn mark_rises_by_steps_to_its_share(share_percent: u64, expected: u32) {
-    let mut mark = CongestionWindow::new(share_percent);
-    mark.update(START);
-    assert_eq!(mark.value(), 0, "no report yet");
-    mark.reported(&report(0, 0), START);
-    mark.update(START + GROWTH_PERIOD_MS);
-    assert_eq!(mark.value(), 1);
-    assert_eq!(risen(share_percent).0.value(), expected);
+fn window_grows_by_steps_to_its_share(share_percent: u64, expected: u32) {
+    let mut window = CongestionWindow::new(share_percent);
+    window.update(START);
+    assert_eq!(window.value(), 0, "no report yet");
+    window.reported(&report(0, 0), START);
+    window.update(START + GROWTH_PERIOD_MS);
+    assert_eq!(window.value(), 1);
+    assert_eq!(grown_window(share_percent).0.value(), expected);
 }
 
 #[test_case(1, 14; "one request")]
 #[test_case(6, 9; "six requests")]
 #[test_case(40, 0; "more than the slots")]
-fn mark_falls_at_once_with_online_work(in_flight: u32, expected: u32) {
-    let (mut mark, now) = risen(100);
-    mark.noticed(&notice(1, in_flight, false), now);
-    mark.update(now);
-    assert_eq!(mark.value(), expected);
-    mark.noticed(&notice(1, 0, false), now);
-    mark.update(now + GROWTH_PERIOD_MS);
-    assert_eq!(mark.value(), expected, "a repeated notice changes nothing");
+fn window_shrinks_at_once_with_online_load(in_flight: u32, expected: u32) {
+    let (mut window, now) = grown_window(100);
+    window.noticed(&notice(1, in_flight, false), now);
+    window.update(now);
+    assert_eq!(window.value(), expected);
+    window.noticed(&notice(1, 0, false), now);
+    window.update(now + GROWTH_PERIOD_MS);
+    assert_eq!(
+        window.value(),
+        expected,
+        "a repeated notice changes nothing"
+    );
 }
 
 #[test]
-fn mark_is_held_until_a_later_report_shows_no_queue() {
-    let (mut mark, now) = risen(100);
-    mark.noticed(&notice(1, 0, true), now);
+fn window_is_held_until_a_later_report_shows_no_queue() {
+    let (mut window, now) = grown_window(100);
+    window.noticed(&notice(1, 0, true), now);
     let old = LoadReport {
         age_ms: PRESSURE_HOLD_MS + 10,
         ..report(0, 0)
     };
-    mark.reported(&old, now + PRESSURE_HOLD_MS);
-    assert!(mark.is_held(), "the report is older than the pressure");
-    mark.reported(&report(0, 0), now + PRESSURE_HOLD_MS);
-    assert!(!mark.is_held());
+    window.reported(&old, now + PRESSURE_HOLD_MS);
+    assert!(window.is_held(), "the report is older than the pressure");
+    window.reported(&report(0, 0), now + PRESSURE_HOLD_MS);
+    assert!(!window.is_held());
 }
 
 #[test]
-fn mark_is_zero_without_reports() {
-    let (mut mark, _) = risen(100);
-    mark.update(START + REPORT_TTL_MS + 1);
-    assert_eq!(mark.value(), 0);
+fn window_is_zero_without_reports() {
+    let (mut window, _) = grown_window(100);
+    window.update(START + REPORT_TTL_MS + 1);
+    assert_eq!(window.value(), 0);
 }
 
 #[test_case(16, 1, 1.0, true; "all slots taken")]
 #[test_case(9, 2, 0.6, false; "waiting for the next step")]
 #[test_case(9, 2, 0.97, true; "waiting for memory")]
-fn queue_is_told_from_a_wait_for_the_step(running: u32, waiting: u32, kv: f64, queued: bool) {
+fn queueing_is_distinguished_from_waiting_for_the_next_step(
+    running: u32,
+    waiting: u32,
+    kv: f64,
+    queued: bool,
+) {
     let report = LoadReport {
         kv_used: kv,
         ..report(running, waiting)
@@ -115,7 +124,13 @@
     assert_eq!(is_queued(&report), queued);
 }
 
-fn ask(owner: &str, in_use: u32, wanted: u32, slack_s: u64, number: u64) -> BatchSlotRequest {
+fn slot_request(
+    owner: &str,
+    in_use: u32,
+    wanted: u32,
+    slack_s: u64,
+    number: u64,
+) -> BatchSlotRequest {
     BatchSlotRequest {
         owner: instance(owner),
         backend: backend(),
@@ -128,63 +143,69 @@
 
 #[test_case(3_600, (8, 7); "same minute shares evenly")]
 #[test_case(7_200, (0, 15); "less slack goes first")]
-fn places_go_by_least_slack(late_s: u64, expected: (u32, u32)) {
-    let mut steward = BatchController::new(instance("steward"), backend(), 1, 100);
+fn slots_go_to_the_owner_with_least_slack(late_s: u64, expected: (u32, u32)) {
+    let mut controller = BatchController::new(instance("controller"), backend(), 1, 100);
     let mut now = START;
-    steward.asked(ask("late", 0, 100, late_s, 0), now);
-    steward.asked(ask("soon", 0, 100, 3_600, 0), now);
-    steward.reported(&report(0, 0), now);
+    controller.asked(slot_request("late", 0, 100, late_s, 0), now);
+    controller.asked(slot_request("soon", 0, 100, 3_600, 0), now);
+    controller.reported(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
         now = now + GROWTH_PERIOD_MS;
-        steward.tick(now);
+        controller.tick(now);
     }
-    let grants: Vec<u32> = steward.grants().map(|(_, keep, _)| keep).collect();
+    let grants: Vec<u32> = controller
+        .grants()
+        .map(|(_, cancel_above, _)| cancel_above)
+        .collect();
     assert_eq!((grants[0], grants[1]), expected);
 }
 
 #[test]
-fn place_in_use_is_not_taken_for_an_owner_with_less_slack() {
-    let mut steward = BatchController::new(instance("steward"), backend(), 1, 100);
+fn slot_in_use_is_not_taken_for_an_owner_with_less_slack() {
+    let mut controller = BatchController::new(instance("controller"), backend(), 1, 100);
     let mut now = START;
-    steward.asked(ask("late", 0, 100, 7_200, 0), now);
-    steward.reported(&report(0, 0), now);
+    controller.asked(slot_request("late", 0, 100, 7_200, 0), now);
+    controller.reported(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
         now = now + GROWTH_PERIOD_MS;
-        steward.tick(now);
+        controller.tick(now);
     }
-    let (granted, _) = steward.asked(ask("late", 15, 100, 7_200, 0), now);
-    steward.told(ask("late", 15, 100, 7_200, granted.number), now);
-    steward.asked(ask("soon", 0, 100, 60, 0), now);
-    let late = steward
+    let (granted, _) = controller.asked(slot_request("late", 15, 100, 7_200, 0), now);
+    controller.told(slot_request("late", 15, 100, 7_200, granted.number), now);
+    controller.asked(slot_request("soon", 0, 100, 60, 0), now);
+    let late = controller
         .grants()
         .next()
-        .map(|(_, keep, start)| (keep, start));
+        .map(|(_, cancel_above, start)| (cancel_above, start));
     assert_eq!(late, Some((15, 0)), "its items go on, no new one starts");
-    steward.told(ask("late", 12, 100, 7_200, granted.number), now);
-    steward.tick(now);
-    let soon = steward.grants().nth(1).map(|(_, keep, _)| keep);
-    assert_eq!(soon, Some(0), "the freed places may still be in use");
+    controller.told(slot_request("late", 12, 100, 7_200, granted.number), now);
+    controller.tick(now);
+    let soon = controller
+        .grants()
+        .nth(1)
+        .map(|(_, cancel_above, _)| cancel_above);
+    assert_eq!(soon, Some(0), "the freed slots may still be in use");
 }
 
-fn grant(steward: &str, number: u64, keep: u32) -> BatchSlotGrant {
+fn grant(controller: &str, number: u64, cancel_above: u32) -> BatchSlotGrant {
     BatchSlotGrant {
-        controller: instance(steward),
+        controller: instance(controller),
         backend: backend(),
         term: 1,
         number,
-        cancel_above: keep,
-        start_below: keep,
+        cancel_above: cancel_above,
+        start_below: cancel_above,
     }
 }
 
-fn desk(items: u64) -> BatchScheduler {
-    let mut desk = BatchScheduler::new(instance("owner"));
+fn scheduler(items: u64) -> BatchScheduler {
+    let mut scheduler = BatchScheduler::new(instance("owner"));
     let replica = SchedulerReplica {
         backend: backend(),
         targets: vec!["ranger".try_into().unwrap()],
-        controller: Some(instance("steward")),
+        controller: Some(instance("controller")),
     };
-    desk.set_replicas(vec![replica], START);
+    scheduler.set_replicas(vec![replica], START);
     for item in 0..items {
         let waiting = WaitingItem {
             target: "ranger".try_into().unwrap(),
@@ -192,45 +213,45 @@
             order: 0,
             avoid: Vec::new(),
         };
-        desk.wait(item, waiting, START);
+        scheduler.wait(item, waiting, START);
     }
-    desk
+    scheduler
 }
 
 #[test]
-fn desk_starts_least_slack_first_and_cuts_the_newest() {
-    let mut desk = desk(3);
-    let started = desk.answered(&grant("steward", 1, 2), START, START);
+fn scheduler_starts_least_slack_first_and_preempts_the_newest() {
+    let mut scheduler = scheduler(3);
+    let started = scheduler.answered(&grant("controller", 1, 2), START, START);
     let start = |item| SchedulerAction::Start {
         item,
         backend: backend(),
     };
     assert_eq!(started, [start(2), start(1)]);
-    let cut = desk.pushed(&grant("steward", 2, 1), START);
+    let preempted = scheduler.pushed(&grant("controller", 2, 1), START);
     let expected = SchedulerAction::Preempt {
         item: 1,
         backend: backend(),
     };
-    assert_eq!(cut, [expected]);
+    assert_eq!(preempted, [expected]);
 }
 
-#[test_case("steward", 1; "older grant")]
-#[test_case("other", 9; "grant of another steward")]
-fn desk_passes_over(steward: &str, number: u64) {
-    let mut desk = desk(5);
-    desk.answered(&grant("steward", 2, 1), START, START);
-    desk.answered(&grant(steward, number, 5), START, START);
-    assert_eq!(desk.in_use(&backend()), 1);
+#[test_case("controller", 1; "older grant")]
+#[test_case("other", 9; "grant of another controller")]
+fn scheduler_ignores(controller: &str, number: u64) {
+    let mut scheduler = scheduler(5);
+    scheduler.answered(&grant("controller", 2, 1), START, START);
+    scheduler.answered(&grant(controller, number, 5), START, START);
+    assert_eq!(scheduler.in_use(&backend()), 1);
 }
 
 #[test]
-fn pushed_grant_does_not_last_longer_than_the_question_before_it() {
-    let mut desk = desk(5);
-    desk.pushed(&grant("steward", 1, 5), START);
-    assert_eq!(desk.in_use(&backend()), 0, "nothing was asked yet");
-    desk.answered(&grant("steward", 2, 1), START, START);
-    desk.pushed(&grant("steward", 3, 3), START + GRANT_MS);
-    assert_eq!(desk.in_use(&backend()), 3);
-    let cut = desk.act(START + GRANT_MS + 1);
-    assert_eq!(cut.len(), 3);
+fn pushed_grant_does_not_last_longer_than_the_request_before_it() {
+    let mut scheduler = scheduler(5);
+    scheduler.pushed(&grant("controller", 1, 5), START);
+    assert_eq!(scheduler.in_use(&backend()), 0, "nothing was requested yet");
+    scheduler.answered(&grant("controller", 2, 1), START, START);
+    scheduler.pushed(&grant("controller", 3, 3), START + GRANT_MS);
+    assert_eq!(scheduler.in_use(&backend()), 3);
+    let preempted = scheduler.act(START + GRANT_MS + 1);
+    assert_eq!(preempted.len(), 3);
 }
--- a/crates/foxtailhold/tests/batch_control_world/mod.rs
+++ b/crates/foxtailhold/tests/batch_control_world/mod.rs
@@ -1,5 +1,5 @@
-//! A small deterministic world of one replica: two stewards, three owners, the messages between
-//! them, online work, and what must always hold.
+//! A deterministic simulation of one replica with two batch controllers, three owners, the messages
+//! between them and online requests, together with the invariants that always hold.
 
 mod step;
 
@@ -20,7 +20,7 @@
 
 const SLOTS: u32 = 16;
 pub const OWNERS: usize = 3;
-pub const STEWARDS: usize = 2;
+pub const CONTROLLERS: usize = 2;
 pub const LAG_MS: u64 = 250;
 
 fn backend() -> BackendId {
@@ -31,40 +31,40 @@
     "ranger".try_into().unwrap()
 }
 
-fn steward_id(index: usize) -> InstanceId {
-    format!("steward-{index}").as_str().try_into().unwrap()
+fn controller_id(index: usize) -> InstanceId {
+    format!("controller-{index}").as_str().try_into().unwrap()
 }
 
 fn owner_id(index: usize) -> InstanceId {
     format!("owner-{index}").as_str().try_into().unwrap()
 }
 
-struct OwnerSide {
-    desk: BatchScheduler,
-    steward: usize,
-    /// Every item that has not ended, with the places it runs at.
+struct OwnerState {
+    scheduler: BatchScheduler,
+    controller: usize,
+    /// Every item that has not ended, with the number of slots that it runs in.
     live: BTreeMap<ItemKey, u32>,
 }
 
 pub struct World {
     now: MonoMs,
-    stewards: Vec<BatchController>,
-    owners: Vec<OwnerSide>,
+    controllers: Vec<BatchController>,
+    owners: Vec<OwnerState>,
     messages: Vec<Message>,
     online: u32,
     loads: Vec<(MonoMs, u32, u32)>,
-    marks: Vec<Vec<(MonoMs, u32)>>,
-    disturbed_at: Option<MonoMs>,
+    windows: Vec<Vec<(MonoMs, u32)>>,
+    killed_at: Option<MonoMs>,
     next_item: ItemKey,
     next_term: u64,
     next_notice: u64,
 }
 
-fn entry(steward: usize) -> SchedulerReplica {
+fn entry(controller: usize) -> SchedulerReplica {
     SchedulerReplica {
         backend: backend(),
         targets: vec![target()],
-        controller: Some(steward_id(steward)),
+        controller: Some(controller_id(controller)),
     }
 }
 
@@ -73,26 +73,26 @@
         let now = MonoMs(10_000);
         let mut owners = Vec::new();
         for index in 0..OWNERS {
-            let mut desk = BatchScheduler::new(owner_id(index));
-            desk.set_replicas(vec![entry(0)], now);
-            owners.push(OwnerSide {
-                desk,
-                steward: 0,
+            let mut scheduler = BatchScheduler::new(owner_id(index));
+            scheduler.set_replicas(vec![entry(0)], now);
+            owners.push(OwnerState {
+                scheduler,
+                controller: 0,
                 live: BTreeMap::new(),
             });
         }
-        let stewards = (0..STEWARDS)
-            .map(|index| BatchController::new(steward_id(index), backend(), 1, 100))
+        let controllers = (0..CONTROLLERS)
+            .map(|index| BatchController::new(controller_id(index), backend(), 1, 100))
             .collect();
         World {
             now,
-            stewards,
+            controllers,
             owners,
             messages: Vec::new(),
             online: 0,
             loads: vec![(now, 0, 0)],
-            marks: vec![Vec::new(); STEWARDS],
-            disturbed_at: None,
+            windows: vec![Vec::new(); CONTROLLERS],
+            killed_at: None,
             next_item: 1,
             next_term: 2,
             next_notice: 0,
@@ -102,160 +102,185 @@
     fn batch(&self) -> u32 {
         self.owners
             .iter()
-            .map(|side| side.desk.in_use(&backend()))
+            .map(|owner_state| owner_state.scheduler.in_use(&backend()))
             .sum()
     }
 
-    /// Carries out what a desk says; every cut item waits again in the same step.
+    /// Carries out the actions of a scheduler. Every preempted item waits again in the same step.
     fn act(&mut self, owner: usize, actions: Vec<SchedulerAction>) {
         let now = self.now;
-        let side = &mut self.owners[owner];
-        let mut left = VecDeque::from(actions);
-        while let Some(action) = left.pop_front() {
+        let owner_state = &mut self.owners[owner];
+        let mut remaining = VecDeque::from(actions);
+        while let Some(action) = remaining.pop_front() {
             match action {
                 SchedulerAction::Start { item, .. } => {
-                    let places = side.live.get_mut(&item).expect("a started item is live");
-                    assert_eq!(*places, 0, "an item runs twice at once");
-                    *places = 1;
+                    let slots = owner_state
+                        .live
+                        .get_mut(&item)
+                        .expect("a started item is live");
+                    assert_eq!(*slots, 0, "an item runs twice at once");
+                    *slots = 1;
                 }
                 SchedulerAction::Preempt { item, .. } => {
-                    let places = side.live.get_mut(&item).expect("a cut item is live");
-                    assert_eq!(*places, 1, "an item that does not run was cut");
-                    *places = 0;
-                    left.extend(side.desk.wait(item, waiting(600), now));
+                    let slots = owner_state
+                        .live
+                        .get_mut(&item)
+                        .expect("a preempted item is live");
+                    assert_eq!(*slots, 1, "an item that does not run was preempted");
+                    *slots = 0;
+                    remaining.extend(owner_state.scheduler.wait(item, waiting(600), now));
                 }
             }
         }
     }
 
-    fn push(&mut self, steward: usize, grants: Vec<(InstanceId, BatchSlotGrant)>) {
+    fn push(&mut self, controller: usize, grants: Vec<(InstanceId, BatchSlotGrant)>) {
         for (id, grant) in grants {
             let Some(owner) = (0..OWNERS).find(|index| owner_id(*index) == id) else {
                 panic!("a grant for an unknown owner");
             };
-            self.messages.push(Message::Push {
+            self.messages.push(Message::PushedGrant {
                 owner,
-                steward,
+                controller,
                 grant,
             });
         }
     }
 
-    /// Runs one input of a steward and checks what must hold of every input.
-    fn input<F>(&mut self, steward: usize, input: F)
+    /// Runs one input of a controller and checks the invariants of every input.
+    fn input<F>(&mut self, controller: usize, input: F)
     where
         F: FnOnce(&mut BatchController, MonoMs) -> Vec<(InstanceId, BatchSlotGrant)>,
     {
-        let before: BTreeMap<InstanceId, u32> = self.keeps(steward);
-        let grants = input(&mut self.stewards[steward], self.now);
-        let machine = &self.stewards[steward];
-        let kept: u32 = machine.grants().map(|(_, keep, _)| keep).sum();
+        let before: BTreeMap<InstanceId, u32> = self.cancel_limits(controller);
+        let grants = input(&mut self.controllers[controller], self.now);
+        let machine = &self.controllers[controller];
+        let granted: u32 = machine
+            .grants()
+            .map(|(_, cancel_above, _)| cancel_above)
+            .sum();
         assert!(
-            kept <= machine.window().value(),
-            "{kept} places stay granted above the mark {}",
+            granted <= machine.window().value(),
+            "{granted} slots stay granted above the window {}",
             machine.window().value()
         );
-        for (id, keep, start) in machine.grants() {
-            assert!(start <= keep);
+        for (id, cancel_above, start) in machine.grants() {
+            assert!(start <= cancel_above);
             if machine.window().is_held() {
                 assert_eq!(start, 0, "{id} may start batch while pressure holds");
             }
-            let told = grants.iter().any(|(owner, _)| owner == id);
-            let lower = before.get(id).is_some_and(|old| *old > keep);
-            assert!(!lower || told, "{id} was not told of its lower grant");
+            let notified = grants.iter().any(|(owner, _)| owner == id);
+            let lower = before.get(id).is_some_and(|old| *old > cancel_above);
+            assert!(
+                !lower || notified,
+                "{id} was not notified of its lower grant"
+            );
         }
-        self.push(steward, grants);
-        let mark = self.stewards[steward].window().value();
-        self.marks[steward].push((self.now, mark));
+        self.push(controller, grants);
+        let window = self.controllers[controller].window().value();
+        self.windows[controller].push((self.now, window));
     }
 
-    fn keeps(&self, steward: usize) -> BTreeMap<InstanceId, u32> {
-        let grants = self.stewards[steward].grants();
-        grants.map(|(id, keep, _)| (id.clone(), keep)).collect()
+    fn cancel_limits(&self, controller: usize) -> BTreeMap<InstanceId, u32> {
+        let grants = self.controllers[controller].grants();
+        grants
+            .map(|(id, cancel_above, _)| (id.clone(), cancel_above))
+            .collect()
     }
 
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Ask {
-                steward,
-                ask,
+            Message::SlotRequest {
+                controller,
+                request,
                 sent_at,
             } => {
-                let owner = (0..OWNERS).find(|index| owner_id(*index) == ask.owner);
-                let owner = owner.expect("the asker is an owner");
-                let mut answer = None;
-                self.input(steward, |machine, now| {
-                    let (grant, mut others) = machine.asked(ask, now);
-                    answer = Some(grant.clone());
+                let owner = (0..OWNERS).find(|index| owner_id(*index) == request.owner);
+                let owner = owner.expect("the requester is an owner");
+                let mut response = None;
+                self.input(controller, |machine, now| {
+                    let (grant, mut others) = machine.asked(request, now);
+                    response = Some(grant.clone());
                     others.push((owner_id(owner), grant));
                     others
                 });
                 self.messages.pop();
-                let grant = answer.expect("every question has an answer");
-                self.messages.push(Message::Answer {
+                let grant = response.expect("every request has a response");
+                self.messages.push(Message::Response {
                     owner,
                     grant,
-                    asked_at: sent_at,
+                    requested_at: sent_at,
                 });
             }
-            Message::Answer {
+            Message::Response {
                 owner,
                 grant,
-                asked_at,
+                requested_at,
             } => {
-                let side = &mut self.owners[owner];
-                let actions = side.desk.answered(&grant, asked_at, now);
+                let owner_state = &mut self.owners[owner];
+                let actions = owner_state.scheduler.answered(&grant, requested_at, now);
                 self.act(owner, actions);
             }
-            Message::Push {
+            Message::PushedGrant {
                 owner,
-                steward,
+                controller,
                 grant,
             } => {
-                let side = &mut self.owners[owner];
-                let actions = side.desk.pushed(&grant, now);
+                let owner_state = &mut self.owners[owner];
+                let actions = owner_state.scheduler.pushed(&grant, now);
                 self.act(owner, actions);
-                let ask = self.owners[owner].desk.ask(&backend(), WallMs(0));
-                self.messages.push(Message::Told { steward, ask });
+                let request = self.owners[owner].scheduler.ask(&backend(), WallMs(0));
+                self.messages.push(Message::Usage {
+                    controller,
+                    request,
+                });
             }
-            Message::Told { steward, ask } => self.stewards[steward].told(ask, now),
-            Message::Notice { steward, notice } => {
-                let batch_before = self.stewards[steward].window().value();
-                self.input(steward, |machine, now| machine.noticed(&notice, now));
-                let mark = self.stewards[steward].window();
-                let fell = mark.is_held() && mark.value() <= batch_before;
-                assert!(!notice.pressed || fell, "pressure did not hold the mark");
+            Message::Usage {
+                controller,
+                request,
+            } => self.controllers[controller].told(request, now),
+            Message::Notice { controller, notice } => {
+                let batch_before = self.controllers[controller].window().value();
+                self.input(controller, |machine, now| machine.noticed(&notice, now));
+                let window = self.controllers[controller].window();
+                let shrank = window.is_held() && window.value() <= batch_before;
+                assert!(
+                    !notice.pressed || shrank,
+                    "pressure did not hold the window"
+                );
             }
         }
     }
 
-    fn report(&mut self, steward: usize, lag_ms: u64) {
+    fn report(&mut self, controller: usize, lag_ms: u64) {
         let at = MonoMs(self.now.0.saturating_sub(lag_ms));
         let made = self.loads.iter().rev().find(|(made, _, _)| *made <= at);
         let (_, batch, online) = made.copied().unwrap_or(self.loads[0]);
-        let there = batch + online;
+        let total = batch + online;
         let report = LoadReport {
-            running: there.min(SLOTS),
-            waiting: there.saturating_sub(SLOTS),
+            running: total.min(SLOTS),
+            waiting: total.saturating_sub(SLOTS),
             slots: SLOTS,
             kv_used: 0.0,
             age_ms: lag_ms,
             ..LoadReport::default()
         };
-        self.input(steward, |machine, now| machine.reported(&report, now));
+        self.input(controller, |machine, now| machine.reported(&report, now));
     }
 
     fn tick(&mut self, owner: usize) {
         let now = self.now;
-        let side = &mut self.owners[owner];
-        let actions = side.desk.set_replicas(vec![entry(side.steward)], now);
+        let owner_state = &mut self.owners[owner];
+        let actions = owner_state
+            .scheduler
+            .set_replicas(vec![entry(owner_state.controller)], now);
         self.act(owner, actions);
-        let side = &mut self.owners[owner];
-        for (_, ask) in side.desk.asks(now, WallMs(0)) {
-            self.messages.push(Message::Ask {
-                steward: side.steward,
-                ask,
+        let owner_state = &mut self.owners[owner];
+        for (_, request) in owner_state.scheduler.asks(now, WallMs(0)) {
+            self.messages.push(Message::SlotRequest {
+                controller: owner_state.controller,
+                request,
                 sent_at: now,
             });
         }
@@ -266,7 +291,7 @@
             Step::Advance { ms } => {
                 self.now = self.now + ms;
                 for owner in 0..OWNERS {
-                    let actions = self.owners[owner].desk.act(self.now);
+                    let actions = self.owners[owner].scheduler.act(self.now);
                     self.act(owner, actions);
                 }
             }
@@ -278,24 +303,24 @@
             Step::End { owner, nth } => self.end(owner, nth, true),
             Step::Stop { owner, nth } => self.end(owner, nth, false),
             Step::OwnerTick { owner } => self.tick(owner),
-            Step::StewardTick { steward } => self.input(steward, BatchController::tick),
-            Step::Report { steward, lag_ms } => self.report(steward, lag_ms),
+            Step::ControllerTick { controller } => self.input(controller, BatchController::tick),
+            Step::Report { controller, lag_ms } => self.report(controller, lag_ms),
             Step::Burst {
                 requests,
-                told,
+                notified,
                 pressed,
             } => {
                 self.online += u32::from(requests);
                 self.next_notice += 1;
                 let notice = OnlineLoadNotice {
-                    from: owner_id(told),
+                    from: owner_id(notified),
                     backend: backend(),
                     number: self.next_notice,
                     in_flight: self.online,
                     pressed,
                 };
                 self.messages.push(Message::Notice {
-                    steward: told,
+                    controller: notified,
                     notice,
                 });
             }
@@ -314,14 +339,14 @@
                     self.messages.push(message);
                 }
             }
-            Step::Follow { owner, steward } => {
-                self.owners[owner].steward = steward;
+            Step::SwitchController { owner, controller } => {
+                self.owners[owner].controller = controller;
             }
-            Step::Kill { steward } => {
-                let (id, term) = (steward_id(steward), self.next_term);
+            Step::Kill { controller } => {
+                let (id, term) = (controller_id(controller), self.next_term);
                 self.next_term += 1;
-                self.stewards[steward] = BatchController::new(id, backend(), term, 100);
-                self.disturbed_at = Some(self.now);
+                self.controllers[controller] = BatchController::new(id, backend(), term, 100);
+                self.killed_at = Some(self.now);
             }
         }
         let load = (self.now, self.batch(), self.online);
@@ -337,79 +362,91 @@
         for _ in 0..items {
             let item = self.next_item;
             self.next_item += 1;
-            let side = &mut self.owners[owner];
-            side.live.insert(item, 0);
-            let actions = side.desk.wait(item, waiting(slack_s), self.now);
+            let owner_state = &mut self.owners[owner];
+            owner_state.live.insert(item, 0);
+            let actions = owner_state.scheduler.wait(item, waiting(slack_s), self.now);
             self.act(owner, actions);
         }
     }
 
     fn end(&mut self, owner: usize, nth: usize, running: bool) {
-        let side = &mut self.owners[owner];
-        let of_kind = |places: u32| (places == 1) == running;
-        let items: Vec<ItemKey> = side
+        let owner_state = &mut self.owners[owner];
+        let of_kind = |slots: u32| (slots == 1) == running;
+        let items: Vec<ItemKey> = owner_state
             .live
             .iter()
-            .filter(|(_, places)| of_kind(**places))
+            .filter(|(_, slots)| of_kind(**slots))
             .map(|(item, _)| *item)
             .collect();
         let Some(item) = items.get(nth % items.len().max(1)).copied() else {
             return;
         };
-        side.live.remove(&item);
-        let actions = side.desk.leave(item, self.now);
+        owner_state.live.remove(&item);
+        let actions = owner_state.scheduler.leave(item, self.now);
         self.act(owner, actions);
     }
 
     pub fn check(&self) {
-        let most = SLOTS - CongestionWindow::least_headroom(SLOTS);
-        for side in &self.owners {
-            let running = side.live.values().filter(|places| **places == 1).count();
-            assert_eq!(running, side.desk.running(), "places and items differ");
-            let known = side.desk.waiting() + side.desk.running();
-            assert_eq!(side.live.len(), known, "an item was lost");
+        let maximum = SLOTS - CongestionWindow::least_headroom(SLOTS);
+        for owner_state in &self.owners {
+            let running = owner_state
+                .live
+                .values()
+                .filter(|slots| **slots == 1)
+                .count();
+            assert_eq!(
+                running,
+                owner_state.scheduler.running(),
+                "slots and items differ"
+            );
+            let known = owner_state.scheduler.waiting() + owner_state.scheduler.running();
+            assert_eq!(owner_state.live.len(), known, "an item was lost");
         }
-        let recent = self.disturbed_at.map(|at| self.now.since_ms(at));
+        let recent = self.killed_at.map(|at| self.now.since_ms(at));
         if recent.is_some_and(|since_ms| since_ms <= GRANT_MS) {
             return;
         }
-        assert!(self.batch() <= 2 * most, "{} items in flight", self.batch());
-        for steward in 0..STEWARDS {
-            self.check_steward(steward, most);
+        assert!(
+            self.batch() <= 2 * maximum,
+            "{} items in flight",
+            self.batch()
+        );
+        for controller in 0..CONTROLLERS {
+            self.check_controller(controller, maximum);
         }
     }
 
-    fn check_steward(&self, steward: usize, most: u32) {
-        let id = steward_id(steward);
+    fn check_controller(&self, controller: usize, maximum: u32) {
+        let id = controller_id(controller);
         let mut followers = BTreeSet::new();
         let mut in_use = 0;
-        for (index, side) in self.owners.iter().enumerate() {
-            let grantor = side.desk.grantor(&backend(), self.now);
+        for (index, owner_state) in self.owners.iter().enumerate() {
+            let grantor = owner_state.scheduler.grantor(&backend(), self.now);
             if grantor.is_some_and(|(grantor, _)| *grantor == id) {
                 followers.insert(index);
-                in_use += side.desk.in_use(&backend());
+                in_use += owner_state.scheduler.in_use(&backend());
             }
         }
         let since = |at: &MonoMs| self.now.since_ms(*at) <= GRANT_MS;
-        let marks = &self.marks[steward];
-        let first = marks
+        let windows = &self.windows[controller];
+        let first = windows
             .iter()
             .position(|(at, _)| since(at))
-            .unwrap_or(marks.len());
+            .unwrap_or(windows.len());
         let from = first.saturating_sub(1);
-        let largest = marks[from..].iter().map(|(_, mark)| *mark).max();
+        let largest = windows[from..].iter().map(|(_, window)| *window).max();
         assert!(
-            in_use <= largest.unwrap_or(0) && in_use <= most,
-            "{in_use} items of {followers:?} in flight under the mark {largest:?}"
+            in_use <= largest.unwrap_or(0) && in_use <= maximum,
+            "{in_use} items of {followers:?} in flight under the window {largest:?}"
         );
     }
 
-    /// With all faults over, every item ends.
+    /// Checks that every item ends once all faults are over.
     pub fn drain(&mut self) {
         self.online = 0;
         self.messages.clear();
-        for side in &mut self.owners {
-            side.steward = 0;
+        for owner_state in &mut self.owners {
+            owner_state.controller = 0;
         }
         for round in 0..1_000 {
             self.now = self.now + 20;
@@ -429,12 +466,20 @@
             for owner in 0..OWNERS {
                 self.end(owner, 0, true);
             }
-            if self.owners.iter().all(|side| side.live.is_empty()) {
+            if self
+                .owners
+                .iter()
+                .all(|owner_state| owner_state.live.is_empty())
+            {
                 return;
             }
         }
-        let left: Vec<usize> = self.owners.iter().map(|side| side.live.len()).collect();
-        panic!("items never got a place: {left:?}");
+        let remaining: Vec<usize> = self
+            .owners
+            .iter()
+            .map(|owner_state| owner_state.live.len())
+            .collect();
+        panic!("items never got a slot: {remaining:?}");
     }
 }
 
--- a/crates/foxtailhold/tests/batch_control_world/step.rs
+++ b/crates/foxtailhold/tests/batch_control_world/step.rs
@@ -1,4 +1,4 @@
-//! What happens in the world, and what is under way between its processes.
+//! The steps of the simulation and the messages in transit between its processes.
 
 use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest, OnlineLoadNotice};
 use foxtailhold::time::MonoMs;
@@ -24,16 +24,16 @@
     OwnerTick {
         owner: usize,
     },
-    StewardTick {
-        steward: usize,
+    ControllerTick {
+        controller: usize,
     },
     Report {
-        steward: usize,
+        controller: usize,
         lag_ms: u64,
     },
     Burst {
         requests: u8,
-        told: usize,
+        notified: usize,
         pressed: bool,
     },
     OnlineEnds {
@@ -48,38 +48,38 @@
     Repeat {
         nth: usize,
     },
-    Follow {
+    SwitchController {
         owner: usize,
-        steward: usize,
+        controller: usize,
     },
     Kill {
-        steward: usize,
+        controller: usize,
     },
 }
 
 #[derive(Debug, Clone)]
 pub enum Message {
-    Ask {
-        steward: usize,
-        ask: BatchSlotRequest,
+    SlotRequest {
+        controller: usize,
+        request: BatchSlotRequest,
         sent_at: MonoMs,
     },
-    Answer {
+    Response {
         owner: usize,
         grant: BatchSlotGrant,
-        asked_at: MonoMs,
+        requested_at: MonoMs,
     },
-    Push {
+    PushedGrant {
         owner: usize,
-        steward: usize,
+        controller: usize,
         grant: BatchSlotGrant,
     },
-    Told {
-        steward: usize,
-        ask: BatchSlotRequest,
+    Usage {
+        controller: usize,
+        request: BatchSlotRequest,
     },
     Notice {
-        steward: usize,
+        controller: usize,
         notice: OnlineLoadNotice,
     },
 }
--- a/crates/foxtailhold/tests/crashes.rs
+++ b/crates/foxtailhold/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Evidence against requests that crash backend servers.
+//! Crash evidence against requests. Guards against evidence that depends on the order or number of
+//! reports, and against a crashing request that runs more often than the contract allows.
 
 use foxtailhold::crashes::{
     CrashEvidence, CrashRegistry, CrashStatus, ItemBackoff, MAX_CRASHES, MAX_PROBES, REFUSAL_MS,
@@ -20,12 +21,12 @@
     }
 }
 
-fn book(crashes: &[CrashId]) -> CrashRegistry {
-    let mut book = CrashRegistry::default();
+fn registry(crashes: &[CrashId]) -> CrashRegistry {
+    let mut registry = CrashRegistry::default();
     for crash in crashes {
-        book.crashed(REQUEST, crash.clone(), NOW);
+        registry.crashed(REQUEST, crash.clone(), NOW);
     }
-    book
+    registry
 }
 
 fn later(ms: u64) -> WallMs {
@@ -35,89 +36,99 @@
 #[test_case(&[("a", 1), ("b", 1), ("c", 1)], 3; "three backend servers")]
 #[test_case(&[("a", 1), ("a", 2), ("a", 3)], 3; "three starts of one")]
 #[test_case(&[("a", 1), ("a", 1), ("a", 1)], 1; "copies in flight at one crash")]
-#[test_case(&[("a", 1), ("b", 1), ("a", 1)], 2; "one of them told twice")]
-fn crashes_are_told_apart_by_the_start_of_the_backend_server(
+#[test_case(&[("a", 1), ("b", 1), ("a", 1)], 2; "one of them reported twice")]
+fn crashes_are_distinguished_by_the_start_of_the_backend_server(
     crashes: &[(&str, u64)],
     expected: usize,
 ) {
     let crashes: Vec<CrashId> = crashes.iter().map(|(id, at)| crash(id, *at)).collect();
-    let book = book(&crashes);
-    assert_eq!(book.crashes(REQUEST), expected);
-    let is_refused = matches!(book.status(REQUEST, NOW), CrashStatus::Refused { .. });
+    let registry = registry(&crashes);
+    assert_eq!(registry.crashes(REQUEST), expected);
+    let is_refused = matches!(registry.status(REQUEST, NOW), CrashStatus::Refused { .. });
     assert_eq!(is_refused, expected >= MAX_CRASHES);
-    assert_eq!(book.status(Fingerprint(8), NOW), CrashStatus::Free);
+    assert_eq!(registry.status(Fingerprint(8), NOW), CrashStatus::Free);
 }
 
 #[test]
-fn a_refusal_lasts_longer_with_each_crash_of_a_late_run() {
-    let mut book = book(&[crash("a", 1), crash("b", 1), crash("c", 1)]);
+fn a_refusal_lasts_longer_with_each_crash_of_a_probe() {
+    let mut registry = registry(&[crash("a", 1), crash("b", 1), crash("c", 1)]);
     let mut now = NOW;
-    for (late, refused_ms) in REFUSAL_MS.iter().enumerate() {
+    for (probe, refused_ms) in REFUSAL_MS.iter().enumerate() {
         let left_ms = *refused_ms;
-        assert_eq!(book.status(REQUEST, now), CrashStatus::Refused { left_ms });
+        assert_eq!(
+            registry.status(REQUEST, now),
+            CrashStatus::Refused { left_ms }
+        );
         now = WallMs(now.0 + refused_ms - 1);
         let last = CrashStatus::Refused { left_ms: 1 };
-        assert_eq!(book.status(REQUEST, now), last);
+        assert_eq!(registry.status(REQUEST, now), last);
         now = WallMs(now.0 + 1);
-        assert_eq!(book.status(REQUEST, now), CrashStatus::OnProbation);
-        book.crashed(REQUEST, crash("late", late as u64), now);
+        assert_eq!(registry.status(REQUEST, now), CrashStatus::OnProbation);
+        registry.crashed(REQUEST, crash("late", probe as u64), now);
     }
     let left_ms = REFUSAL_MS[MAX_PROBES];
-    assert_eq!(book.status(REQUEST, now), CrashStatus::Refused { left_ms });
+    assert_eq!(
+        registry.status(REQUEST, now),
+        CrashStatus::Refused { left_ms }
+    );
 }
 
-/// A request that is sent every four seconds and crashes whatever runs it, and a crash that is not noted,
-/// such as that of a run whose instance was lost too.
-#[test_case(0; "of the first run")]
-#[test_case(2; "of the third run")]
-#[test_case(3; "of the first late run")]
-#[test_case(4; "of the second late run")]
-fn late_runs_stay_within_the_contract_where_one_crash_is_not_noted(lost: usize) {
+/// A request is sent every four seconds and crashes every backend server that runs it. One of its
+/// crashes is not recorded, as happens if the instance that saw it is lost too. The attempts must
+/// stay within the contract all the same.
+#[test_case(0; "of the first attempt")]
+#[test_case(2; "of the third attempt")]
+#[test_case(3; "of the first probe")]
+#[test_case(4; "of the second probe")]
+fn probes_stay_within_the_contract_if_one_crash_is_not_recorded(lost: usize) {
     const PAUSE_MS: u64 = 4_000;
     const DAY_MS: u64 = 86_400_000;
-    const LATE_RUNS_ALLOWED: usize = 3;
-    let mut book = CrashRegistry::default();
-    let mut runs = 0;
+    const MAX_PROBES_ALLOWED: usize = 3;
+    let mut registry = CrashRegistry::default();
+    let mut attempts = 0;
     for at in (0..DAY_MS).step_by(PAUSE_MS as usize) {
         let now = later(at);
-        if let CrashStatus::Refused { .. } = book.status(REQUEST, now) {
+        if let CrashStatus::Refused { .. } = registry.status(REQUEST, now) {
             continue;
         }
-        if runs != lost {
-            book.crashed(REQUEST, crash("a", runs as u64), now);
+        if attempts != lost {
+            registry.crashed(REQUEST, crash("a", attempts as u64), now);
         }
-        runs += 1;
+        attempts += 1;
     }
-    assert!(runs <= MAX_CRASHES + LATE_RUNS_ALLOWED, "{runs} runs");
+    assert!(
+        attempts <= MAX_CRASHES + MAX_PROBES_ALLOWED,
+        "{attempts} attempts"
+    );
 }
 
 #[test]
 fn a_request_that_was_seen_to_run_is_cleared() {
-    let mut book = book(&[crash("a", 1), crash("b", 1)]);
-    assert!(book.clear(REQUEST));
-    assert!(!book.clear(REQUEST));
-    book.crashed(REQUEST, crash("c", 1), NOW);
-    assert_eq!(book.status(REQUEST, NOW), CrashStatus::Free);
+    let mut registry = registry(&[crash("a", 1), crash("b", 1)]);
+    assert!(registry.clear(REQUEST));
+    assert!(!registry.clear(REQUEST));
+    registry.crashed(REQUEST, crash("c", 1), NOW);
+    assert_eq!(registry.status(REQUEST, NOW), CrashStatus::Free);
 }
 
 #[test]
 fn evidence_expires_unless_the_request_is_refused() {
-    let mut few = book(&[crash("a", 1), crash("b", 1)]);
+    let mut few = registry(&[crash("a", 1), crash("b", 1)]);
     assert!(few.expire(later(SUSPECT_TTL_MS - 1)).is_empty());
     assert_eq!(few.expire(later(SUSPECT_TTL_MS)), [REQUEST]);
     assert!(few.is_empty());
-    let mut enough = book(&[crash("a", 1), crash("b", 1), crash("c", 1)]);
+    let mut enough = registry(&[crash("a", 1), crash("b", 1), crash("c", 1)]);
     assert!(enough.expire(later(SUSPECT_TTL_MS)).is_empty());
 }
 
 #[test_case(1, ItemBackoff::None; "not enough")]
 #[test_case(2, ItemBackoff::Delay { pause_ms: 1_000 }; "one more would be too many")]
-#[test_case(3, ItemBackoff::Delay { pause_ms: 2_500 }; "the first late run comes soon")]
+#[test_case(3, ItemBackoff::Delay { pause_ms: 2_500 }; "the first probe comes soon")]
 #[test_case(4, ItemBackoff::Delay { pause_ms: 10_000 }; "the second one later")]
 #[test_case(5, ItemBackoff::Delay { pause_ms: 20_000 }; "the last")]
 #[test_case(6, ItemBackoff::NoMoreAttempts; "none left")]
 #[test_case(60, ItemBackoff::NoMoreAttempts; "far too many")]
-fn the_runs_of_an_item_are_spread_over_its_time(crashes: usize, expected: ItemBackoff) {
+fn the_attempts_of_an_item_are_spread_over_its_time(crashes: usize, expected: ItemBackoff) {
     assert_eq!(item_backoff(crashes, 60_000), expected);
 }
 
@@ -134,16 +145,16 @@
 
 proptest! {
     #[test]
-    fn the_order_and_number_of_tellings_does_not_matter(
-        told in prop::collection::vec(evidence(), 1..6),
-        again in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
+    fn evidence_merges_in_any_order_and_number(
+        reports in prop::collection::vec(evidence(), 1..6),
+        repeated in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
         let mut first = CrashEvidence::default();
-        told.iter().for_each(|one| { first.join(one); });
+        reports.iter().for_each(|one| { first.join(one); });
         let mut second = CrashEvidence::default();
-        told.iter().rev().for_each(|one| { second.join(one); });
-        for index in again {
-            prop_assert!(!second.join(index.get(&told)));
+        reports.iter().rev().for_each(|one| { second.join(one); });
+        for index in repeated {
+            prop_assert!(!second.join(index.get(&reports)));
         }
         prop_assert_eq!(first, second);
     }
--- a/crates/foxtailhold/tests/limits.rs
+++ b/crates/foxtailhold/tests/limits.rs
@@ -1,4 +1,6 @@
-//! Limits shared by several instances, case by case.
+//! Limits shared by several instances. Guards against a customer that cannot use its limit on the
+//! instances it happens to reach, and against instances that admit more than the limit together
+//! when the coordinator or the network fails.
 
 mod common;
 
@@ -27,7 +29,7 @@
 }
 
 #[test]
-fn a_burst_of_a_customer_at_rest_is_admitted_at_once_on_any_instance() {
+fn a_burst_of_an_idle_customer_is_admitted_at_once_on_any_instance() {
     for index in 0..INSTANCES {
         let mut world = World::new();
         world.delay_ms = 0;
@@ -37,17 +39,23 @@
 }
 
 #[test]
-fn without_a_home_instances_admit_at_most_the_limit_once_more() {
+fn without_a_coordinator_instances_admit_at_most_the_limit_once_more() {
     let mut world = World::new();
     let all = [0, 1, 2, 3];
     world.flood(&all, 3_000);
-    let home = world.home_of(0);
-    let others: Vec<usize> = all.into_iter().filter(|index| *index != home).collect();
-    world.kill(home);
+    let coordinator = world.home_of(0);
+    let others: Vec<usize> = all
+        .into_iter()
+        .filter(|index| *index != coordinator)
+        .collect();
+    world.kill(coordinator);
     let admitted = world.flood(&others, 10_000);
     let limit = 1_000.0 + TERMS.burst_requests;
-    assert!(admitted >= 0.6 * 1_000.0, "{admitted} without a home");
-    assert!(admitted <= limit, "{admitted} without a home");
+    assert!(
+        admitted >= 0.6 * 1_000.0,
+        "{admitted} without a coordinator"
+    );
+    assert!(admitted <= limit, "{admitted} without a coordinator");
 }
 
 #[test]
@@ -70,32 +78,34 @@
 }
 
 #[test]
-fn customers_at_rest_take_no_memory_at_the_home() {
+fn idle_customers_use_no_memory_at_the_coordinator() {
     let mut world = World::new();
     world.flood(&[0, 1, 2], 2_000);
-    let homes = |world: &World| {
+    let customers_in_memory = |world: &World| {
         world
             .nodes
             .iter()
             .map(|node| node.home.len())
             .sum::<usize>()
     };
-    assert_eq!(homes(&world), 1);
+    assert_eq!(customers_in_memory(&world), 1);
     world.advance(10_000);
     println!(
         "{:#?}",
         world.nodes.iter().map(|n| &n.home).collect::<Vec<_>>()
     );
-    assert_eq!(homes(&world), 0);
+    assert_eq!(customers_in_memory(&world), 0);
 }
 
 #[test]
-fn a_lost_home_costs_at_most_the_parts_of_newcomers() {
+fn a_lost_coordinator_costs_at_most_the_parts_of_newcomers() {
     let mut world = World::new();
-    let home = world.home_of(0);
-    let others: Vec<usize> = (0..INSTANCES).filter(|index| *index != home).collect();
+    let coordinator = world.home_of(0);
+    let others: Vec<usize> = (0..INSTANCES)
+        .filter(|index| *index != coordinator)
+        .collect();
     world.flood(&others[..1], 3_000);
-    world.kill(home);
+    world.kill(coordinator);
     for index in &others {
         world.set_view(*index, &others);
     }
@@ -110,10 +120,12 @@
 #[test]
 fn a_first_request_is_admitted_where_all_is_granted_elsewhere() {
     let mut world = World::new();
-    let home = world.home_of(0);
-    let others: Vec<usize> = (0..INSTANCES).filter(|index| *index != home).collect();
+    let coordinator = world.home_of(0);
+    let others: Vec<usize> = (0..INSTANCES)
+        .filter(|index| *index != coordinator)
+        .collect();
     world.flood(&others[..2], 3_000);
-    world.set_view(home, &others[..2]);
+    world.set_view(coordinator, &others[..2]);
     world.flood(&others[..2], 2_000);
     let newcomer = others[2];
     let mut waited_ms = 0;
--- a/crates/foxtailhold/tests/limits_coordinator.rs
+++ b/crates/foxtailhold/tests/limits_coordinator.rs
@@ -1,5 +1,5 @@
-//! The home of a customer's limits: what it grants while answers may be lost or an earlier home's
-//! grants may be valid.
+//! Grants of a limit coordinator while responses may be lost or grants of an earlier coordinator
+//! may still be valid. Guards against shares that add up to more than the limit.
 
 mod common;
 
@@ -13,14 +13,14 @@
 
 const NOW: MonoMs = MonoMs(100_000);
 
-struct Home {
-    home: LimitCoordinator,
+struct Coordinator {
+    coordinator: LimitCoordinator,
     views: MembershipViews,
     number: u64,
 }
 
-impl Home {
-    /// The customer's home among all instances.
+impl Coordinator {
+    /// The customer's coordinator among all instances.
     fn new() -> Self {
         let mut views = None;
         for index in 0..INSTANCES {
@@ -30,14 +30,15 @@
                 views = Some(view);
             }
         }
-        Home {
-            home: LimitCoordinator::default(),
+        Coordinator {
+            coordinator: LimitCoordinator::default(),
             views: views.unwrap(),
             number: 0,
         }
     }
 
-    /// An ask of an instance that could use all, held at `held`; `None` gives back.
+    /// Sends a share request of an instance that could use the whole limit and holds `held`; `None`
+    /// returns the share.
     fn ask(&mut self, from: usize, held: Option<Share>, at: MonoMs) -> Option<ShareGrant> {
         self.number += 1;
         let demand = Demand {
@@ -46,7 +47,7 @@
             slots: TERMS.slots,
             in_flight: 0,
         };
-        let ask = ShareRequest {
+        let request = ShareRequest {
             customer: customer(),
             number: self.number,
             held: held.unwrap_or_default(),
@@ -54,7 +55,8 @@
             returned: Credit::default(),
         };
         let from = instance(from);
-        self.home.ask(&from, &ask, &TERMS, &self.views, at)
+        self.coordinator
+            .ask(&from, &request, &TERMS, &self.views, at)
     }
 
     fn share(&mut self, from: usize, held: Share, at: MonoMs) -> Share {
@@ -63,17 +65,17 @@
 }
 
 #[test]
-fn a_share_that_shrinks_is_counted_whole_until_its_holder_asks_again() {
-    let mut home = Home::new();
+fn a_share_that_shrinks_is_counted_whole_until_its_holder_renews() {
+    let mut coordinator = Coordinator::new();
     let nothing = Share::default();
-    let large = home.share(0, nothing, NOW);
-    let small = home.share(1, nothing, NOW);
-    let shrunk = home.share(0, large, NOW + 1_000);
+    let large = coordinator.share(0, nothing, NOW);
+    let small = coordinator.share(1, nothing, NOW);
+    let shrunk = coordinator.share(0, large, NOW + 1_000);
     assert!(shrunk.requests_ppm < large.requests_ppm);
-    let held = home.share(1, small, NOW + 1_001);
+    let held = coordinator.share(1, small, NOW + 1_001);
     assert!(held.requests_ppm <= FULL_SHARE_PPM - large.requests_ppm);
-    home.share(0, shrunk, NOW + 1_002);
-    let grown = home.share(1, held, NOW + 1_003);
+    coordinator.share(0, shrunk, NOW + 1_002);
+    let grown = coordinator.share(1, held, NOW + 1_003);
     assert!(grown.requests_ppm > held.requests_ppm);
     assert!(grown.requests_ppm <= FULL_SHARE_PPM - shrunk.requests_ppm);
 }
@@ -81,9 +83,9 @@
 #[test_case(LEASE_MS - 1, false; "before the lease ends")]
 #[test_case(LEASE_MS, true; "when the lease has ended")]
 fn a_lost_holders_share_is_free_after_its_lease(after_ms: u64, free: bool) {
-    let mut home = Home::new();
-    let large = home.share(0, Share::default(), NOW);
-    let share = home.share(1, Share::default(), NOW + after_ms);
+    let mut coordinator = Coordinator::new();
+    let large = coordinator.share(0, Share::default(), NOW);
+    let share = coordinator.share(1, Share::default(), NOW + after_ms);
     assert_eq!(
         share.requests_ppm > FULL_SHARE_PPM - large.requests_ppm,
         free
@@ -91,28 +93,28 @@
 }
 
 #[test]
-fn what_gathered_is_given_out_once() {
-    let mut home = Home::new();
-    let mut given = 0.0;
+fn accumulated_credit_is_granted_once() {
+    let mut coordinator = Coordinator::new();
+    let mut granted = 0.0;
     for _ in 0..20 {
-        let grant = home.ask(0, Some(Share::default()), NOW).unwrap();
-        given += grant.credit.requests;
-        home.ask(0, None, NOW);
+        let grant = coordinator.ask(0, Some(Share::default()), NOW).unwrap();
+        granted += grant.credit.requests;
+        coordinator.ask(0, None, NOW);
     }
-    assert!(given <= TERMS.burst_requests + 1e-6, "{given}");
+    assert!(granted <= TERMS.burst_requests + 1e-6, "{granted}");
 }
 
 #[test]
-fn an_outdated_ask_is_not_answered() {
-    let mut home = Home::new();
-    home.share(0, Share::default(), NOW);
-    home.number = 0;
-    assert_eq!(home.ask(0, Some(Share::default()), NOW), None);
+fn an_outdated_request_is_not_answered() {
+    let mut coordinator = Coordinator::new();
+    coordinator.share(0, Share::default(), NOW);
+    coordinator.number = 0;
+    assert_eq!(coordinator.ask(0, Some(Share::default()), NOW), None);
 }
 
 #[test]
-fn while_an_earlier_home_may_have_granted_newcomers_get_only_their_part() {
-    let mut home = Home::new();
+fn while_an_earlier_coordinator_may_have_granted_newcomers_get_only_their_part() {
+    let mut coordinator = Coordinator::new();
     let me = (0..INSTANCES).find(|index| {
         let mut views = MembershipViews::new(instance(*index), MonoMs(0));
         views.set((0..INSTANCES).map(instance).collect(), 0, MonoMs(0));
@@ -121,24 +123,27 @@
     let me = me.unwrap();
     let others: Vec<usize> = (0..INSTANCES).filter(|index| *index != me).collect();
     let without_me = others.iter().map(|index| instance(*index)).collect();
-    home.views.set(without_me, INSTANCES as u32, NOW);
-    assert_eq!(home.ask(others[0], Some(Share::default()), NOW), None);
+    coordinator.views.set(without_me, INSTANCES as u32, NOW);
+    assert_eq!(
+        coordinator.ask(others[0], Some(Share::default()), NOW),
+        None
+    );
     let all = (0..INSTANCES).map(instance).collect();
-    home.views.set(all, INSTANCES as u32, NOW + 1);
+    coordinator.views.set(all, INSTANCES as u32, NOW + 1);
 
     let part = FULL_SHARE_PPM / INSTANCES as u32;
-    let newcomer = home.share(others[0], Share::default(), NOW + 2);
+    let newcomer = coordinator.share(others[0], Share::default(), NOW + 2);
     assert_eq!(newcomer.requests_ppm, part);
     let claimed = Share {
         requests_ppm: FULL_SHARE_PPM / 2,
         tokens_ppm: part + 1,
         slots: TERMS.slots / 2,
     };
-    assert_eq!(home.share(others[1], claimed, NOW + 3), claimed);
-    let last = home.share(others[2], Share::default(), NOW + 4);
+    assert_eq!(coordinator.share(others[1], claimed, NOW + 3), claimed);
+    let last = coordinator.share(others[2], Share::default(), NOW + 4);
     assert_eq!(last.requests_ppm, part);
     let later = NOW + LEASE_MS + 1;
-    let grown = home.share(others[0], newcomer, later);
+    let grown = coordinator.share(others[0], newcomer, later);
     assert!(grown.requests_ppm >= newcomer.requests_ppm);
 }
 
@@ -147,10 +152,10 @@
     let mut holder = ShareHolder::new(NOW);
     let count = INSTANCES as u32;
     assert_eq!(holder.admit(&TERMS, count, 1.0, NOW), LimitDecision::Wait);
-    let ask = holder.ask(&customer(), &TERMS, 1, NOW).unwrap();
+    let request = holder.ask(&customer(), &TERMS, 1, NOW).unwrap();
     let grant = ShareGrant {
         customer: customer(),
-        number: ask.number,
+        number: request.number,
         share: Share::part(&TERMS, 1, 16),
         credit: Credit {
             requests: 0.0,
@@ -170,14 +175,16 @@
 
 #[test]
 fn a_budget_that_shrinks_cuts_no_holder_below_its_part() {
-    let mut home = Home::new();
-    let large = home.share(0, Share::default(), NOW);
-    let small = home.share(1, Share::default(), NOW);
+    let mut coordinator = Coordinator::new();
+    let large = coordinator.share(0, Share::default(), NOW);
+    let small = coordinator.share(1, Share::default(), NOW);
     let me = (0..INSTANCES).map(instance);
-    home.views.set(me.collect(), 2 * INSTANCES as u32, NOW + 1);
-    let kept = home.share(1, small, NOW + 2);
+    coordinator
+        .views
+        .set(me.collect(), 2 * INSTANCES as u32, NOW + 1);
+    let kept = coordinator.share(1, small, NOW + 2);
     assert_eq!(kept, small);
-    let cut = home.share(0, large, NOW + 3);
-    assert!(cut.requests_ppm < large.requests_ppm);
-    assert!(cut.requests_ppm + kept.requests_ppm <= FULL_SHARE_PPM / 2);
+    let reduced = coordinator.share(0, large, NOW + 3);
+    assert!(reduced.requests_ppm < large.requests_ppm);
+    assert!(reduced.requests_ppm + kept.requests_ppm <= FULL_SHARE_PPM / 2);
 }
--- a/crates/foxtailhold/tests/limits_fuzz.rs
+++ b/crates/foxtailhold/tests/limits_fuzz.rs
@@ -1,4 +1,6 @@
-//! Limits shared by several instances: what all of them admit together, under faults.
+//! Fuzzes limits shared by several instances. Guards against instances that together admit more
+//! than the limit and the stated bound under message loss, partitions, changed views and lost
+//! instances.
 
 mod common;
 
@@ -52,8 +54,8 @@
         any::<bool>().boxed()
     }
 
-    /// Views change and instances are lost only in half of the runs; the other half shows the
-    /// bound with the home present.
+    /// Views change and instances are lost only in half of the runs. The other half checks the
+    /// bound while the coordinator is present.
     fn transitions(disturbed: &bool) -> BoxedStrategy<Step> {
         let one = 0..INSTANCES;
         let flooded = prop::collection::vec(0..INSTANCES, 1..=INSTANCES);
--- a/crates/foxtailhold/tests/limits_newcomers.rs
+++ b/crates/foxtailhold/tests/limits_newcomers.rs
@@ -1,4 +1,5 @@
-//! A customer far below its limits is served at once by an instance that had no share of it.
+//! First requests of a customer on an instance that holds no share of its limits. Guards against an
+//! instance that refuses a customer far below its limits because the shares are granted elsewhere.
 
 mod common;
 
@@ -19,18 +20,18 @@
     slots: 600,
 };
 const COUNT: u32 = 5;
-/// Longest wait for a first share, in milliseconds, beside the flight of messages.
+/// Longest wait for a first share, not counting the transit of messages.
 const FIRST_SHARE_MS: u64 = 200;
 
-const FEW: Demand = Demand {
+const LOW_DEMAND: Demand = Demand {
     requests_per_s: 5.0,
     tokens_per_s: 500.0,
     slots: 2,
     in_flight: 1,
 };
 
-/// The view of the customer's home among `COUNT` instances, which started then.
-fn home_views(started_at: MonoMs) -> MembershipViews {
+/// The view of the customer's coordinator among `COUNT` instances that started at `started_at`.
+fn coordinator_views(started_at: MonoMs) -> MembershipViews {
     let all = || (0..COUNT as usize).map(instance).collect::<Vec<_>>();
     for id in all() {
         let mut views = MembershipViews::new(id, started_at);
@@ -39,20 +40,20 @@
             return views;
         }
     }
-    panic!("one of them is the home");
+    panic!("one of them is the coordinator");
 }
 
-fn ask(number: u64, held: Share) -> ShareRequest {
+fn share_request(number: u64, held: Share) -> ShareRequest {
     ShareRequest {
         customer: customer(),
         number,
         held,
-        demand: Some(FEW),
+        demand: Some(LOW_DEMAND),
         returned: Credit::default(),
     }
 }
 
-fn answer(share: Share) -> ShareGrant {
+fn grant_of(share: Share) -> ShareGrant {
     ShareGrant {
         customer: customer(),
         number: 1,
@@ -66,8 +67,8 @@
     }
 }
 
-/// A holder that has asked for its first share.
-fn asking() -> ShareHolder {
+/// A holder that has requested its first share.
+fn waiting_holder() -> ShareHolder {
     let mut holder = ShareHolder::new(NOW);
     assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), LimitDecision::Wait);
     assert!(holder.ask(&customer(), &TERMS, 1, NOW).is_some());
@@ -76,12 +77,12 @@
 
 #[test]
 fn each_newcomer_finds_room_beside_those_that_came_before() {
-    let (mut home, views) = (LimitCoordinator::default(), home_views(MonoMs(0)));
+    let (mut coordinator, views) = (LimitCoordinator::default(), coordinator_views(MonoMs(0)));
     let mut sum = Share::default();
     for index in 0..COUNT {
         let from = instance(index as usize);
-        let asked = ask(u64::from(index) + 1, Share::default());
-        let grant = home.ask(&from, &asked, &TERMS, &views, NOW).unwrap();
+        let asked = share_request(u64::from(index) + 1, Share::default());
+        let grant = coordinator.ask(&from, &asked, &TERMS, &views, NOW).unwrap();
         let share = grant.share;
         assert!(share.slots > 0, "instance {index}: {share:?}");
         let least_ppm = FULL_SHARE_PPM / 1_000;
@@ -96,55 +97,79 @@
 }
 
 #[test]
-fn a_home_that_knew_only_itself_lets_holders_give_room_to_newcomers() {
-    let mut home = LimitCoordinator::default();
-    let me = home_views(MonoMs(0))
+fn a_coordinator_that_knew_only_itself_lets_holders_free_capacity_for_newcomers() {
+    let mut coordinator = LimitCoordinator::default();
+    let me = coordinator_views(MonoMs(0))
         .coordinator(&customer())
         .unwrap()
         .clone();
     let mut views = MembershipViews::new(me.clone(), NOW);
-    let first = home.ask(&me, &ask(1, Share::default()), &TERMS, &views, NOW);
+    let first = coordinator.ask(
+        &me,
+        &share_request(1, Share::default()),
+        &TERMS,
+        &views,
+        NOW,
+    );
     let first = first.unwrap().share;
     assert_eq!(first, Share::part(&TERMS, 1, 1));
     views.set((0..COUNT as usize).map(instance).collect(), COUNT, NOW + 1);
     let other = (0..COUNT as usize).map(instance).find(|id| *id != me);
     let other = other.unwrap();
-    let none = home.ask(&other, &ask(1, Share::default()), &TERMS, &views, NOW + 2);
+    let none = coordinator.ask(
+        &other,
+        &share_request(1, Share::default()),
+        &TERMS,
+        &views,
+        NOW + 2,
+    );
     assert_eq!(none.unwrap().share, Share::default());
-    let kept = home.ask(&me, &ask(2, first), &TERMS, &views, NOW + 3);
+    let kept = coordinator.ask(&me, &share_request(2, first), &TERMS, &views, NOW + 3);
     let kept = kept.unwrap().share;
     assert!(kept.slots < first.slots, "{kept:?}");
     assert!(kept.requests_ppm < first.requests_ppm, "{kept:?}");
-    home.ask(&me, &ask(3, kept), &TERMS, &views, NOW + 4);
-    let found = home.ask(&other, &ask(2, Share::default()), &TERMS, &views, NOW + 5);
+    coordinator.ask(&me, &share_request(3, kept), &TERMS, &views, NOW + 4);
+    let found = coordinator.ask(
+        &other,
+        &share_request(2, Share::default()),
+        &TERMS,
+        &views,
+        NOW + 5,
+    );
     let found = found.unwrap().share;
     assert!(found.slots > 0 && found.requests_ppm > 0, "{found:?}");
 }
 
 #[test]
-fn a_home_that_knows_only_itself_leaves_room_beside_one_that_asks_and_is_lost() {
-    let mut home = LimitCoordinator::default();
-    let me = home_views(MonoMs(0))
+fn a_coordinator_that_knows_only_itself_leaves_room_beside_a_requester_that_is_lost() {
+    let mut coordinator = LimitCoordinator::default();
+    let me = coordinator_views(MonoMs(0))
         .coordinator(&customer())
         .unwrap()
         .clone();
     let views = MembershipViews::new(me.clone(), NOW);
     let other = (0..COUNT as usize).map(instance).find(|id| *id != me);
-    let first = home.ask(
+    let first = coordinator.ask(
         &other.unwrap(),
-        &ask(1, Share::default()),
+        &share_request(1, Share::default()),
         &TERMS,
         &views,
         NOW + 1,
     );
     assert_eq!(first.unwrap().share, Share::part(&TERMS, 1, 2));
-    let own = home.ask(&me, &ask(1, Share::default()), &TERMS, &views, NOW + 2);
+    let own = coordinator.ask(
+        &me,
+        &share_request(1, Share::default()),
+        &TERMS,
+        &views,
+        NOW + 2,
+    );
     assert_eq!(own.unwrap().share, Share::part(&TERMS, 1, 2));
 }
 
 #[test]
-fn a_new_home_raises_a_small_share_to_the_part_of_one_instance() {
-    let (mut home, views) = (LimitCoordinator::default(), home_views(NOW));
+fn a_new_coordinator_raises_a_small_share_to_the_part_of_one_instance() {
+    let (mut coordinator, views) = (LimitCoordinator::default(), coordinator_views(NOW));
     let small = Share {
         requests_ppm: FULL_SHARE_PPM / 2,
         tokens_ppm: 40,
@@ -153,7 +178,13 @@
     let other = (0..COUNT as usize)
         .map(instance)
         .find(|id| views.coordinator(&customer()) != Some(id));
-    let grant = home.ask(&other.unwrap(), &ask(1, small), &TERMS, &views, NOW + 1);
+    let grant = coordinator.ask(
+        &other.unwrap(),
+        &share_request(1, small),
+        &TERMS,
+        &views,
+        NOW + 1,
+    );
     let part = Share::part(&TERMS, 1, COUNT);
     assert_eq!(grant.unwrap().share, small.max(part));
 }
@@ -163,18 +194,18 @@
 #[test_case(Share { requests_ppm: 0, tokens_ppm: 900, slots: 3 }; "no requests")]
 #[test_case(Share { requests_ppm: 900, tokens_ppm: 900, slots: 0 }; "no slots")]
 fn first_requests_wait_while_all_is_granted_elsewhere(share: Share) {
-    let mut holder = asking();
-    holder.granted(&TERMS, &answer(share), NOW);
+    let mut holder = waiting_holder();
+    holder.granted(&TERMS, &grant_of(share), NOW);
     assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), LimitDecision::Wait);
 }
 
 #[test]
 fn an_answer_without_room_after_the_fallback_is_no_refusal() {
-    let mut holder = asking();
+    let mut holder = waiting_holder();
     holder.fall_back(&TERMS, COUNT, NOW + 50);
     let first = holder.admit(&TERMS, COUNT, 10.0, NOW + 50);
     assert_eq!(first, LimitDecision::Admitted);
-    holder.granted(&TERMS, &answer(Share::default()), NOW + 60);
+    holder.granted(&TERMS, &grant_of(Share::default()), NOW + 60);
     let second = holder.admit(&TERMS, COUNT, 10.0, NOW + 60);
     assert_eq!(second, LimitDecision::Wait);
 }
@@ -182,7 +213,7 @@
 #[test_case(true, LimitDecision::Wait; "that is being raised")]
 #[test_case(false, LimitDecision::Admitted; "that is all there is")]
 fn a_second_request_on_a_small_share(rising: bool, other: LimitDecision) {
-    let mut holder = asking();
+    let mut holder = waiting_holder();
     let share = Share {
         requests_ppm: 900_000,
         tokens_ppm: 900_000,
@@ -190,7 +221,7 @@
     };
     let grant = ShareGrant {
         rising,
-        ..answer(share)
+        ..grant_of(share)
     };
     holder.granted(&TERMS, &grant, NOW);
     assert_eq!(
@@ -239,5 +270,5 @@
     world.flood(&all, 4_000);
     world.held_back = 0;
     world.flood(&all, 4_000);
-    assert_eq!(world.held_back, 0, "requests kept waiting under a flood");
+    assert_eq!(world.held_back, 0, "requests kept waiting during a flood");
 }
--- a/crates/foxtailhold/tests/limits_replays.rs
+++ b/crates/foxtailhold/tests/limits_replays.rs
@@ -1,4 +1,4 @@
-//! Runs of the fuzzer that passed the stated bound, replayed step by step.
+//! Replays of fuzzer runs in which the instances once admitted more than the stated bound.
 
 mod common;
 
--- a/crates/foxtailhold/tests/membership.rs
+++ b/crates/foxtailhold/tests/membership.rs
@@ -1,4 +1,6 @@
-//! Membership by gossip: joins, kills, pauses, restarts on a clock that went back, cuts, churn.
+//! Membership by gossip under joins, kills, pauses, partitions, churn, and restarts with a clock
+//! that went back. Guards against views that do not converge and against live instances declared
+//! dead.
 
 #[path = "common/gossip.rs"]
 mod gossip;
@@ -7,7 +9,7 @@
 use gossip::{Nodes, id};
 use test_case::test_case;
 
-fn settled(count: usize, seed: u64) -> Nodes {
+fn converged(count: usize, seed: u64) -> Nodes {
     let mut nodes = Nodes::new(count, seed);
     nodes.periods_until(60, |nodes| {
         let full = |node: &gossip::Node| node.membership.members().count() == count;
@@ -21,7 +23,7 @@
 #[test_case(50, 20; "fifty instances")]
 #[test_case(380, 28; "three hundred and eighty instances")]
 fn killed_instance_is_suspected_before_it_is_dead_for_all(count: usize, limit: u64) {
-    let mut nodes = settled(count, 7);
+    let mut nodes = converged(count, 7);
     nodes.nodes[1].alive = false;
     let mut suspected = false;
     nodes.periods_until(limit, |nodes| {
@@ -34,8 +36,8 @@
 }
 
 #[test]
-fn lost_messages_alone_take_nobody_out() {
-    let mut nodes = settled(50, 8);
+fn lost_messages_alone_declare_no_member_dead() {
+    let mut nodes = converged(50, 8);
     nodes.lost_percent = 5;
     for _ in 0..200 {
         nodes.period();
@@ -47,7 +49,7 @@
 
 #[test]
 fn paused_instance_refutes_its_death() {
-    let mut nodes = settled(11, 9);
+    let mut nodes = converged(11, 9);
     nodes.nodes[3].paused = true;
     nodes.periods_until(30, |nodes| nodes.agreed(3, MemberState::Dead));
     nodes.nodes[3].paused = false;
@@ -60,7 +62,7 @@
 #[test_case(10; "clock went back")]
 #[test_case(1_000; "clock stood still")]
 fn restarted_instance_wins_over_its_older_record(incarnation: u64) {
-    let mut nodes = settled(11, 10);
+    let mut nodes = converged(11, 10);
     nodes.restart(4, incarnation);
     nodes.periods_until(16, |nodes| {
         let me = nodes.nodes[4].membership.me();
@@ -70,8 +72,8 @@
 }
 
 #[test]
-fn instance_cut_off_knows_it_and_comes_back() {
-    let mut nodes = settled(11, 11);
+fn isolated_instance_detects_it_and_rejoins() {
+    let mut nodes = converged(11, 11);
     nodes.nodes[5].cut = true;
     nodes.periods_until(10, |nodes| nodes.nodes[5].membership.is_isolated());
     for _ in 0..40 {
@@ -88,8 +90,8 @@
 }
 
 #[test]
-fn leaving_instance_is_seen_and_forgotten_and_churn_leaves_nothing() {
-    let mut nodes = settled(11, 12);
+fn leaving_instance_is_seen_and_removed_and_churn_leaves_no_records() {
+    let mut nodes = converged(11, 12);
     for round in 0..12 {
         let joined = nodes.join(5_000 + round);
         nodes.periods_until(30, |nodes| nodes.agreed(joined, MemberState::Alive));
--- a/crates/foxtailhold/tests/membership_fuzz.rs
+++ b/crates/foxtailhold/tests/membership_fuzz.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzzing of [`foxtailhold::membership`]: whatever happened, once faults cease all agree.
+//! Stateful fuzzing of [`foxtailhold::membership`]. Guards against views that do not converge once
+//! faults cease, and against dead members that are never removed.
 
 mod common;
 #[path = "common/gossip.rs"]
@@ -10,20 +11,20 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-const AT_START: usize = 6;
-const AT_MOST: usize = 12;
-/// Periods in which all agree on who is alive once faults cease.
-const AGREE_PERIODS: u64 = 60;
+const INITIAL_INSTANCES: usize = 6;
+const MAX_INSTANCES: usize = 12;
+/// Periods within which all views converge once faults cease.
+const CONVERGENCE_PERIODS: u64 = 60;
 
 #[derive(Debug, Clone)]
 enum Transition {
-    Pass(u8),
+    Advance(u8),
     Join,
     Kill(usize),
     Pause(usize),
     Resume(usize),
     Cut(usize, bool),
-    /// Anew under the same name, with the clock moved.
+    /// Restart under the same name, with the clock moved by this many milliseconds.
     Restart(usize, i64),
     Leave(usize),
     Lose(u32),
@@ -31,34 +32,34 @@
 }
 
 #[derive(Debug, Clone)]
-struct Draws;
+struct Reference;
 
-impl ReferenceStateMachine for Draws {
-    type State = Draws;
+impl ReferenceStateMachine for Reference {
+    type State = Reference;
     type Transition = Transition;
 
-    fn init_state() -> BoxedStrategy<Draws> {
-        Just(Draws).boxed()
+    fn init_state() -> BoxedStrategy<Reference> {
+        Just(Reference).boxed()
     }
 
-    fn transitions(_: &Draws) -> BoxedStrategy<Transition> {
-        let at = 0..AT_MOST;
+    fn transitions(_: &Reference) -> BoxedStrategy<Transition> {
+        let index = 0..MAX_INSTANCES;
         prop_oneof![
-            8 => (1..20_u8).prop_map(Transition::Pass),
+            8 => (1..20_u8).prop_map(Transition::Advance),
             1 => Just(Transition::Join),
-            2 => at.clone().prop_map(Transition::Kill),
-            2 => at.clone().prop_map(Transition::Pause),
-            2 => at.clone().prop_map(Transition::Resume),
-            2 => (at.clone(), any::<bool>()).prop_map(|(at, cut)| Transition::Cut(at, cut)),
-            2 => (at.clone(), -500..500_i64).prop_map(|(at, by)| Transition::Restart(at, by)),
-            1 => at.prop_map(Transition::Leave),
+            2 => index.clone().prop_map(Transition::Kill),
+            2 => index.clone().prop_map(Transition::Pause),
+            2 => index.clone().prop_map(Transition::Resume),
+            2 => (index.clone(), any::<bool>()).prop_map(|(index, cut)| Transition::Cut(index, cut)),
+            2 => (index.clone(), -500..500_i64).prop_map(|(index, offset)| Transition::Restart(index, offset)),
+            1 => index.prop_map(Transition::Leave),
             1 => (0..40_u32).prop_map(Transition::Lose),
             1 => Just(Transition::Heal),
         ]
         .boxed()
     }
 
-    fn apply(state: Draws, _: &Transition) -> Draws {
+    fn apply(state: Reference, _: &Transition) -> Reference {
         state
     }
 }
@@ -69,18 +70,18 @@
         node.paused = false;
         node.cut = false;
     }
-    // Instances that forgot each other while cut off meet again through the fleet list only.
+    // Instances that removed each other while partitioned only meet again through the fleet list.
     nodes.reseed();
-    nodes.periods_until(AGREE_PERIODS, |nodes| {
-        let runs: Vec<usize> = (0..nodes.nodes.len()).filter(|i| nodes.runs(*i)).collect();
-        runs.iter().all(|index| {
+    nodes.periods_until(CONVERGENCE_PERIODS, |nodes| {
+        let running: Vec<usize> = (0..nodes.nodes.len()).filter(|i| nodes.runs(*i)).collect();
+        running.iter().all(|index| {
             let state = nodes.nodes[*index].membership.me().state;
             nodes.agreed(*index, state)
         })
     });
 }
 
-/// An instance knows itself once, alive or leaving, whatever others tell.
+/// Checks that an instance lists itself once, alive or leaving, whatever other instances report.
 fn check(nodes: &Nodes) {
     for (index, node) in nodes.nodes.iter().enumerate() {
         let me = node.membership.me();
@@ -97,33 +98,35 @@
 
 impl StateMachineTest for MembershipFuzz {
     type SystemUnderTest = Nodes;
-    type Reference = Draws;
+    type Reference = Reference;
 
-    fn init_test(_: &Draws) -> Nodes {
-        Nodes::new(AT_START, 1)
+    fn init_test(_: &Reference) -> Nodes {
+        Nodes::new(INITIAL_INSTANCES, 1)
     }
 
-    fn apply(mut nodes: Nodes, _: &Draws, transition: Transition) -> Nodes {
+    fn apply(mut nodes: Nodes, _: &Reference, transition: Transition) -> Nodes {
         let count = nodes.nodes.len();
         match transition {
-            Transition::Pass(periods) => {
+            Transition::Advance(periods) => {
                 for _ in 0..periods {
                     nodes.period();
                 }
             }
-            Transition::Join if count < AT_MOST => {
+            Transition::Join if count < MAX_INSTANCES => {
                 nodes.join(1_000);
             }
-            Transition::Kill(at) if at > 0 && at < count => nodes.nodes[at].alive = false,
-            Transition::Pause(at) if at < count => nodes.nodes[at].paused = true,
-            Transition::Resume(at) if at < count => nodes.nodes[at].paused = false,
-            Transition::Cut(at, cut) if at < count => nodes.nodes[at].cut = cut,
-            Transition::Restart(at, by) if at < count => {
-                let before = nodes.nodes[at].membership.me().incarnation;
-                nodes.restart(at, before.saturating_add_signed(by).max(1));
+            Transition::Kill(index) if index > 0 && index < count => {
+                nodes.nodes[index].alive = false
             }
-            Transition::Leave(at) if at < count && nodes.runs(at) => {
-                nodes.nodes[at].membership.leave();
+            Transition::Pause(index) if index < count => nodes.nodes[index].paused = true,
+            Transition::Resume(index) if index < count => nodes.nodes[index].paused = false,
+            Transition::Cut(index, cut) if index < count => nodes.nodes[index].cut = cut,
+            Transition::Restart(index, offset) if index < count => {
+                let before = nodes.nodes[index].membership.me().incarnation;
+                nodes.restart(index, before.saturating_add_signed(offset).max(1));
+            }
+            Transition::Leave(index) if index < count && nodes.runs(index) => {
+                nodes.nodes[index].membership.leave();
             }
             Transition::Lose(percent) => nodes.lost_percent = percent,
             Transition::Heal => heal(&mut nodes),
@@ -152,5 +155,5 @@
     #![proptest_config(fuzz_config(64))]
 
     #[test]
-    fn all_agree_once_faults_cease_and_the_dead_are_forgotten(sequential 1..40 => MembershipFuzz);
+    fn all_views_converge_once_faults_cease_and_the_dead_are_removed(sequential 1..40 => MembershipFuzz);
 }
--- a/crates/foxtailhold/tests/quarantine.rs
+++ b/crates/foxtailhold/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Verdicts on requests suspected of crashes.
+//! Verdicts on requests suspected of crashing backend servers. Guards against innocent requests
+//! that are convicted and against crashing requests that are never convicted.
 
 use foxtailhold::ids::{BackendId, CustomerId};
 use foxtailhold::quarantine::{
@@ -29,8 +30,8 @@
     }
 }
 
-/// A table whose suspect's trial on engine-1 was granted at 1,000 ms.
-fn on_trial() -> Quarantine {
+/// A table in which a probe of the suspect on engine-1 was granted at 1,000 ms.
+fn under_probe() -> Quarantine {
     let mut quarantine = Quarantine::default();
     let flights = [(SUSPECT, 30), (OTHER, 50)];
     quarantine.on_notice(&crash("engine-0", 1, &flights), MonoMs(900));
@@ -38,15 +39,16 @@
         &QuarantineNotice::Cleared { fingerprint: OTHER },
         MonoMs(950),
     );
-    let answer = quarantine.ask(SUSPECT, &[id("engine-1")], MonoMs(1_000));
+    let response = quarantine.ask(SUSPECT, &[id("engine-1")], MonoMs(1_000));
     assert!(
-        matches!(answer, ProbeResponse::Granted { .. }),
-        "{answer:?}"
+        matches!(response, ProbeResponse::Granted { .. }),
+        "{response:?}"
     );
     quarantine
 }
 
-/// The verdict on a trial that crashed at 1,500 ms with other requests of these ages there.
+/// The verdict on a probe that crashed at 1,500 ms, with other requests of these ages on the same
+/// backend server.
 fn verdict(quarantine: &mut Quarantine, others: &[(Fingerprint, u64)]) -> Vec<QuarantineNotice> {
     let now = MonoMs(1_500);
     let mut flights = vec![(SUSPECT, 100)];
@@ -59,13 +61,13 @@
 
 #[test_case(&[], true ; "alone")]
 #[test_case(&[(OTHER, 2_000)], true ; "beside a request that ran there long before")]
-#[test_case(&[(OTHER, 490)], true ; "beside a request sent just before all knew of the trial")]
-#[test_case(&[(OTHER, 100)], false ; "beside a request sent during the trial")]
+#[test_case(&[(OTHER, 490)], true ; "beside a request sent just before all knew of the probe")]
+#[test_case(&[(OTHER, 100)], false ; "beside a request sent during the probe")]
 fn second_crash_convicts_unless_another_request_may_be_the_cause(
     others: &[(Fingerprint, u64)],
     convicted: bool,
 ) {
-    let mut quarantine = on_trial();
+    let mut quarantine = under_probe();
     let notices = verdict(&mut quarantine, others);
     let expected = match convicted {
         true => QuarantineNotice::Convicted {
@@ -77,18 +79,18 @@
         },
     };
     assert_eq!(notices, [expected]);
-    let standing = quarantine.status(SUSPECT, MonoMs(1_900));
-    assert_eq!(standing != QuarantineStatus::Suspect, convicted);
+    let status = quarantine.status(SUSPECT, MonoMs(1_900));
+    assert_eq!(status != QuarantineStatus::Suspect, convicted);
 }
 
 #[test]
 fn doubt_counts_once() {
-    let mut quarantine = on_trial();
+    let mut quarantine = under_probe();
     verdict(&mut quarantine, &[(OTHER, 100)]);
-    let answer = quarantine.ask(SUSPECT, &[id("engine-2")], MonoMs(2_000));
+    let response = quarantine.ask(SUSPECT, &[id("engine-2")], MonoMs(2_000));
     assert!(
-        matches!(answer, ProbeResponse::Granted { .. }),
-        "{answer:?}"
+        matches!(response, ProbeResponse::Granted { .. }),
+        "{response:?}"
     );
     let now = MonoMs(2_300);
     let flights = [(SUSPECT, 50), (Fingerprint(9), 50)];
@@ -102,8 +104,8 @@
 }
 
 #[test]
-fn suspects_are_tried_one_at_a_time_on_a_backend_server() {
-    let mut quarantine = on_trial();
+fn suspects_are_probed_one_at_a_time_on_a_backend_server() {
+    let mut quarantine = under_probe();
     let flights = [(OTHER, 50)];
     quarantine.on_notice(&crash("engine-3", 1, &flights), MonoMs(1_000));
     let wait = quarantine.ask(OTHER, &[id("engine-1")], MonoMs(1_000));
@@ -118,21 +120,21 @@
     };
     assert_eq!(
         elsewhere, granted,
-        "one that was cleared before is tried to its end"
+        "one that was cleared before is probed to its end"
     );
 }
 
 #[test]
-fn survivor_is_cleared_and_convict_is_tried_again_after_its_time() {
-    let mut quarantine = on_trial();
-    let end = quarantine.probe_ended(
+fn survivor_is_cleared_and_convict_is_probed_again_after_its_conviction() {
+    let mut quarantine = under_probe();
+    let notice = quarantine.probe_ended(
         SUSPECT,
         &id("engine-1"),
         ProbeOutcome::Survived,
         MonoMs(1_300),
     );
     assert_eq!(
-        end,
+        notice,
         Some(QuarantineNotice::Cleared {
             fingerprint: SUSPECT
         })
@@ -142,7 +144,7 @@
         QuarantineStatus::Clear
     );
 
-    let mut quarantine = on_trial();
+    let mut quarantine = under_probe();
     verdict(&mut quarantine, &[]);
     let until = MonoMs(1_500) + GATHER_MS + CONVICTION_MS;
     let left = quarantine.status(SUSPECT, MonoMs(until.0 - 1));
@@ -151,17 +153,17 @@
 }
 
 #[test]
-fn starting_instance_learns_verdicts_and_trials_from_a_peer() {
-    let mut quarantine = on_trial();
+fn starting_instance_learns_verdicts_and_probes_from_a_peer() {
+    let mut quarantine = under_probe();
     verdict(&mut quarantine, &[]);
     let mut started = Quarantine::default();
     for notice in quarantine.snapshot(MonoMs(2_000)) {
         started.on_notice(&notice, MonoMs(5));
     }
-    let standing = started.status(SUSPECT, MonoMs(5));
+    let status = started.status(SUSPECT, MonoMs(5));
     assert!(
-        matches!(standing, QuarantineStatus::Convicted { .. }),
-        "{standing:?}"
+        matches!(status, QuarantineStatus::Convicted { .. }),
+        "{status:?}"
     );
 }
 
--- a/crates/foxtailhold/tests/quarantine_fuzz/main.rs
+++ b/crates/foxtailhold/tests/quarantine_fuzz/main.rs
@@ -1,7 +1,8 @@
-//! Stateful fuzzing of the table of crashing requests over several instances, a network that
-//! delays, duplicates and reorders, and backend servers that crash.
+//! Stateful fuzzing of the quarantine over several instances, with a network that delays,
+//! duplicates and reorders messages and backend servers that crash. Guards against innocent
+//! requests that are convicted or held back, and against crashing requests that are not stopped.
 //!
-//! `FOXTAILHOLD_FUZZ_CASES` asks for more cases than CI runs.
+//! `FOXTAILHOLD_FUZZ_CASES` sets a larger number of cases than CI runs.
 
 mod world;
 
@@ -10,16 +11,17 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use world::{BACKENDS, INSTANCES, Scenario, World};
 
-/// What happens next.
+/// One step of the fuzzer.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A caller sends a request; number 0 and, with two killers, 1 crash what runs them.
+    /// A caller sends a request. Request 0, and with two crashing requests also request 1, crashes
+    /// every backend server that runs it.
     Submit { instance: usize, request: u128 },
-    /// A caller sends the first killer through all instances at once.
+    /// A caller sends the first crashing request through all instances at once.
     Flood,
     /// Time passes.
-    Pass { ms: u64 },
-    /// A backend server that tries no suspect is killed.
+    Advance { ms: u64 },
+    /// A backend server without a probe is killed.
     Kill { backend: usize },
 }
 
@@ -31,7 +33,10 @@
 
     fn init_state() -> BoxedStrategy<Scenario> {
         (1..=2_u128, prop_oneof![Just(5_u64), Just(40)])
-            .prop_map(|(killers, fuse_ms)| Scenario { killers, fuse_ms })
+            .prop_map(|(crashing_requests, time_to_crash_ms)| Scenario {
+                crashing_requests,
+                time_to_crash_ms,
+            })
             .boxed()
     }
 
@@ -42,7 +47,7 @@
             2 => (0..INSTANCES, 0..2_u128)
                 .prop_map(|(instance, request)| Step::Submit { instance, request }),
             1 => Just(Step::Flood),
-            5 => (1..250_u64).prop_map(|ms| Step::Pass { ms }),
+            5 => (1..250_u64).prop_map(|ms| Step::Advance { ms }),
             1 => (0..BACKENDS).prop_map(|backend| Step::Kill { backend }),
         ]
         .boxed()
@@ -67,7 +72,7 @@
         match step {
             Step::Submit { instance, request } => world.submit(instance, request),
             Step::Flood => (0..INSTANCES).for_each(|instance| world.submit(instance, 0)),
-            Step::Pass { ms } => world.pass(ms),
+            Step::Advance { ms } => world.advance_time(ms),
             Step::Kill { backend } => world.kill(backend),
         }
         world.check();
@@ -75,7 +80,7 @@
     }
 
     fn teardown(mut world: World) {
-        world.pass(30_000);
+        world.advance_time(30_000);
         world.check();
         world.check_ended();
         if std::env::var("FOXTAILHOLD_FUZZ_CASES").is_ok() {
@@ -85,8 +90,8 @@
 }
 
 fn cases() -> u32 {
-    let asked = std::env::var("FOXTAILHOLD_FUZZ_CASES").ok();
-    asked.and_then(|text| text.parse().ok()).unwrap_or(96)
+    let cases = std::env::var("FOXTAILHOLD_FUZZ_CASES").ok();
+    cases.and_then(|text| text.parse().ok()).unwrap_or(96)
 }
 
 prop_state_machine! {
@@ -99,5 +104,5 @@
     })]
 
     #[test]
-    fn innocents_are_answered_and_killers_stopped(sequential 20..80 => Fuzz);
+    fn innocent_requests_are_answered_and_crashing_requests_stopped(sequential 20..80 => Fuzz);
 }
--- a/crates/foxtailhold/tests/quarantine_fuzz/world.rs
+++ b/crates/foxtailhold/tests/quarantine_fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Instances, backend servers and a network, in one deterministic loop.
+//! A deterministic simulation of instances, backend servers and a network.
 
 use foxtailhold::ids::BackendId;
 use foxtailhold::quarantine::{
@@ -10,22 +10,24 @@
 
 pub const INSTANCES: usize = 4;
 pub const BACKENDS: usize = 5;
-const HOME: usize = 0;
+const COORDINATOR: usize = 0;
 const STEP_MS: u64 = 5;
 const RESTART_MS: u64 = 250;
 const MAX_DELAY_MS: u64 = 60;
-/// A request that was sent this long after the first crash came when all knew of it.
+/// A request sent later than this after the first crash was sent when all instances knew of the
+/// crash.
 const KNOWN_MS: u64 = MAX_DELAY_MS + STEP_MS;
 
-/// Crashes of one killer after all knew of it: its trial, and one more where an instance that had not
-/// heard of the trial sent another request there.
-const MOST_KNOWN_CRASHES: u32 = 2;
+/// Largest number of crashes of one crashing request after all instances know of the first: its
+/// probe, and one more if an instance that missed the start of the probe sent another request
+/// there.
+const MAX_KNOWN_CRASHES: u32 = 2;
 
-/// The scenario: how many requests are killers, and how long they run before they kill.
+/// Number of crashing requests, and the time that they run before they crash their backend server.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    pub killers: u128,
-    pub fuse_ms: u64,
+    pub crashing_requests: u128,
+    pub time_to_crash_ms: u64,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -33,7 +35,7 @@
     Routing {
         at: u64,
     },
-    Quiet {
+    ProbeDelay {
         until: u64,
         backend: usize,
         strict: bool,
@@ -42,7 +44,7 @@
         backend: usize,
         since: u64,
         ends: u64,
-        trial: Option<bool>,
+        is_strict_probe: Option<bool>,
     },
     Answered,
     Refused,
@@ -54,8 +56,8 @@
     instance: usize,
     request: u128,
     stage: Stage,
-    asking: ProbeNegotiation,
-    runs: u32,
+    negotiation: ProbeNegotiation,
+    attempts: u32,
 }
 
 enum Message {
@@ -63,7 +65,7 @@
     Ended(Fingerprint, BackendId, ProbeOutcome),
 }
 
-/// What was done, printed at the end of each case where `FOXTAILHOLD_FUZZ_CASES` is set.
+/// Counts of events, printed at the end of each case if `FOXTAILHOLD_FUZZ_CASES` is set.
 #[derive(Debug, Default)]
 pub struct Counts {
     steps: u64,
@@ -72,7 +74,7 @@
     notices: u64,
     duplicates: u64,
     lost: u64,
-    trials: u64,
+    probes: u64,
     convictions: u64,
 }
 
@@ -121,12 +123,13 @@
         MonoMs(self.now)
     }
 
-    fn is_killer(&self, request: u128) -> bool {
-        request < self.scenario.killers
+    fn is_crashing(&self, request: u128) -> bool {
+        request < self.scenario.crashing_requests
     }
 
-    /// Sends a notice to all other instances, to some of them twice. Some do not hear of trials.
-    fn tell(&mut self, from: usize, notice: &QuarantineNotice) {
+    /// Sends a notice to all other instances, to some of them twice. Some instances do not receive
+    /// the start of a probe.
+    fn broadcast(&mut self, from: usize, notice: &QuarantineNotice) {
         self.counts.notices += 1;
         self.counts.convictions += u64::from(matches!(notice, QuarantineNotice::Convicted { .. }));
         for to in 0..INSTANCES {
@@ -148,10 +151,10 @@
         }
     }
 
-    fn own(&mut self, instance: usize, notice: &QuarantineNotice) {
+    fn record_own(&mut self, instance: usize, notice: &QuarantineNotice) {
         let now = self.mono();
         if self.tables[instance].on_notice(notice, now) {
-            self.tell(instance, notice);
+            self.broadcast(instance, notice);
         }
     }
 
@@ -167,9 +170,10 @@
                     self.tables[to].on_notice(&notice, now);
                 }
                 Message::Ended(fingerprint, backend, end) => {
-                    let told = self.tables[HOME].probe_ended(fingerprint, &backend, end, now);
-                    if let Some(notice) = told {
-                        self.tell(HOME, &notice);
+                    let notice =
+                        self.tables[COORDINATOR].probe_ended(fingerprint, &backend, end, now);
+                    if let Some(notice) = notice {
+                        self.broadcast(COORDINATOR, &notice);
                     }
                 }
             }
@@ -182,12 +186,12 @@
         self.network.push((at, message));
     }
 
-    fn crash(&mut self, backend: usize, killer: Option<(u128, u64)>) {
-        if let Some((killer, sent)) = killer {
+    fn crash(&mut self, backend: usize, crashing: Option<(u128, u64)>) {
+        if let Some((crashing, sent)) = crashing {
             self.counts.killer_crashes += 1;
-            let killer = killer as usize;
-            let first = *self.first_crash[killer].get_or_insert(self.now);
-            self.known_crashes[killer] += u32::from(sent > first + KNOWN_MS);
+            let crashing = crashing as usize;
+            let first = *self.first_crash[crashing].get_or_insert(self.now);
+            self.known_crashes[crashing] += u32::from(sent > first + KNOWN_MS);
         }
         let crash = CrashId {
             backend: id(backend),
@@ -202,7 +206,7 @@
             let Stage::Running {
                 backend: at,
                 since,
-                trial,
+                is_strict_probe,
                 ..
             } = attempt.stage
             else {
@@ -215,11 +219,11 @@
                 fingerprint: Fingerprint(attempt.request),
                 age_ms: now - since,
             });
-            if trial.is_some() {
+            if is_strict_probe.is_some() {
                 ended.push(attempt.request);
             }
-            attempt.runs += 1;
-            attempt.stage = match attempt.runs {
+            attempt.attempts += 1;
+            attempt.stage = match attempt.attempts {
                 0..3 => Stage::Routing { at: now + 10 },
                 _ => Stage::GivenUp,
             };
@@ -227,7 +231,7 @@
         for (instance, flights) in flights.into_iter().enumerate() {
             if !flights.is_empty() {
                 let crash = crash.clone();
-                self.own(instance, &QuarantineNotice::Crashed { crash, flights });
+                self.record_own(instance, &QuarantineNotice::Crashed { crash, flights });
             }
         }
         for request in ended {
@@ -240,21 +244,21 @@
         (0..BACKENDS).filter(is_up).collect()
     }
 
-    fn run_at(&self, backend: usize, request: u128, trial: Option<bool>) -> Stage {
+    fn run_at(&self, backend: usize, request: u128, is_strict_probe: Option<bool>) -> Stage {
         let runs_ms = 30 + (request as u64 * 37) % 200;
         Stage::Running {
             backend,
             since: self.now,
             ends: self.now + runs_ms,
-            trial,
+            is_strict_probe,
         }
     }
 
-    fn plain(&mut self, instance: usize, request: u128) -> Stage {
+    fn send_unsuspected(&mut self, instance: usize, request: u128) -> Stage {
         let table = &self.tables[instance];
-        let on_trial: Vec<_> = table.probed_backends().cloned().collect();
+        let under_probe: Vec<_> = table.probed_backends().cloned().collect();
         let mut free = self.live();
-        free.retain(|backend| !on_trial.contains(&id(*backend)));
+        free.retain(|backend| !under_probe.contains(&id(*backend)));
         if free.is_empty() {
             return Stage::Routing { at: self.now + 20 };
         }
@@ -262,37 +266,37 @@
         self.run_at(backend, request, None)
     }
 
-    fn ask(&mut self, index: usize) -> Stage {
+    fn request_probe(&mut self, index: usize) -> Stage {
         let Attempt {
             instance, request, ..
         } = self.attempts[index];
         let live = self.live();
         let ids: Vec<_> = live.iter().map(|backend| id(*backend)).collect();
         let (now, fingerprint) = (self.mono(), Fingerprint(request));
-        let answer = self.tables[HOME].ask(fingerprint, &ids, now);
-        match self.attempts[index].asking.answered(answer, now) {
+        let answer = self.tables[COORDINATOR].ask(fingerprint, &ids, now);
+        match self.attempts[index].negotiation.answered(answer, now) {
             SuspectAction::Probe {
                 backend,
                 strict,
                 quiet_ms,
             } => {
-                self.counts.trials += 1;
-                let place = ids.iter().position(|id| *id == backend).unwrap();
-                self.tell(
-                    HOME,
+                self.counts.probes += 1;
+                let index = ids.iter().position(|id| *id == backend).unwrap();
+                self.broadcast(
+                    COORDINATOR,
                     &QuarantineNotice::ProbeStarted {
                         fingerprint,
                         backend,
                     },
                 );
-                Stage::Quiet {
+                Stage::ProbeDelay {
                     until: self.now + quiet_ms,
-                    backend: live[place],
+                    backend: live[index],
                     strict,
                 }
             }
             SuspectAction::Refuse { .. } => Stage::Refused,
-            SuspectAction::Send => self.plain(instance, request),
+            SuspectAction::Send => self.send_unsuspected(instance, request),
             SuspectAction::Retry { after_ms } => Stage::Routing {
                 at: self.now + after_ms,
             },
@@ -303,11 +307,11 @@
         let Attempt {
             instance, request, ..
         } = self.attempts[index];
-        let standing = self.tables[instance].status(Fingerprint(request), self.mono());
-        self.attempts[index].stage = match standing {
+        let status = self.tables[instance].status(Fingerprint(request), self.mono());
+        self.attempts[index].stage = match status {
             QuarantineStatus::Convicted { .. } => Stage::Refused,
-            QuarantineStatus::Clear => self.plain(instance, request),
-            QuarantineStatus::Suspect => self.ask(index),
+            QuarantineStatus::Clear => self.send_unsuspected(instance, request),
+            QuarantineStatus::Suspect => self.request_probe(index),
         };
     }
 
@@ -315,7 +319,7 @@
         let Attempt { request, stage, .. } = self.attempts[index].clone();
         match stage {
             Stage::Routing { at } if at <= self.now => self.route(index),
-            Stage::Quiet {
+            Stage::ProbeDelay {
                 until,
                 backend,
                 strict,
@@ -331,18 +335,18 @@
                 backend,
                 since,
                 ends,
-                trial,
+                is_strict_probe,
             } => {
-                let is_killer = self.is_killer(request);
-                if is_killer && self.now >= since + self.scenario.fuse_ms {
+                let is_crashing = self.is_crashing(request);
+                if is_crashing && self.now >= since + self.scenario.time_to_crash_ms {
                     self.crash(backend, Some((request, since)));
                     return;
                 }
-                if is_killer || self.now < ends {
+                if is_crashing || self.now < ends {
                     return;
                 }
                 self.attempts[index].stage = Stage::Answered;
-                if trial.is_some() {
+                if is_strict_probe.is_some() {
                     self.ended(request, backend, ProbeOutcome::Survived);
                 }
             }
@@ -350,7 +354,7 @@
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance_time(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(STEP_MS) {
             self.now += STEP_MS;
             self.counts.steps += 1;
@@ -358,7 +362,7 @@
             let now = self.mono();
             for instance in 0..INSTANCES {
                 for notice in self.tables[instance].tick(now) {
-                    self.tell(instance, &notice);
+                    self.broadcast(instance, &notice);
                 }
             }
             for index in 0..self.attempts.len() {
@@ -372,20 +376,22 @@
             instance,
             request,
             stage: Stage::Routing { at: self.now },
-            asking: ProbeNegotiation::default(),
-            runs: 0,
+            negotiation: ProbeNegotiation::default(),
+            attempts: 0,
         });
     }
 
     pub fn kill(&mut self, backend: usize) {
-        let tries_suspect = |attempt: &Attempt| match attempt.stage {
-            Stage::Quiet { backend: at, .. } => at == backend,
+        let is_probed = |attempt: &Attempt| match attempt.stage {
+            Stage::ProbeDelay { backend: at, .. } => at == backend,
             Stage::Running {
-                backend: at, trial, ..
-            } => at == backend && trial.is_some(),
+                backend: at,
+                is_strict_probe,
+                ..
+            } => at == backend && is_strict_probe.is_some(),
             _ => false,
         };
-        if self.down_until[backend] > self.now || self.attempts.iter().any(tries_suspect) {
+        if self.down_until[backend] > self.now || self.attempts.iter().any(is_probed) {
             return;
         }
         self.counts.kills += 1;
@@ -393,31 +399,31 @@
     }
 
     pub fn check(&self) {
-        let single = self.scenario.killers == 1 && self.counts.kills == 0;
+        let single = self.scenario.crashing_requests == 1 && self.counts.kills == 0;
         for attempt in &self.attempts {
-            if self.is_killer(attempt.request) {
+            if self.is_crashing(attempt.request) {
                 continue;
             }
             let stage = &attempt.stage;
             assert_ne!(
                 *stage,
                 Stage::Refused,
-                "an innocent was convicted: {attempt:?}"
+                "an innocent request was convicted: {attempt:?}"
             );
             assert!(
                 !single || *stage != Stage::GivenUp,
                 "not answered: {attempt:?}"
             );
         }
-        for (killer, crashes) in self.known_crashes.iter().enumerate() {
+        for (crashing, crashes) in self.known_crashes.iter().enumerate() {
             assert!(
-                *crashes <= MOST_KNOWN_CRASHES,
-                "{killer} crashed {crashes} after all knew of it"
+                *crashes <= MAX_KNOWN_CRASHES,
+                "{crashing} caused {crashes} crashes after all instances knew of the first"
             );
         }
     }
 
-    /// No request is held back for ever.
+    /// Checks that no request is held back for ever.
     pub fn check_ended(&self) {
         for attempt in &self.attempts {
             let ended = matches!(
--- a/crates/foxtailhold/tests/routing.rs
+++ b/crates/foxtailhold/tests/routing.rs
@@ -1,4 +1,6 @@
-//! Choice of a backend server, and what sets one aside.
+//! Selection of a backend server, the circuit breaker, the retry budget and the time limits of
+//! silent engines. Guards against hot prefixes that overload a replica and against requests sent to
+//! replicas that cannot serve them.
 
 use foxtailhold::breaker::{Availability, BASE_MS, Breaker, MAX_MS, PROBE_TIMEOUT_MS};
 use foxtailhold::ids::{AvailabilityZone, BackendId};
@@ -14,7 +16,7 @@
 const ZONES: [&str; 3] = ["concord-hall", "nashua-hall", "keene-hall"];
 const SLOTS: u32 = 16;
 
-/// Identifiers and zones of nine replicas.
+/// Identifiers and availability zones of nine replicas.
 struct Fleet {
     ids: Vec<BackendId>,
     zones: Vec<AvailabilityZone>,
@@ -71,18 +73,18 @@
     let candidates = fleet.candidates([1; 9]);
     let mut used = [false; 9];
     for prefix in draws() {
-        let home = BoundedAffinity.choose(&fleet.query(0, prefix, 1), &candidates);
+        let preferred = BoundedAffinity.choose(&fleet.query(0, prefix, 1), &candidates);
         for (zone, draw) in [(1, 5), (2, 77)] {
             let query = fleet.query(zone, prefix, draw);
-            assert_eq!(BoundedAffinity.choose(&query, &candidates), home);
+            assert_eq!(BoundedAffinity.choose(&query, &candidates), preferred);
         }
-        used[home.unwrap()] = true;
+        used[preferred.unwrap()] = true;
     }
     assert_eq!(used, [true; 9], "prefixes spread over all replicas");
 }
 
 #[test]
-fn hot_prefix_spills_over_two_homes_to_all_replicas() {
+fn hot_prefix_spills_over_two_preferred_replicas_to_all() {
     let fleet = Fleet::new();
     let mut loads = [0; 9];
     for draw in draws().take(108) {
@@ -93,7 +95,7 @@
     let most = loads.iter().max().unwrap();
     assert!(
         *most <= 16,
-        "12 is even, the bound a quarter over it: {loads:?}"
+        "an even share is 12 and the bound a quarter above it: {loads:?}"
     );
 }
 
@@ -121,12 +123,12 @@
 }
 
 #[test_case(|candidate| candidate.state = FleetState::Leaving ; "leaving")]
-#[test_case(|candidate| candidate.availability = Availability::Ejected ; "set aside")]
-#[test_case(|candidate| candidate.under_probe = true ; "on trial")]
-fn unfit_replica_gets_nothing(spoil: fn(&mut Candidate<'_>)) {
+#[test_case(|candidate| candidate.availability = Availability::Ejected ; "ejected")]
+#[test_case(|candidate| candidate.under_probe = true ; "under probe")]
+fn unhealthy_replica_gets_no_request(make_unhealthy: fn(&mut Candidate<'_>)) {
     let fleet = Fleet::new();
     let mut candidates = fleet.candidates([1; 9]);
-    spoil(&mut candidates[4]);
+    make_unhealthy(&mut candidates[4]);
     for prefix in draws() {
         let chosen = BoundedAffinity.choose(&fleet.query(0, prefix, prefix), &candidates);
         assert_ne!(chosen, Some(4));
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn slow_replica_gets_few_requests_so_that_its_recovery_is_seen() {
+fn slow_replica_gets_few_requests_so_that_its_recovery_is_noticed() {
     let fleet = Fleet::new();
     let mut candidates = fleet.candidates([1; 9]);
     candidates[4].gap_us = 400_000;
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn what_is_left_is_used_when_nothing_is_fit() {
+fn remaining_replicas_are_used_if_none_is_healthy() {
     let fleet = Fleet::new();
     let mut candidates = fleet.candidates([30; 9]);
     for candidate in &mut candidates {
@@ -184,15 +186,15 @@
 }
 
 #[test]
-fn breaker_grows_with_jitter_and_lets_one_request_try() {
+fn breaker_grows_with_jitter_and_lets_one_request_probe() {
     let mut breaker = Breaker::default();
     let mut now = MonoMs(1_000);
     let mut base_ms = BASE_MS;
     for draw in [0, 123_456_789, u64::MAX, 17, 3, 88, 1, 2] {
         breaker.failed(now, draw);
-        let set_aside_ms = breaker.blocked_until().since_ms(now);
+        let ejection_ms = breaker.blocked_until().since_ms(now);
         let range = base_ms / 2..base_ms * 3 / 2;
-        assert!(range.contains(&set_aside_ms), "{set_aside_ms} of {base_ms}");
+        assert!(range.contains(&ejection_ms), "{ejection_ms} of {base_ms}");
         assert_eq!(breaker.availability(now), Availability::Ejected);
         now = breaker.blocked_until();
         assert_eq!(breaker.availability(now), Availability::HalfOpen);
@@ -210,7 +212,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_first_tries_with_a_floor() {
+fn retries_are_a_share_of_first_attempts_with_a_floor() {
     let mut budget = RetryBudget::new(MonoMs(0));
     let mut spent = 0;
     while budget.retry(MonoMs(0)) {
@@ -225,13 +227,13 @@
     let most = 10_000.0 * SHARE + FLOOR_PER_S + 1.0;
     assert!(
         f64::from(allowed) <= most,
-        "{allowed} retries of 10000 tries in 1 s"
+        "{allowed} retries of 10000 attempts in 1 s"
     );
     assert!(f64::from(allowed) >= 10_000.0 * SHARE - 1.0, "{allowed}");
 }
 
 #[test]
-fn bound_on_silence_moves_with_load_and_pace() {
+fn time_limits_for_silent_engines_follow_load_and_latency() {
     let load = |running| ReplicaLoad {
         report: LoadReport {
             running,
