--- a/crates/foxtailhold/src/crashes.rs
+++ b/crates/foxtailhold/src/crashes.rs
@@ -119,7 +119,7 @@
         let by_end = self
             .records
             .iter()
-            .min_by_key(|(_, records)| records.expires());
+            .min_by_key(|(_, evidence)| evidence.expires());
         if let Some(oldest) = by_end.map(|(fingerprint, _)| *fingerprint) {
             self.records.remove(&oldest);
         }
--- a/crates/foxtailhold/src/limits/coordinator.rs
+++ b/crates/foxtailhold/src/limits/coordinator.rs
@@ -339,8 +339,8 @@
 }
 
 /// Whether `share` is so far below `target` that the holder should renew early.
-fn is_far_below(wanted: Share, share: Share) -> bool {
-    let missing = wanted.minus(share);
+fn is_far_below(target: Share, share: Share) -> bool {
+    let missing = target.minus(share);
     missing.requests_ppm > RENEWAL_THRESHOLD_PPM
         || missing.tokens_ppm > RENEWAL_THRESHOLD_PPM
         || missing.slots > 0
--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -193,7 +193,7 @@
         backend: backend(),
         term: 1,
         number,
-        cancel_above: cancel_above,
+        cancel_above,
         start_below: cancel_above,
     }
 }
