--- a/crates/foxtailhold/src/admission/mod.rs
+++ b/crates/foxtailhold/src/admission/mod.rs
@@ -1,9 +1,9 @@
 //! Admission of online requests in front of the backend servers of one model.
 //!
 //! The requests in flight from one instance are bounded by a window ([`ConcurrencyWindow`]) that
-//! follows the load reports of the replicas. Above it, requests wait in bounded queues, one for
-//! each customer, served by self-clocked fair queueing (Golestani, 1994). The weights follow the
-//! contract's urgency, so that a flood of one customer delays its own requests. A request that
+//! follows the load reports of the backend servers. Above it, requests wait in bounded queues, one
+//! for each customer, served by self-clocked fair queueing (Golestani, 1994). The weights follow
+//! the contract's urgency, so that a flood of one customer delays its own requests. A request that
 //! cannot be served in time is refused on arrival.
 //!
 //! Batch items are not admitted here; they never share a queue with online requests.
--- a/crates/foxtailhold/src/admission/window.rs
+++ b/crates/foxtailhold/src/admission/window.rs
@@ -5,36 +5,36 @@
 /// Requests above the slots that keep an engine busy between two of its steps, as a divisor of the
 /// slots.
 const RESERVE_DIVISOR: u32 = 4;
-/// Slots assumed for a replica that has not reported yet.
+/// Slots assumed for a backend server that has not reported yet.
 const UNREPORTED_SLOTS: u32 = 16;
 /// The window is lowered at most this often, since reports take this long to show the last change.
 const LOWER_PERIOD_MS: u64 = 1_000;
 /// The window is lowered to this percentage.
 const LOWER_PERCENT: u32 = 70;
 
-/// Sum of the load reports of a model's live replicas.
+/// Sum of the load reports of a model's live backend servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// Replicas that accept new work.
+    /// Backend servers that accept new work.
     pub replicas: u32,
-    /// Those replicas that have no report yet.
+    /// Those backend servers that have no report yet.
     pub unreported: u32,
-    /// Slots of the replicas with a report.
+    /// Slots of the backend servers with a report.
     pub slots: u32,
     /// Requests that wait in the engines.
     pub waiting: u32,
 }
 
 impl Capacity {
-    /// Requests that the replicas hold, including the reserve.
+    /// Requests that the backend servers hold, including the reserve.
     fn total(&self) -> u32 {
         let slots = self.slots + self.unreported * UNREPORTED_SLOTS;
         slots + slots.div_ceil(RESERVE_DIVISOR)
     }
 }
 
-/// Window on the requests in flight. It is as large as the capacity of the replicas while few
-/// requests wait in the engines. Otherwise it is lowered step by step, but never below this
+/// Window on the requests in flight. It is as large as the capacity of the backend servers while
+/// few requests wait in the engines. Otherwise it is lowered step by step, but never below this
 /// instance's part. Since it grows additively and shrinks multiplicatively, the instances converge
 /// to an even split (Chiu and Jain, 1989).
 #[derive(Debug, Clone, Copy)]
@@ -58,7 +58,7 @@
     }
 
     /// Applies load reports and returns the new window. `instances` is the number of instances that
-    /// share the replicas.
+    /// share the backend servers.
     pub fn update(&mut self, capacity: &Capacity, instances: u32, now: MonoMs) -> u32 {
         let total = capacity.total();
         if capacity.replicas == 0 {
--- a/crates/foxtailhold/src/batch_control/controller.rs
+++ b/crates/foxtailhold/src/batch_control/controller.rs
@@ -1,4 +1,5 @@
-//! The batch controller of one replica: divides its congestion window between owners of jobs.
+//! The batch controller of one backend server: divides its congestion window between owners of
+//! jobs.
 //!
 //! Owners with the least slack get slots first; owners whose slack falls in the same minute share
 //! evenly. A slot in use is not taken from one owner for another, it changes owner when its item
@@ -74,7 +75,7 @@
     start_below: u32,
 }
 
-/// The batch controller of one replica.
+/// The batch controller of one backend server.
 #[derive(Debug, Clone)]
 pub struct BatchController {
     me: InstanceId,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The congestion window of the replica.
+    /// The congestion window of the backend server.
     pub fn window(&self) -> &CongestionWindow {
         &self.window
     }
--- a/crates/foxtailhold/src/batch_control/mod.rs
+++ b/crates/foxtailhold/src/batch_control/mod.rs
@@ -1,17 +1,17 @@
-//! Batch items beside online requests: how many may be in flight at each replica, and whose.
+//! Batch items beside online requests: how many may be in flight at each backend server, and whose.
 //!
-//! One instance, the batch controller of the replica (chosen by rendezvous hashing over the live
-//! members), limits the batch items at the replica by a congestion window
+//! One instance, the batch controller of the backend server (chosen by rendezvous hashing over the
+//! live members), limits the batch items at the backend server by a congestion window
 //! ([`window::CongestionWindow`]) and divides the window between the owners of jobs
 //! ([`controller::BatchController`]). An owner requests slots, gets an absolute number that is
 //! valid for a short time, and sends its items itself ([`scheduler::BatchScheduler`]). Any instance
-//! that sends online requests to a replica with batch items notifies the controller
+//! that sends online requests to a backend server with batch items notifies the controller
 //! ([`OnlineLoadNotice`]).
 //!
 //! Bound: the grants of one controller that may be in use at the same time never add up to more
 //! than the largest window of the last [`GRANT_MS`], and no window exceeds `slots` minus the least
-//! headroom. An owner uses the grant of one controller only, so two controllers of one replica,
-//! which exist while the members disagree, allow at most twice that.
+//! headroom. An owner uses the grant of one controller only, so two controllers of one backend
+//! server, which exist while the members disagree, allow at most twice that.
 
 pub mod controller;
 pub mod scheduler;
@@ -26,21 +26,22 @@
 pub const GRANT_MS: u64 = 1_500;
 /// An owner repeats its slot request at least this often while it uses or wants slots.
 pub const REQUEST_PERIOD_MS: u64 = 500;
-/// Least time between two slot requests of one owner for one replica.
+/// Least time between two slot requests of one owner for one backend server.
 pub const REQUEST_GAP_MS: u64 = 50;
 /// An instance notifies a controller of online load at most this often.
 pub const NOTICE_GAP_MS: u64 = 5;
-/// An instance with online requests at a replica notifies the controller at least this often.
+/// An instance with online requests at a backend server notifies the controller at least this
+/// often.
 pub const NOTICE_PERIOD_MS: u64 = 500;
 /// A notice expires after this time.
 pub const NOTICE_VALID_MS: u64 = 2_000;
 
-/// A request of a job owner for batch slots at one replica.
+/// A request of a job owner for batch slots at one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchSlotRequest {
     /// The instance that owns the jobs.
     pub owner: InstanceId,
-    /// The replica whose slots are requested.
+    /// The backend server whose slots are requested.
     pub backend: BackendId,
     /// Number of items that the owner has in flight there.
     pub in_use: u32,
@@ -52,12 +53,12 @@
     pub follows: (u64, u64),
 }
 
-/// The batch slots that a controller grants to an owner at one replica.
+/// The batch slots that a controller grants to an owner at one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchSlotGrant {
     /// The batch controller that issued the grant.
     pub controller: InstanceId,
-    /// The replica that has the slots.
+    /// The backend server that has the slots.
     pub backend: BackendId,
     /// Start of the controller's process; a later process has a higher term.
     pub term: u64,
@@ -69,14 +70,14 @@
     pub start_below: u32,
 }
 
-/// Online load that one instance puts on a replica.
+/// Online load that one instance puts on a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OnlineLoadNotice {
     /// The instance that sends the online requests.
     pub from: InstanceId,
-    /// The replica that runs them.
+    /// The backend server that runs them.
     pub backend: BackendId,
-    /// Sequence number among the instance's notices for this replica.
+    /// Sequence number among the instance's notices for this backend server.
     pub number: u64,
     /// Online requests of the instance that are in flight there.
     pub in_flight: u32,
@@ -87,8 +88,8 @@
 /// Share of the KV cache above which waiting requests wait for memory.
 const KV_FULL_SHARE: f64 = 0.95;
 
-/// Whether requests queue at the replica. A request that only waits for the next step of a replica
-/// with free slots is not queued.
+/// Whether requests queue at the backend server. A request that only waits for the next step of a
+/// backend server with free slots is not queued.
 pub fn is_queued(report: &LoadReport) -> bool {
     let over = report.running + report.waiting > report.slots;
     report.waiting > 0 && (over || report.kv_used >= KV_FULL_SHARE)
--- a/crates/foxtailhold/src/batch_control/scheduler.rs
+++ b/crates/foxtailhold/src/batch_control/scheduler.rs
@@ -1,9 +1,9 @@
-//! Owner side: which waiting item starts at which replica, and which items are preempted.
+//! Owner side: which waiting item starts at which backend server, and which items are preempted.
 //!
-//! A grant counts only if it comes from the controller that this instance takes for the replica's.
-//! It is valid for [`GRANT_MS`] from the moment its slot request was sent. A pushed grant changes
-//! the numbers but not the validity period, so a delayed push cannot outlive the controller's own
-//! records.
+//! A grant counts only if it comes from the controller that this instance takes for the backend
+//! server's. It is valid for [`GRANT_MS`] from the moment its slot request was sent. A pushed grant
+//! changes the numbers but not the validity period, so a delayed push cannot outlive the
+//! controller's own records.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,11 +15,11 @@
 use crate::ids::{BackendId, InstanceId, TargetName};
 use crate::time::{MonoMs, WallMs};
 
-/// Replicas that slots are requested from at once, besides those with items in flight.
+/// Backend servers that slots are requested from at once, besides those with items in flight.
 pub const MAX_REQUESTED_REPLICAS: usize = 16;
-/// Period after which slots are requested from other replicas, while no slot is granted.
+/// Period after which slots are requested from other backend servers, while no slot is granted.
 const ROTATE_MS: u64 = 5_000;
-/// Most slots requested at one replica.
+/// Most slots requested at one backend server.
 const MAX_WANTED: u32 = 1_024;
 
 /// Identifies an item, unique within one process.
@@ -34,14 +34,14 @@
     pub deadline: WallMs,
     /// Tie-breaker among items with the same deadline; lower numbers go first.
     pub order: u64,
-    /// Replicas at which the item failed.
+    /// Backend servers at which the item failed.
     pub avoid: Vec<BackendId>,
 }
 
-/// A replica as seen by the owner.
+/// A backend server as seen by the owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchedulerReplica {
-    /// Identifies the replica.
+    /// Identifies the backend server.
     pub backend: BackendId,
     /// Models that it serves.
     pub targets: Vec<TargetName>,
@@ -52,23 +52,23 @@
 /// An action for the owner to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SchedulerAction {
-    /// Start or resume the item at the replica.
+    /// Start or resume the item at the backend server.
     Start {
         /// The item to start.
         item: ItemKey,
-        /// The replica to start it at.
+        /// The backend server to start it at.
         backend: BackendId,
     },
     /// Cancel the item's stream. The caller then queues it again with the output received so far.
     Preempt {
         /// The item to cancel.
         item: ItemKey,
-        /// The replica that runs it.
+        /// The backend server that runs it.
         backend: BackendId,
     },
 }
 
-/// The grant in effect at one replica.
+/// The grant in effect at one backend server.
 #[derive(Debug, Clone)]
 struct ActiveGrant {
     controller: InstanceId,
@@ -119,14 +119,14 @@
         }
     }
 
-    /// Number of items in flight at a replica.
+    /// Number of items in flight at a backend server.
     pub fn in_use(&self, backend: &BackendId) -> u32 {
         let replica = self.replicas.get(backend);
         replica.map_or(0, |replica| replica.running.len() as u32)
     }
 
-    /// The controller whose grant is in effect at a replica, with its term; `None` without a valid
-    /// grant.
+    /// The controller whose grant is in effect at a backend server, with its term; `None` without a
+    /// valid grant.
     pub fn grantor(&self, backend: &BackendId, now: MonoMs) -> Option<(&InstanceId, u64)> {
         let active = self.replicas.get(backend)?.active.as_ref()?;
         (active.until >= now).then_some((&active.controller, active.order.0))
@@ -142,7 +142,8 @@
         self.waiting.len()
     }
 
-    /// Sets the replicas and their controllers. Items at removed replicas are preempted.
+    /// Sets the backend servers and their controllers. Items at removed backend servers are
+    /// preempted.
     pub fn set_replicas(
         &mut self,
         replicas: Vec<SchedulerReplica>,
@@ -187,7 +188,7 @@
         self.act(now)
     }
 
-    /// Removes an item that ended, failed at its replica, or whose job was stopped.
+    /// Removes an item that ended, failed at its backend server, or whose job was stopped.
     pub fn leave(&mut self, item: ItemKey, now: MonoMs) -> Vec<SchedulerAction> {
         self.waiting.retain(|(_, _, key), _| *key != item);
         if let Some(backend) = self.running.remove(&item)
@@ -336,7 +337,7 @@
         requests
     }
 
-    /// The slots that this owner uses and wants at a replica.
+    /// The slots that this owner uses and wants at a backend server.
     pub fn ask(&self, backend: &BackendId, wall: WallMs) -> BatchSlotRequest {
         let in_use = self.in_use(backend);
         let replica = self.replicas.get(backend);
@@ -366,7 +367,7 @@
         }
     }
 
-    /// Replicas with items in flight or a grant, and some others if items wait.
+    /// Backend servers with items in flight or a grant, and some others if items wait.
     fn replicas_to_request(&self, now: MonoMs) -> Vec<BackendId> {
         let rotation = now.0 / ROTATE_MS;
         let seed = xxh3_64_with_seed(self.me.as_str().as_bytes(), rotation);
--- a/crates/foxtailhold/src/batch_control/window.rs
+++ b/crates/foxtailhold/src/batch_control/window.rs
@@ -1,4 +1,4 @@
-//! Congestion window: the number of batch items that may be in flight at one replica.
+//! Congestion window: the number of batch items that may be in flight at one backend server.
 //!
 //! The window is what remains of the slots after the online requests there and a headroom for those
 //! to come. The online requests are the ones that instances announce, plus the excess of load
@@ -24,7 +24,7 @@
 /// The smallest excess over known requests within this time counts as online load. An excess in
 /// only one report was a request in transit.
 const EXCESS_WINDOW_MS: u64 = 300;
-/// Uncertainty of when a report was made and when a request reached the replica.
+/// Uncertainty of when a report was made and when a request reached the backend server.
 const UNCERTAINTY_MS: u64 = 50;
 /// History kept to evaluate delayed reports.
 const HISTORY_MS: u64 = 5_000;
@@ -36,7 +36,7 @@
     at: MonoMs,
 }
 
-/// The congestion window of one replica.
+/// The congestion window of one backend server.
 #[derive(Debug, Clone, Default)]
 pub struct CongestionWindow {
     share_percent: u64,
@@ -45,7 +45,7 @@
     headroom: u32,
     batch: u32,
     online_counts: BTreeMap<InstanceId, OnlineCount>,
-    /// Number of known requests at the replica, batch and online, after each change.
+    /// Number of known requests at the backend server, batch and online, after each change.
     known: VecDeque<(MonoMs, u32)>,
     /// Excess over the known requests in each load report, by the time it was made.
     excess: VecDeque<(MonoMs, u32)>,
@@ -68,7 +68,7 @@
         self.size
     }
 
-    /// Slots of the replica, zero before the first load report.
+    /// Slots of the backend server, zero before the first load report.
     pub fn slots(&self) -> u32 {
         self.slots
     }
@@ -88,15 +88,15 @@
         self.pressure_at.is_some()
     }
 
-    /// Estimated number of online requests at the replica.
+    /// Estimated number of online requests at the backend server.
     pub fn online(&self) -> u32 {
         let excess = self.excess.iter().map(|(_, count)| *count).min();
         excess.unwrap_or(0) + self.announced_online()
     }
 
     fn announced_online(&self) -> u32 {
-        let noticed = self.online_counts.values();
-        noticed.map(|noticed| noticed.in_flight).sum()
+        let counts = self.online_counts.values();
+        counts.map(|count| count.in_flight).sum()
     }
 
     /// Sets the number of batch items in flight.
@@ -166,12 +166,12 @@
         if last.is_some_and(|last| last.number >= notice.number) {
             return;
         }
-        let noticed = OnlineCount {
+        let count = OnlineCount {
             number: notice.number,
             in_flight: notice.in_flight,
             at: now,
         };
-        self.online_counts.insert(notice.from.clone(), noticed);
+        self.online_counts.insert(notice.from.clone(), count);
         self.record_known(now);
         if self.slots > 0 && self.batch > 0 && self.online() + self.batch > self.slots {
             self.record_pressure(now);
@@ -180,8 +180,8 @@
 
     /// Updates the window: it shrinks at once and grows by one step if nothing holds it.
     pub fn update(&mut self, now: MonoMs) {
-        let valid = |noticed: &OnlineCount| now.since_ms(noticed.at) <= NOTICE_VALID_MS;
-        self.online_counts.retain(|_, noticed| valid(noticed));
+        let valid = |count: &OnlineCount| now.since_ms(count.at) <= NOTICE_VALID_MS;
+        self.online_counts.retain(|_, count| valid(count));
         self.record_known(now);
         let Some((last, _)) = self.excess.back().copied() else {
             return;
@@ -232,9 +232,9 @@
         self.headroom = self.headroom.saturating_sub(1).max(least);
     }
 
-    /// The largest number of known requests that can have been at the replica at `at`. A cancelled
-    /// request stays until the engine's next step, and a started one is there before the controller
-    /// hears of it.
+    /// The largest number of known requests that can have been at the backend server at `at`. A
+    /// cancelled request stays until the engine's next step, and a started one is there before the
+    /// controller hears of it.
     fn max_known(&self, at: MonoMs) -> u32 {
         let from = MonoMs(at.0.saturating_sub(UNCERTAINTY_MS));
         let mut before = 0;
--- a/crates/foxtailhold/src/leaving.rs
+++ b/crates/foxtailhold/src/leaving.rs
@@ -50,14 +50,14 @@
 /// The notices known to one instance.
 #[derive(Debug, Clone, Default)]
 pub struct LeavingBackends {
-    known: BTreeMap<BackendId, NoticeRecord>,
+    records: BTreeMap<BackendId, NoticeRecord>,
 }
 
 impl LeavingBackends {
     /// Records that this instance itself observes the backend server leaving. Returns whether no
     /// valid notice existed before.
     pub fn observe(&mut self, backend: &BackendId, wall: WallMs, now: MonoMs) -> bool {
-        let known = self.known.get(backend);
+        let known = self.records.get(backend);
         if known.is_some_and(|known| now.since_ms(known.received_at) < RENEWAL_AGE_MS) {
             return false;
         }
@@ -76,14 +76,14 @@
 
     /// Whether a valid notice exists for a backend server.
     pub fn is_leaving(&self, backend: &BackendId, now: MonoMs) -> bool {
-        self.known
+        self.records
             .get(backend)
             .is_some_and(|known| known.is_valid(now))
     }
 
     /// Notices to send to peers, the newest first.
     pub fn outgoing(&self, now: MonoMs) -> Vec<LeavingNotice> {
-        let valid = self.known.iter().filter(|(_, known)| known.is_valid(now));
+        let valid = self.records.iter().filter(|(_, known)| known.is_valid(now));
         let mut notices: Vec<(&BackendId, &NoticeRecord)> = valid.collect();
         notices.sort_by_key(|(_, known)| Reverse(known.received_at));
         notices.truncate(NOTICES_PER_MESSAGE);
@@ -99,17 +99,17 @@
 
     /// Drops notices after [`NUMBER_TTL_MS`].
     pub fn tick(&mut self, now: MonoMs) {
-        self.known
+        self.records
             .retain(|_, known| now.since_ms(known.received_at) < NUMBER_TTL_MS);
     }
 
     /// Stores a number if it is the newest. Returns whether the backend server had no valid notice.
     fn store(&mut self, backend: &BackendId, number: u64, now: MonoMs) -> bool {
-        let known = self.known.get(backend);
+        let known = self.records.get(backend);
         if known.is_some_and(|known| known.number >= number) {
             return false;
         }
-        if known.is_none() && self.known.len() >= MAX_NOTICES {
+        if known.is_none() && self.records.len() >= MAX_NOTICES {
             return false;
         }
         let is_new = !self.is_leaving(backend, now);
@@ -117,7 +117,7 @@
             number,
             received_at: now,
         };
-        self.known.insert(backend.clone(), record);
+        self.records.insert(backend.clone(), record);
         is_new
     }
 }
--- a/crates/foxtailhold/src/limits/bucket.rs
+++ b/crates/foxtailhold/src/limits/bucket.rs
@@ -9,7 +9,7 @@
     rate_per_s: f64,
     burst: f64,
     level: f64,
-    filled_at: MonoMs,
+    refilled_at: MonoMs,
 }
 
 impl TokenBucket {
@@ -19,13 +19,13 @@
             rate_per_s,
             burst,
             level: level.min(burst),
-            filled_at: now,
+            refilled_at: now,
         }
     }
 
     /// Sets rate and burst. The current level is kept, up to the new burst.
     pub fn set_rate(&mut self, rate_per_s: f64, burst: f64, now: MonoMs) {
-        self.fill(now);
+        self.refill(now);
         self.rate_per_s = rate_per_s;
         self.burst = burst;
         self.level = self.level.min(burst);
@@ -33,7 +33,7 @@
 
     /// Time in ms until the level reaches `amount`, zero if it has, at most [`MAX_RETRY_AFTER_MS`].
     pub fn wait_ms(&mut self, amount: f64, now: MonoMs) -> u64 {
-        self.fill(now);
+        self.refill(now);
         if self.level >= amount {
             return 0;
         }
@@ -53,7 +53,7 @@
 
     /// Removes and returns everything above zero.
     pub fn drain(&mut self, now: MonoMs) -> f64 {
-        self.fill(now);
+        self.refill(now);
         let drained = self.level.max(0.0);
         self.level -= drained;
         drained
@@ -61,7 +61,7 @@
 
     /// The level after refilling up to `now`.
     pub fn level(&mut self, now: MonoMs) -> f64 {
-        self.fill(now);
+        self.refill(now);
         self.level
     }
 
@@ -70,9 +70,9 @@
         self.level(now) >= self.burst
     }
 
-    fn fill(&mut self, now: MonoMs) {
-        let elapsed_ms = now.since_ms(self.filled_at) as f64;
+    fn refill(&mut self, now: MonoMs) {
+        let elapsed_ms = now.since_ms(self.refilled_at) as f64;
         self.level = (self.level + elapsed_ms * self.rate_per_s / 1_000.0).min(self.burst);
-        self.filled_at = self.filled_at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/foxtailhold/src/limits/coordinator.rs
+++ b/crates/foxtailhold/src/limits/coordinator.rs
@@ -40,7 +40,7 @@
 /// One customer's limits at the coordinator. The buckets hold the credit that belongs to no grant.
 #[derive(Debug, Clone)]
 struct Division {
-    terms: CustomerLimits,
+    limits: CustomerLimits,
     budget: Share,
     holders: BTreeMap<InstanceId, HolderState>,
     requests: TokenBucket,
@@ -110,7 +110,7 @@
     /// Sets the buckets to the rates of the ungranted budget and returns that budget.
     fn set_free_rates(&mut self, now: MonoMs) -> Share {
         let free = self.budget.minus(self.possible_share());
-        free.fill(&self.terms, &mut self.requests, &mut self.tokens, now);
+        free.apply_to_buckets(&self.limits, &mut self.requests, &mut self.tokens, now);
         free
     }
 
@@ -122,12 +122,12 @@
     }
 
     fn target(&self, from: &InstanceId) -> Share {
-        let (terms, budget) = (&self.terms, self.budget);
+        let (limits, budget) = (&self.limits, self.budget);
         let target_of = |whole: u32, wanted: fn(&Demand, &CustomerLimits) -> u32| {
             let mut claims: Vec<ShareClaim> = Vec::with_capacity(self.holders.len());
             for (id, held) in &self.holders {
                 claims.push(ShareClaim {
-                    wanted: wanted(&held.demand, terms).min(whole),
+                    wanted: wanted(&held.demand, limits).min(whole),
                     asker: id == from,
                 });
             }
@@ -162,12 +162,12 @@
     (wanted.clamp(0.0, 1.0) * f64::from(FULL_SHARE_PPM)) as u32
 }
 
-fn wanted_requests_ppm(demand: &Demand, terms: &CustomerLimits) -> u32 {
-    wanted_ppm(demand.requests_per_s, terms.requests_per_s)
+fn wanted_requests_ppm(demand: &Demand, limits: &CustomerLimits) -> u32 {
+    wanted_ppm(demand.requests_per_s, limits.requests_per_s)
 }
 
-fn wanted_tokens_ppm(demand: &Demand, terms: &CustomerLimits) -> u32 {
-    wanted_ppm(demand.tokens_per_s, terms.tokens_per_s)
+fn wanted_tokens_ppm(demand: &Demand, limits: &CustomerLimits) -> u32 {
+    wanted_ppm(demand.tokens_per_s, limits.tokens_per_s)
 }
 
 fn wanted_slots(demand: &Demand, _: &CustomerLimits) -> u32 {
@@ -195,16 +195,16 @@
         &mut self,
         from: &InstanceId,
         request: &ShareRequest,
-        terms: &CustomerLimits,
+        limits: &CustomerLimits,
         views: &MembershipViews,
         now: MonoMs,
     ) -> Option<ShareGrant> {
         if !views.is_coordinator(&request.customer) {
             return None;
         }
-        let budget = Share::part(terms, views.live(), views.listed());
+        let budget = Share::part(limits, views.live(), views.listed());
         let other_grants_valid = views.foreign_grants_until(&request.customer) > now;
-        let division = self.division(&request.customer, terms, other_grants_valid, now);
+        let division = self.division(&request.customer, limits, other_grants_valid, now);
         let known = division.holders.get(from);
         if known.is_some_and(|known| known.number >= request.number) {
             return None;
@@ -212,7 +212,7 @@
         if other_grants_valid {
             division.clear_credit(now);
         }
-        (division.terms, division.budget) = (*terms, budget);
+        (division.limits, division.budget) = (*limits, budget);
         division.expire(now);
         division.holders.remove(from);
         let available = budget.minus(division.possible_share());
@@ -235,7 +235,7 @@
         let (target, room) = match other_grants_valid {
             false => (division.target(from), division.grantable(room)),
             true => {
-                let part = Share::part(terms, 1, division.instances(views));
+                let part = Share::part(limits, 1, division.instances(views));
                 (
                     division.target_beside_other_coordinator(from, request.held, part),
                     room,
@@ -247,8 +247,8 @@
         let credit = match other_grants_valid {
             false => division.credit(gained.min(free), free, now),
             true => Credit {
-                requests: terms.burst_requests * part(gained.requests_ppm),
-                tokens: terms.burst_tokens * part(gained.tokens_ppm),
+                requests: limits.burst_requests * part(gained.requests_ppm),
+                tokens: limits.burst_tokens * part(gained.tokens_ppm),
             },
         };
         let rising = is_far_below(target, share);
@@ -310,7 +310,7 @@
     fn division(
         &mut self,
         customer: &CustomerId,
-        terms: &CustomerLimits,
+        limits: &CustomerLimits,
         other_grants_valid: bool,
         now: MonoMs,
     ) -> &mut Division {
@@ -318,19 +318,19 @@
         self.divisions
             .entry(customer.clone())
             .or_insert_with(|| Division {
-                terms: *terms,
+                limits: *limits,
                 budget: Share::default(),
                 holders: BTreeMap::new(),
                 requests: TokenBucket::new(
-                    terms.requests_per_s,
-                    terms.burst_requests,
-                    terms.burst_requests * full,
+                    limits.requests_per_s,
+                    limits.burst_requests,
+                    limits.burst_requests * full,
                     now,
                 ),
                 tokens: TokenBucket::new(
-                    terms.tokens_per_s,
-                    terms.burst_tokens,
-                    terms.burst_tokens * full,
+                    limits.tokens_per_s,
+                    limits.burst_tokens,
+                    limits.burst_tokens * full,
                     now,
                 ),
                 recalled_at: None,
--- a/crates/foxtailhold/src/limits/holder.rs
+++ b/crates/foxtailhold/src/limits/holder.rs
@@ -113,7 +113,7 @@
     /// Decides on a request that is charged `tokens`. `listed` is the number of all instances.
     pub fn admit(
         &mut self,
-        terms: &CustomerLimits,
+        limits: &CustomerLimits,
         listed: u32,
         tokens: f64,
         now: MonoMs,
@@ -121,19 +121,19 @@
         self.measured.requests += 1.0;
         self.measured.tokens += tokens;
         self.measured.slots = self.measured.slots.max(self.in_flight + 1);
-        self.admit_again(terms, listed, tokens, now)
+        self.admit_again(limits, listed, tokens, now)
     }
 
     /// Decides again on a request that had to wait; it is not counted as new demand.
     pub fn admit_again(
         &mut self,
-        terms: &CustomerLimits,
+        limits: &CustomerLimits,
         listed: u32,
         tokens: f64,
         now: MonoMs,
     ) -> LimitDecision {
         self.used_at = now;
-        self.expire(terms, listed, now);
+        self.expire(limits, listed, now);
         let is_waiting = self.wait_until.map(|until| until > now);
         if matches!(self.state, ShareState::AwaitingGrant | ShareState::Released) {
             self.state = ShareState::AwaitingGrant;
@@ -168,21 +168,21 @@
     }
 
     /// Continues on the fallback share if the coordinator has never responded.
-    pub fn fall_back(&mut self, terms: &CustomerLimits, listed: u32, now: MonoMs) {
+    pub fn fall_back(&mut self, limits: &CustomerLimits, listed: u32, now: MonoMs) {
         if self.state != ShareState::AwaitingGrant || self.wait_until.is_some() {
             return;
         }
         self.state = ShareState::Fallback;
-        self.set_share(Share::part(terms, 1, listed), terms, now);
-        self.requests.give(terms.burst_requests);
-        self.tokens.give(terms.burst_tokens);
+        self.set_share(Share::part(limits, 1, listed), limits, now);
+        self.requests.give(limits.burst_requests);
+        self.tokens.give(limits.burst_tokens);
     }
 
     /// The share request that is due, if any. It is sent once, to the coordinator at that time.
     pub fn ask(
         &mut self,
         customer: &CustomerId,
-        terms: &CustomerLimits,
+        limits: &CustomerLimits,
         number: u64,
         now: MonoMs,
     ) -> Option<ShareRequest> {
@@ -207,13 +207,13 @@
             customer: customer.clone(),
             number,
             held,
-            demand: Some(self.demand(terms, now)),
+            demand: Some(self.demand(limits, now)),
             returned: Credit::default(),
         })
     }
 
     /// Applies a grant. Only the response to the last share request counts.
-    pub fn granted(&mut self, terms: &CustomerLimits, grant: &ShareGrant, now: MonoMs) {
+    pub fn granted(&mut self, limits: &CustomerLimits, grant: &ShareGrant, now: MonoMs) {
         let Some(pending) = self
             .pending
             .filter(|pending| pending.number == grant.number)
@@ -239,7 +239,7 @@
             self.clear_credit(now);
         }
         self.state = ShareState::Granted { until };
-        self.set_share(grant.share, terms, now);
+        self.set_share(grant.share, limits, now);
         self.requests.give(grant.credit.requests);
         self.tokens.give(grant.credit.tokens);
         if grant.share.max(held) != grant.share {
@@ -337,18 +337,18 @@
         self.in_flight == 0 && now.since_ms(self.used_at) >= IDLE_MS
     }
 
-    fn expire(&mut self, terms: &CustomerLimits, listed: u32, now: MonoMs) {
+    fn expire(&mut self, limits: &CustomerLimits, listed: u32, now: MonoMs) {
         if let ShareState::Granted { until } = self.state
             && until <= now
         {
             self.state = ShareState::Fallback;
-            self.set_share(Share::part(terms, 1, listed), terms, now);
+            self.set_share(Share::part(limits, 1, listed), limits, now);
         }
     }
 
-    fn set_share(&mut self, share: Share, terms: &CustomerLimits, now: MonoMs) {
+    fn set_share(&mut self, share: Share, limits: &CustomerLimits, now: MonoMs) {
         self.share = share;
-        share.fill(terms, &mut self.requests, &mut self.tokens, now);
+        share.apply_to_buckets(limits, &mut self.requests, &mut self.tokens, now);
     }
 
     fn clear_credit(&mut self, now: MonoMs) {
@@ -382,7 +382,7 @@
 
     /// Demand since the last measurement. It falls by half at most, so that one quiet period does
     /// not cost the share. Within a period below [`MIN_PERIOD_MS`] it can only rise.
-    fn demand(&mut self, terms: &CustomerLimits, now: MonoMs) -> Demand {
+    fn demand(&mut self, limits: &CustomerLimits, now: MonoMs) -> Demand {
         let period_ms = now.since_ms(self.measured_since);
         let is_full_period = period_ms >= MIN_PERIOD_MS;
         let period_s = period_ms.max(MIN_PERIOD_MS) as f64 / 1_000.0;
@@ -393,10 +393,10 @@
         let demand = Demand {
             requests_per_s: requests_per_s
                 .max(last.requests_per_s * min_factor)
-                .min(terms.requests_per_s),
+                .min(limits.requests_per_s),
             tokens_per_s: tokens_per_s
                 .max(last.tokens_per_s * min_factor)
-                .min(terms.tokens_per_s),
+                .min(limits.tokens_per_s),
             slots: self
                 .measured
                 .slots
--- a/crates/foxtailhold/src/limits/message.rs
+++ b/crates/foxtailhold/src/limits/message.rs
@@ -52,18 +52,18 @@
 
 impl Share {
     /// Sets a customer's two buckets to this part of its rates and bursts.
-    pub fn fill(
+    pub fn apply_to_buckets(
         &self,
-        terms: &CustomerLimits,
+        limits: &CustomerLimits,
         requests: &mut TokenBucket,
         tokens: &mut TokenBucket,
         now: MonoMs,
     ) {
         let part = f64::from(self.requests_ppm) / f64::from(FULL_SHARE_PPM);
-        let (rate_per_s, burst) = (terms.requests_per_s, terms.burst_requests);
+        let (rate_per_s, burst) = (limits.requests_per_s, limits.burst_requests);
         requests.set_rate(rate_per_s * part, burst * part, now);
         let part = f64::from(self.tokens_ppm) / f64::from(FULL_SHARE_PPM);
-        let (rate_per_s, burst) = (terms.tokens_per_s, terms.burst_tokens);
+        let (rate_per_s, burst) = (limits.tokens_per_s, limits.burst_tokens);
         tokens.set_rate(rate_per_s * part, burst * part, now);
     }
 
@@ -109,9 +109,9 @@
     }
 
     /// `numerator`/`denominator` of all limits, with the slots rounded up.
-    pub fn part(terms: &CustomerLimits, numerator: u32, denominator: u32) -> Share {
+    pub fn part(limits: &CustomerLimits, numerator: u32, denominator: u32) -> Share {
         let denominator = u64::from(denominator.max(1));
-        let slots = u64::from(terms.slots) * u64::from(numerator);
+        let slots = u64::from(limits.slots) * u64::from(numerator);
         let scaled = |whole: u32| (u64::from(whole) * u64::from(numerator) / denominator) as u32;
         Share {
             requests_ppm: scaled(FULL_SHARE_PPM),
--- a/crates/foxtailhold/src/membership.rs
+++ b/crates/foxtailhold/src/membership.rs
@@ -118,7 +118,7 @@
 #[derive(Debug, Clone)]
 pub struct Membership {
     me: Member,
-    known: BTreeMap<InstanceId, MemberRecord>,
+    records: BTreeMap<InstanceId, MemberRecord>,
     order: Vec<InstanceId>,
     probe_outcomes: VecDeque<bool>,
     probes: u32,
@@ -133,7 +133,7 @@
     pub fn new(me: Member, seed: u64) -> Self {
         Membership {
             me,
-            known: BTreeMap::new(),
+            records: BTreeMap::new(),
             order: Vec::new(),
             probe_outcomes: VecDeque::new(),
             probes: 0,
@@ -151,7 +151,7 @@
 
     /// All known members, this instance first.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        std::iter::once(&self.me).chain(self.known.values().map(|known| &known.member))
+        std::iter::once(&self.me).chain(self.records.values().map(|known| &known.member))
     }
 
     /// Marks this instance as leaving.
@@ -182,14 +182,14 @@
     pub fn probe_target(&mut self) -> Option<Member> {
         for _ in 0..2 {
             while let Some(id) = self.order.pop() {
-                let Some(known) = self.known.get(&id) else {
+                let Some(known) = self.records.get(&id) else {
                     continue;
                 };
                 if known.member.state != MemberState::Dead {
                     return Some(known.member.clone());
                 }
             }
-            self.order = self.known.keys().cloned().collect();
+            self.order = self.records.keys().cloned().collect();
             self.order.shuffle(&mut self.rng);
         }
         None
@@ -202,14 +202,14 @@
             return None;
         }
         let is_dead = |known: &&MemberRecord| known.member.state == MemberState::Dead;
-        let dead: Vec<&MemberRecord> = self.known.values().filter(is_dead).collect();
+        let dead: Vec<&MemberRecord> = self.records.values().filter(is_dead).collect();
         Some(dead.choose(&mut self.rng)?.member.clone())
     }
 
     /// Members to ask for an indirect probe of `target`, which did not respond.
     pub fn indirect_probers(&mut self, target: &InstanceId) -> Vec<Member> {
         let mut probers = Vec::new();
-        for known in self.known.values() {
+        for known in self.records.values() {
             if known.member.state == MemberState::Alive && known.member.id != *target {
                 probers.push(known.member.clone());
             }
@@ -223,7 +223,7 @@
     /// record, so that it can refute it.
     pub fn probe(&mut self, to: Option<&InstanceId>, payload: GossipPayload) -> Gossip {
         let want_all = self.full_state_at.is_none();
-        let known = to.and_then(|to| self.known.get(to));
+        let known = to.and_then(|to| self.records.get(to));
         let known = known.map(|known| known.member.clone());
         let record = known.filter(|known| known.state != MemberState::Alive);
         self.message(want_all, record, payload)
@@ -271,7 +271,7 @@
     /// Records that a probe of `id` got no response, neither directly nor indirectly.
     pub fn on_probe_failure(&mut self, id: &InstanceId, now: MonoMs) {
         self.record_outcome(false);
-        let Some(known) = self.known.get(id) else {
+        let Some(known) = self.records.get(id) else {
             return;
         };
         let state = match known.member.state {
@@ -298,7 +298,7 @@
             self.full_state_at = None;
         }
         let mut dead = Vec::new();
-        for known in self.known.values() {
+        for known in self.records.values() {
             let waited_ms = now.since_ms(known.changed_at);
             if known.member.state == MemberState::Suspect && waited_ms > suspicion_ms {
                 let mut member = known.member.clone();
@@ -307,10 +307,10 @@
             }
         }
         self.merge(&dead, now);
-        self.known.retain(|_, known| {
+        self.records.retain(|_, known| {
             known.member.state != MemberState::Dead || now.since_ms(known.changed_at) < FORGET_MS
         });
-        if self.known.is_empty() {
+        if self.records.is_empty() {
             self.probe_outcomes.clear();
         }
     }
@@ -318,7 +318,7 @@
     /// Handles a pause of this process: the time limits of suspects start again, and the instance
     /// counts as isolated until it hears from peers.
     fn handle_resume(&mut self, now: MonoMs) {
-        for known in self.known.values_mut() {
+        for known in self.records.values_mut() {
             if known.member.state == MemberState::Suspect {
                 known.changed_at = now;
             }
@@ -341,14 +341,14 @@
                 self.refute(update);
                 continue;
             }
-            let newer = match self.known.get(&update.id) {
+            let newer = match self.records.get(&update.id) {
                 Some(known) => update.overrides(&known.member),
                 None => update.state != MemberState::Dead,
             };
             if !newer {
                 continue;
             }
-            if !self.known.contains_key(&update.id) {
+            if !self.records.contains_key(&update.id) {
                 let index = self.rng.random_range(0..=self.order.len());
                 self.order.insert(index, update.id.clone());
             }
@@ -357,7 +357,7 @@
                 changed_at: now,
                 transmissions_left,
             };
-            self.known.insert(update.id.clone(), known);
+            self.records.insert(update.id.clone(), known);
         }
     }
 
@@ -376,12 +376,12 @@
             .updates
             .iter()
             .find(|member| member.id == gossip.from)?;
-        let known = &self.known.get(&gossip.from)?.member;
+        let known = &self.records.get(&gossip.from)?.member;
         (known != record).then(|| known.clone())
     }
 
     fn count(&self) -> u32 {
-        self.known.len() as u32 + 1
+        self.records.len() as u32 + 1
     }
 
     fn suspicion_ms(&self) -> u64 {
@@ -390,7 +390,7 @@
 
     /// An update is sent about 3 log2(n) times, which reaches all members with high probability.
     fn transmissions_per_update(&self) -> u32 {
-        3 * (usize::BITS - (self.known.len() + 1).leading_zeros())
+        3 * (usize::BITS - (self.records.len() + 1).leading_zeros())
     }
 
     fn message(
@@ -402,7 +402,7 @@
         let mut updates = vec![self.me.clone()];
         updates.extend(sender);
         let mut pending = Vec::new();
-        for known in self.known.values_mut() {
+        for known in self.records.values_mut() {
             if known.transmissions_left > 0 {
                 pending.push(known);
             }
--- a/crates/foxtailhold/src/routing.rs
+++ b/crates/foxtailhold/src/routing.rs
@@ -92,18 +92,19 @@
     }
 }
 
-/// Load relative to the mean, in percent, up to which a replica still gets the requests of its
-/// prefixes.
+/// Load relative to the mean, in percent, up to which a backend server still gets the requests of
+/// its prefixes.
 const LOAD_BOUND_PERCENT: u64 = 125;
-/// A replica below one slot in this many keeps its prefixes whatever the mean load is.
+/// A backend server below one slot in this many keeps its prefixes whatever the mean load is.
 const IDLE_DIVISOR: u64 = 4;
 /// Slots assumed until the first load report.
 const DEFAULT_SLOTS: u32 = 16;
-/// A replica is slow if its gap between events exceeds the mean by this factor.
+/// A backend server is slow if its gap between events exceeds the mean by this factor.
 const SLOW_FACTOR: u64 = 4;
 /// Gaps below this are never slow.
 const SLOW_FLOOR_US: u64 = 50_000;
-/// One selection in this many also considers slow replicas, so that a recovered one is noticed.
+/// One selection in this many also considers slow backend servers, so that a recovered one is
+/// noticed.
 const SLOW_RETRY_INTERVAL: u64 = 32;
 
 /// Prefix affinity by rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
@@ -160,7 +161,7 @@
         candidate.gap_us > SLOW_FLOOR_US.max(mean_us * SLOW_FACTOR)
     }
 
-    /// Number of requests up to which a replica still gets more by affinity.
+    /// Number of requests up to which a backend server still gets more by affinity.
     fn bound(&self, candidate: &Candidate<'_>) -> u64 {
         let own = slots(candidate);
         let share = (self.requests + 1) * own * LOAD_BOUND_PERCENT;
--- a/crates/foxtailhold/src/slots/health.rs
+++ b/crates/foxtailhold/src/slots/health.rs
@@ -22,9 +22,9 @@
 /// A backend server that reported itself full gets no new request for this time, which is about two
 /// requests of one engine step each.
 pub const FULL_BACKOFF_MS: u64 = 40;
-/// Longest time for which an ejection blocks all slots. While more than this remains of the ejection,
-/// one slot stays usable for a probe, since a backend server is usually back a few seconds after a
-/// crash.
+/// Longest time for which an ejection blocks all slots. While more than this remains of the
+/// ejection, one slot stays usable for a probe, since a backend server is usually back a few
+/// seconds after a crash.
 pub const MAX_EJECTION_MS: u64 = 4_000;
 
 /// Recent failures of one backend server.
--- a/crates/foxtailhold/tests/batch_control_fuzz.rs
+++ b/crates/foxtailhold/tests/batch_control_fuzz.rs
@@ -1,7 +1,7 @@
-//! Runs two batch controllers and the owners of one replica under random faults: messages that are
-//! lost, late, repeated or reordered, owners that disagree on the controller, controllers that are
-//! killed, and pressure at any time. Guards against more batch items in flight than the congestion
-//! windows allow and against items that are lost or run twice.
+//! Runs two batch controllers and the owners of one backend server under random faults: messages
+//! that are lost, late, repeated or reordered, owners that disagree on the controller, controllers
+//! that are killed, and pressure at any time. Guards against more batch items in flight than the
+//! congestion windows allow and against items that are lost or run twice.
 //!
 //! `FOXTAILHOLD_FUZZ_CASES` and `FOXTAILHOLD_FUZZ_STEPS` set the number of cases and their length.
 
--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// A window that has grown to its full size at an idle replica.
+/// A window that has grown to its full size at an idle backend server.
 fn grown_window(share_percent: u64) -> (CongestionWindow, MonoMs) {
     let mut window = CongestionWindow::new(share_percent);
     let mut now = START;
--- a/crates/foxtailhold/tests/batch_control_world/mod.rs
+++ b/crates/foxtailhold/tests/batch_control_world/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic simulation of one replica with two batch controllers, three owners, the messages
-//! between them and online requests, together with the invariants that always hold.
+//! A deterministic simulation of one backend server with two batch controllers, three owners, the
+//! messages between them and online requests, together with the invariants that always hold.
 
 mod step;
 
--- a/crates/foxtailhold/tests/routing.rs
+++ b/crates/foxtailhold/tests/routing.rs
@@ -1,6 +1,6 @@
 //! Selection of a backend server, the circuit breaker, the retry budget and the time limits of
-//! silent engines. Guards against hot prefixes that overload a replica and against requests sent to
-//! replicas that cannot serve them.
+//! silent engines. Guards against hot prefixes that overload a backend server and against requests
+//! sent to backend servers that cannot serve them.
 
 use foxtailhold::breaker::{Availability, BASE_MS, Breaker, MAX_MS, PROBE_TIMEOUT_MS};
 use foxtailhold::ids::{AvailabilityZone, BackendId};
@@ -16,7 +16,7 @@
 const ZONES: [&str; 3] = ["concord-hall", "nashua-hall", "keene-hall"];
 const SLOTS: u32 = 16;
 
-/// Identifiers and availability zones of nine replicas.
+/// Identifiers and availability zones of nine backend servers.
 struct Fleet {
     ids: Vec<BackendId>,
     zones: Vec<AvailabilityZone>,
