--- a/crates/foxtailhold/src/limits/views.rs
+++ b/crates/foxtailhold/src/limits/views.rs
@@ -1,8 +1,8 @@
 //! The instances among which limit coordinators are chosen, and recent changes of this set.
 
-use crate::rendezvous;
 use crate::ids::{CustomerId, InstanceId};
 use crate::limits::LEASE_MS;
+use crate::rendezvous;
 use crate::time::MonoMs;
 
 #[derive(Debug, Clone)]
--- a/crates/foxtailhold/src/membership.rs
+++ b/crates/foxtailhold/src/membership.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use rand::{Rng, SeedableRng};
 use rand::rngs::SmallRng;
 use rand::seq::{IndexedRandom, SliceRandom};
+use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
 use crate::contract_sync::{ContractStatus, ListingState};
--- a/crates/foxtailhold/tests/routing.rs
+++ b/crates/foxtailhold/tests/routing.rs
@@ -5,9 +5,13 @@
 use foxtailhold::breaker::{Availability, BASE_MS, Breaker, MAX_MS, PROBE_TIMEOUT_MS};
 use foxtailhold::ids::{AvailabilityZone, BackendId};
 use foxtailhold::replicas::{FleetState, LoadReport, ReplicaLoad};
-use foxtailhold::retry::{MAX_SAVED_RETRIES, MIN_RETRIES_PER_S, RETRIES_PER_FIRST_ATTEMPT, RetryBudget};
-use foxtailhold::routing::{BoundedAffinity, Candidate, LeastLoaded, RoutePolicy, RouteQuery, affinity_seed};
-use foxtailhold::stall::{MAX_BOUND_MS, MIN_BOUND_MS, Pace, self};
+use foxtailhold::retry::{
+    MAX_SAVED_RETRIES, MIN_RETRIES_PER_S, RETRIES_PER_FIRST_ATTEMPT, RetryBudget,
+};
+use foxtailhold::routing::{
+    BoundedAffinity, Candidate, LeastLoaded, RoutePolicy, RouteQuery, affinity_seed,
+};
+use foxtailhold::stall::{self, MAX_BOUND_MS, MIN_BOUND_MS, Pace};
 use foxtailhold::time::MonoMs;
 use test_case::test_case;
 
