--- a/crates/foxtailhold/src/attempt_counts.rs
+++ b/crates/foxtailhold/src/attempt_counts.rs
@@ -1,38 +1,40 @@
-//! What the runs of one batch item came to, over all its owners, and whether it may run again.
+//! Attempt counts of one batch item over all owners of its job, and whether it may be tried again.
 //!
-//! An owner writes down each failed answer, and each further run before it begins, so that a run whose
-//! owner was lost in the middle of it counts as one whose outcome is not known.
+//! An owner stores each failed response, and from the second attempt on also the start of the
+//! attempt before it sends the request. If the owner is lost during an attempt, that attempt
+//! therefore counts as one with an unknown outcome.
 
 use serde::{Deserialize, Serialize};
 
-/// Runs without a known outcome after which an item rests: any of them may have been the answer
-/// that it can never be done.
-pub const MOST_OPEN_RUNS: u32 = 3;
+/// Number of attempts with an unknown outcome after which an item backs off. Any of them may have
+/// been answered with an error that repeats at every attempt.
+pub const MAX_PENDING_ATTEMPTS: u32 = 3;
 
-/// The account of one item.
+/// Counts of the attempts at one item, stored as JSON.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptCounts {
-    /// Answers that count as failed.
+    /// Number of failed responses.
     pub failed: u32,
-    /// Runs that began and whose outcome nobody has written down.
+    /// Number of attempts that were started and whose outcome is not stored.
     #[serde(rename = "open")]
     pub pending: u32,
 }
 
-/// Whether an item may run.
+/// Decision on the next attempt at an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptDecision {
-    /// It may.
+    /// The next attempt may start.
     Allowed,
-    /// It has failed too often.
+    /// The item has failed too often and ends with an error.
     GiveUp,
-    /// It rests until it may be given up: too many runs have no known outcome.
+    /// The item is not tried again until it may be given up, because too many attempts have an
+    /// unknown outcome.
     Backoff,
 }
 
 impl AttemptCounts {
-    /// The account of an item of which nothing is written down: its first owner writes nothing before
-    /// the first run, and may be lost in it.
+    /// Returns the counts of an item without a stored record. The first owner stores nothing before
+    /// the first attempt, so if an owner was lost, one attempt is counted as pending.
     pub fn without_record(lost_owners: u32) -> Self {
         AttemptCounts {
             failed: 0,
@@ -40,23 +42,24 @@
         }
     }
 
-    /// Whether the beginning of the next run is written down first.
+    /// Whether the start of the next attempt has to be stored before the attempt is sent.
     pub fn must_record_start(&self, lost_owners: u32) -> bool {
         lost_owners > 0 || *self != AttemptCounts::default()
     }
 
-    /// Whether the item may run, on a route that allows so many failed answers.
-    pub fn next_attempt(&self, most_failed: u32) -> AttemptDecision {
-        if self.failed >= most_failed.max(1) {
+    /// Decides on the next attempt. `max_failed` is the number of failed responses that the route
+    /// allows.
+    pub fn next_attempt(&self, max_failed: u32) -> AttemptDecision {
+        if self.failed >= max_failed.max(1) {
             return AttemptDecision::GiveUp;
         }
-        if self.pending >= MOST_OPEN_RUNS {
+        if self.pending >= MAX_PENDING_ATTEMPTS {
             return AttemptDecision::Backoff;
         }
         AttemptDecision::Allowed
     }
 
-    /// The account while one more run is under way.
+    /// Returns the counts with one more pending attempt.
     pub fn with_pending_attempt(self) -> Self {
         AttemptCounts {
             pending: self.pending + 1,
@@ -64,12 +67,13 @@
         }
     }
 
-    /// Notes a failed answer.
+    /// Records a failed response.
     pub fn record_failure(&mut self) {
         self.failed += 1;
     }
 
-    /// Notes that the item gave events: no run of it was the answer that it can never be done.
+    /// Records that the item received events, which shows that no attempt was answered with an
+    /// error that repeats at every attempt.
     pub fn record_events(&mut self) {
         self.pending = 0;
     }
--- a/crates/foxtailhold/src/batch/cancel.rs
+++ b/crates/foxtailhold/src/batch/cancel.rs
@@ -1,9 +1,10 @@
-//! Cancelling a job.
+//! Cancellation of a job.
 //!
-//! First the job's row says `cancelling`, in a transaction that also checks the owner's row as it
-//! was read: from then on no chunk is committed, no claim runs items, and the only instance that
-//! may be running items is the owner found. Once that one says it has stopped, or its lease has
-//! run out, the status becomes `cancelled`; only then is the cancel acknowledged as such.
+//! The first transaction sets the job's status to `cancelling` and checks that the owner row has
+//! not changed since it was read. After it, no chunk can be committed, no claim starts items, and
+//! only the owner found in that row may still be running items. Once this owner has confirmed that
+//! it stopped, or its lease has expired, the status becomes `cancelled`. Only then is the
+//! cancellation reported as complete.
 
 use crate::batch::rows::{JobRow, JobStatus, OpenJobRow, OwnerRow};
 use crate::batch::transaction::{
@@ -11,31 +12,31 @@
 };
 use crate::ids::InstanceId;
 
-/// Marks a job as being cancelled.
+/// A transaction that sets the status of a job to `cancelling`.
 #[derive(Debug, Clone)]
 pub struct CancelTransaction {
-    marked: Versioned<JobRow>,
+    cancelling_job: Versioned<JobRow>,
     owner: Option<InstanceId>,
     transaction: Transaction,
 }
 
-/// What to do after a look at a job that a caller wants cancelled.
+/// Next step of a cancellation, planned from the rows of the job.
 #[derive(Debug, Clone)]
 pub enum CancelPlan {
-    /// The status is final: nothing to do.
+    /// The status of the job is final, so there is nothing to cancel.
     Final,
-    /// The mark is there: stop the owner, then finish.
+    /// The status is already `cancelling`: stop the owner, then write the final status.
     Cancelling(CancellingJob),
-    /// Send the mark.
+    /// The job is in progress: send this transaction.
     Begin(CancelTransaction),
 }
 
-/// A job whose cancel is committed.
+/// A job whose status `cancelling` is committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CancellingJob {
-    /// The job's row, `cancelling`.
+    /// The job row, with the status `cancelling`.
     pub job: Versioned<JobRow>,
-    /// The instance that may still run items of it.
+    /// The instance that may still run items of the job; `None` if no instance owns it.
     pub owner: Option<InstanceId>,
 }
 
@@ -45,8 +46,8 @@
 }
 
 impl CancelTransaction {
-    /// Plans from a look at the job. The owner's row must have been read after or together with
-    /// the job's row where that says `cancelling`.
+    /// Plans the next step from the rows that were read. If the job row says `cancelling`, the
+    /// owner row must have been read after it or in the same read.
     pub fn plan(job: Versioned<JobRow>, owner: Option<&Versioned<OwnerRow>>) -> CancelPlan {
         let running = running_owner(owner);
         match job.row.status {
@@ -77,27 +78,27 @@
             job: row.job.clone(),
             steps,
         };
-        let marked = Versioned {
+        let cancelling_job = Versioned {
             version: job.version + 1,
             row,
         };
         CancelPlan::Begin(CancelTransaction {
-            marked,
+            cancelling_job,
             owner: running,
             transaction,
         })
     }
 
-    /// The transaction to send.
+    /// The transaction to send to the table service.
     pub fn transaction(&self) -> &Transaction {
         &self.transaction
     }
 
-    /// The marked job, or `None` where the job has to be looked at again: it changed meanwhile, or
-    /// the answer was lost.
+    /// Returns the job, now `cancelling`, or `None` if its rows have to be read again because they
+    /// have changed or the response was lost.
     pub fn close(self, outcome: &TransactionOutcome) -> Option<CancellingJob> {
         (*outcome == TransactionOutcome::Committed).then_some(CancellingJob {
-            job: self.marked,
+            job: self.cancelling_job,
             owner: self.owner,
         })
     }
--- a/crates/foxtailhold/src/batch/chunk.rs
+++ b/crates/foxtailhold/src/batch/chunk.rs
@@ -1,4 +1,4 @@
-//! Committing the result of one attempt at a chunk.
+//! Commit of the result of one attempt at a chunk.
 
 use crate::batch::claim::OwnedJob;
 use crate::batch::rows::{ChunkRow, JobRow};
@@ -7,7 +7,8 @@
     Versioned,
 };
 
-/// Makes one result object the chunk's result, once.
+/// A transaction that records one result object as the result of a chunk. It takes effect at most
+/// once, however often it is sent.
 #[derive(Debug, Clone)]
 pub struct ChunkCommit {
     index: u32,
@@ -15,18 +16,20 @@
     transaction: Transaction,
 }
 
-/// What an outcome means.
+/// What the outcome of a [`ChunkCommit`] means for the chunk and its job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChunkCommitResult {
-    /// The chunk has this attempt's result.
+    /// The result of this attempt is the result of the chunk.
     Committed,
-    /// The chunk has another attempt's result.
+    /// Another attempt committed its result before; its row is given.
     AlreadyCommitted(ChunkRow),
-    /// The job's row has changed: cancelled or ended. Absent where the row is gone.
+    /// The job row has changed because the job was cancelled or has ended. Absent if the row is
+    /// gone.
     JobChanged(Option<Box<Versioned<JobRow>>>),
-    /// The job was taken over.
+    /// Another instance has taken over the job.
     OwnerChanged,
-    /// Nothing is known: the same transaction is sent again, which is harmless.
+    /// The outcome is unknown or the store was unavailable. Send the same transaction again; it
+    /// is idempotent.
     Resend,
 }
 
@@ -34,7 +37,8 @@
 const JOB_STEP: usize = 1;
 
 impl ChunkCommit {
-    /// A commit by the owner, on the version of the job's row that it last saw.
+    /// Creates the commit for the owner of the job, conditional on the version of the job row that
+    /// the owner last saw.
     pub fn new(owned: &OwnedJob, index: u32, chunk: ChunkRow) -> Self {
         let steps = vec![
             TransactionStep::new(Condition::Absent, RowChange::PutChunk(index, chunk.clone())),
@@ -56,23 +60,24 @@
         }
     }
 
-    /// Which chunk.
+    /// Index of the chunk in the job.
     pub fn index(&self) -> u32 {
         self.index
     }
 
-    /// The row to be committed.
+    /// The chunk row that the transaction writes.
     pub fn chunk(&self) -> &ChunkRow {
         &self.chunk
     }
 
-    /// The transaction to send.
+    /// The transaction to send to the table service.
     pub fn transaction(&self) -> &Transaction {
         &self.transaction
     }
 
-    /// Takes what became of the transaction. The chunk's row is checked first, so that a resend
-    /// after a lost answer finds its own result whatever else has changed since.
+    /// Interprets the outcome of the transaction. The chunk row is the first condition, so a resend
+    /// after a lost response recognizes its own result even if the job or owner row has changed
+    /// since.
     pub fn handle_outcome(&self, outcome: TransactionOutcome) -> ChunkCommitResult {
         match outcome {
             TransactionOutcome::Committed => ChunkCommitResult::Committed,
--- a/crates/foxtailhold/src/batch/claim.rs
+++ b/crates/foxtailhold/src/batch/claim.rs
@@ -1,8 +1,8 @@
-//! Taking over a job.
+//! Claim of a job by an instance, which becomes its owner.
 //!
-//! The claim is conditional on the versions of the job's row and the owner's row that were read,
-//! so that a lagging read costs a conflict, never a second owner. Where the owner's lease has run
-//! out, the same transaction marks that lease as ended.
+//! The claim is conditional on the versions of the job row and the owner row that were read. A
+//! stale read therefore leads to a conflict and never to two owners. If the lease of the previous
+//! owner has expired, the same transaction marks that lease as ended.
 
 use std::collections::HashMap;
 
@@ -15,45 +15,46 @@
 use crate::lease_row::LeaseRow;
 use crate::time::MonoMs;
 
-/// Leases of other instances as one instance sees them.
+/// Leases of other instances, as one instance has observed them.
 pub type WatchedLeases = HashMap<InstanceId, WatchedLease>;
 
-/// A job owned by an instance.
+/// A job with the versions and the fencing number under which an instance owns it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnedJob {
-    /// The job's row as the claim found it.
+    /// The job row as last read.
     pub row: JobRow,
-    /// Version of that row.
+    /// Version of the job row.
     pub job_version: u64,
-    /// Fencing number under which it is owned.
+    /// Epoch of the owner's lease, the fencing number of its commits.
     pub epoch: u64,
-    /// Version of the owner's row: each take-over raises it.
+    /// Version of the owner row; each claim raises it.
     pub owner_version: u64,
 }
 
-/// What one look at a job found.
+/// Rows read before a claim is planned.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimView {
-    /// The job's row.
+    /// The job row; `None` if there is none.
     pub job: Option<Versioned<JobRow>>,
-    /// The owner's row.
+    /// The owner row; `None` if the job has no owner yet.
     pub owner: Option<Versioned<OwnerRow>>,
-    /// The lease of the owner, where that is another instance.
+    /// The lease of the owner; read only if the owner is another instance.
     pub owner_lease: Option<Versioned<LeaseRow>>,
-    /// When the read of the lease was sent.
+    /// Time at which the read of the lease was sent.
     pub asked_at: MonoMs,
-    /// When its answer came.
+    /// Time at which the response to that read arrived.
     pub answered_at: MonoMs,
 }
 
-/// A claim ready to be sent.
+/// A planned claim, not sent yet.
 #[derive(Debug, Clone)]
 pub struct Claim {
     owned: OwnedJob,
     transaction: Transaction,
 }
 
-/// The owner whose lease has to be read before a claim can be planned.
+/// The owner whose lease has to be read before a claim can be planned; `None` if the job has no
+/// owner, was released or is owned by `me`.
 pub fn other_owner<'a>(
     me: &InstanceId,
     owner: Option<&'a Versioned<OwnerRow>>,
@@ -62,7 +63,7 @@
     (owner.holder != *me && !owner.released).then_some(&owner.holder)
 }
 
-/// Whether the owner may still act on its lease.
+/// Whether the owner may still act under its lease.
 enum OwnerLease {
     Held,
     Ended,
@@ -76,11 +77,11 @@
     if found.row.ended || found.row.epoch != owner.epoch {
         return OwnerLease::Ended;
     }
-    let seen = watched
+    let watched_lease = watched
         .entry(owner.holder.clone())
         .or_insert_with(|| WatchedLease::new(found.version, view.answered_at));
-    seen.observe(found.version, view.answered_at);
-    let Some(version) = seen.expired_version(view.asked_at) else {
+    watched_lease.observe(found.version, view.answered_at);
+    let Some(version) = watched_lease.expired_version(view.asked_at) else {
         return OwnerLease::Held;
     };
     let ended = LeaseRow {
@@ -91,8 +92,8 @@
 }
 
 impl Claim {
-    /// Plans the claim of a job by `me` under the fencing number `epoch`. `None` where the job has
-    /// ended or its owner may still act.
+    /// Plans the claim of a job by `me` with the fencing number `epoch`. Returns `None` if the job
+    /// has ended or its owner may still act.
     pub fn plan(
         me: &InstanceId,
         epoch: u64,
@@ -103,7 +104,7 @@
         if job.row.status.is_final() {
             return None;
         }
-        let next = OwnerRow {
+        let new_owner = OwnerRow {
             holder: me.clone(),
             epoch,
             released: false,
@@ -111,7 +112,7 @@
         let owner_condition = Condition::unchanged(view.owner.as_ref());
         let mut steps = vec![
             TransactionStep::new(Condition::Version(job.version), RowChange::CheckJob),
-            TransactionStep::new(owner_condition, RowChange::PutOwner(next)),
+            TransactionStep::new(owner_condition, RowChange::PutOwner(new_owner)),
         ];
         if other_owner(me, view.owner.as_ref()).is_some() {
             let owner = &view.owner.as_ref()?.row;
@@ -138,19 +139,21 @@
         Some(Claim { owned, transaction })
     }
 
-    /// The transaction to send, once.
+    /// The transaction to send to the table service, at most once.
     pub fn transaction(&self) -> &Transaction {
         &self.transaction
     }
 
-    /// The job, if it is owned now. After a lost answer it is not treated as owned: the next look
-    /// finds the own row and claims it again, which fences whatever the lost claim may still do.
+    /// Returns the job if the claim was committed. After a lost response the job is not treated as
+    /// owned: the next scan finds the owner row of this instance and claims the job again, which
+    /// fences anything that the earlier claim may still cause.
     pub fn close(self, outcome: &TransactionOutcome) -> Option<OwnedJob> {
         (*outcome == TransactionOutcome::Committed).then_some(self.owned)
     }
 }
 
-/// Gives a job up so that another instance may take it at once.
+/// The transaction by which the owner `me` releases a job, so that another instance may claim it
+/// without waiting for the lease to expire.
 pub fn release(owned: &OwnedJob, me: &InstanceId) -> Transaction {
     let row = OwnerRow {
         holder: me.clone(),
--- a/crates/foxtailhold/src/batch/deadline_check.rs
+++ b/crates/foxtailhold/src/batch/deadline_check.rs
@@ -1,7 +1,8 @@
-//! Whether a job that is offered can be finished by its deadline, by the rate measured here.
+//! Estimates whether a new job can finish by its deadline, from the measured rate of this instance.
 //!
-//! Only time in which items waited for a place all along counts for the rate: a job of three items
-//! says nothing of what the instance can do. Without a measured rate every job is taken.
+//! The rate is sampled only over periods in which items waited for a slot all the time, because a
+//! job of three items says nothing about the capacity of the instance. Without a measured rate
+//! every job is accepted.
 
 use std::collections::HashMap;
 
@@ -10,19 +11,19 @@
 use crate::ids::JobId;
 use crate::time::{MonoMs, WallMs};
 
-/// Time over which one sample of the rate is taken.
+/// Period of one sample of the rate.
 pub const SAMPLE_MS: u64 = 2_000;
-/// Weight of the newest sample.
-const NEWEST: f64 = 0.3;
+/// Weight of the newest sample in the moving average.
+const NEWEST_WEIGHT: f64 = 0.3;
 
-/// What a job still needs.
+/// Remaining work of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backlog {
-    /// When it must be finished.
+    /// Deadline of the job.
     pub deadline_wall_ms: u64,
-    /// Items without a result.
+    /// Number of items without a result.
     pub items_left: u64,
-    /// Whether some of them wait for a place.
+    /// Whether some of these items wait for a slot.
     pub waiting: bool,
 }
 
@@ -33,7 +34,7 @@
     saturated: bool,
 }
 
-/// The work of one instance and the rate at which it is done.
+/// Remaining work of the jobs on one instance and the rate at which it finishes items.
 #[derive(Debug, Clone, Default)]
 pub struct DeadlineEstimator {
     jobs: HashMap<JobId, Backlog>,
@@ -41,48 +42,49 @@
     items_per_s: Option<f64>,
 }
 
-/// Whether a job can be finished by its deadline.
+/// Estimate of whether a job can finish by its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeadlineCheck {
-    /// It can, as far as is known.
+    /// The job can finish in time, or no rate has been measured yet.
     #[serde(rename = "Lands")]
     Feasible,
-    /// It cannot.
+    /// The job would finish after its deadline.
     #[serde(rename = "CannotLand")]
     Infeasible {
-        /// Estimated time to finish.
+        /// Estimated time until the job would finish.
         needed_ms: u64,
-        /// When it could be taken; absent where it would be late even alone.
+        /// Time after which the job could be accepted; absent if it would be late even as the only
+        /// job.
         retry_after_ms: Option<u64>,
     },
 }
 
 impl DeadlineEstimator {
-    /// Notes what a job that runs here still needs.
+    /// Records the remaining work of a job that runs on this instance.
     pub fn update(&mut self, job: &JobId, backlog: Backlog, now: MonoMs) {
         self.jobs.insert(job.clone(), backlog);
-        self.roll(now);
+        self.update_rate(now);
     }
 
-    /// Notes that a job runs here no more.
+    /// Removes a job that no longer runs on this instance.
     pub fn remove(&mut self, job: &JobId, now: MonoMs) {
         self.jobs.remove(job);
-        self.roll(now);
+        self.update_rate(now);
     }
 
-    /// Notes items that ended.
+    /// Counts finished items towards the current sample.
     pub fn record_finished_items(&mut self, items: u64) {
         if let Some(sample) = &mut self.sample {
             sample.items += items;
         }
     }
 
-    /// The measured rate.
+    /// The measured rate; `None` before the first valid sample.
     pub fn items_per_s(&self) -> Option<f64> {
         self.items_per_s
     }
 
-    fn roll(&mut self, now: MonoMs) {
+    fn update_rate(&mut self, now: MonoMs) {
         let waiting = self.jobs.values().any(|backlog| backlog.waiting);
         let sample = self.sample.get_or_insert(Sample {
             since: now,
@@ -94,18 +96,18 @@
         if elapsed_ms < SAMPLE_MS {
             return;
         }
-        let ended = *sample;
+        let completed = *sample;
         *sample = Sample {
             since: now,
             items: 0,
             saturated: waiting,
         };
-        if !ended.saturated || ended.items == 0 {
+        if !completed.saturated || completed.items == 0 {
             return;
         }
-        let rate = ended.items as f64 * 1_000.0 / elapsed_ms as f64;
+        let rate = completed.items as f64 * 1_000.0 / elapsed_ms as f64;
         let mean = self.items_per_s.unwrap_or(rate);
-        self.items_per_s = Some(mean * (1.0 - NEWEST) + rate * NEWEST);
+        self.items_per_s = Some(mean * (1.0 - NEWEST_WEIGHT) + rate * NEWEST_WEIGHT);
     }
 
     fn needed_ms(&self, items: u64) -> Option<u64> {
@@ -113,8 +115,8 @@
         Some((items as f64 * 1_000.0 / rate).ceil() as u64)
     }
 
-    /// Judges a job of `items` that must be finished within `window_ms` from `now`. Jobs due before
-    /// it go first; of those not yet here, nothing is known.
+    /// Checks whether a job of `items` items can finish within `window_ms` from `now`. The jobs on
+    /// this instance that are due no later are served first; later arrivals are not considered.
     pub fn check(&self, items: u64, window_ms: u64, now: WallMs) -> DeadlineCheck {
         let deadline_wall_ms = now.0.saturating_add(window_ms);
         let earlier = self.jobs.values();
--- a/crates/foxtailhold/src/batch/execution.rs
+++ b/crates/foxtailhold/src/batch/execution.rs
@@ -1,4 +1,4 @@
-//! The run of one owned job: which chunk starts next, and when the job ends.
+//! Execution of one owned job: decides which chunk starts next and when the job ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,82 +11,86 @@
 use crate::lease::LeaseState;
 use crate::time::WallMs;
 
-/// How far a started chunk has come.
+/// Progress of a started chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
-    /// Some of its items have not been started.
-    Items,
-    /// All its items run or have ended.
-    Drained,
-    /// Its result object is stored and its transaction may be on its way.
-    Commit,
+enum ChunkStage {
+    /// Some items have not been started.
+    StartingItems,
+    /// All items run or have ended.
+    AllItemsStarted,
+    /// The result object is stored and the commit may have been sent.
+    Committing,
 }
 
-/// Why a run ended.
+/// Reason why the execution of a job on this instance ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionEnd {
-    /// The job has its final status.
+    /// The job has reached its final status.
     Finished,
-    /// Another instance owns it, or the row is gone.
+    /// Another instance owns the job, or the job row is gone.
     Lost,
 }
 
-/// What to do next.
+/// Next step of an execution.
 #[derive(Debug, Clone)]
 pub enum ExecutionStep {
-    /// Start the chunk with this index.
+    /// Start the items of the chunk with this index.
     StartChunk(u32),
-    /// Drop every attempt whose items still run; no item of it may start.
+    /// Stop the items of these chunks and drop their results; no further item of them may start.
     StopChunks(Vec<u32>),
-    /// Write the final status.
+    /// Send the transaction that writes the final status.
     Finish(Box<FinishTransaction>),
-    /// Wait for a chunk to end, for the lease, or for the deadline.
+    /// Wait until a chunk ends, the lease changes or the deadline passes.
     Wait,
-    /// Drop everything: the run is over.
+    /// The execution is over: drop all work for the job.
     End(ExecutionEnd),
 }
 
-/// One owned job in its run.
+/// State of the execution of one owned job.
 #[derive(Debug, Clone)]
 pub struct JobExecution {
     owned: OwnedJob,
     counts: JobCounts,
-    todo: BTreeSet<u32>,
-    started: BTreeMap<u32, Stage>,
+    not_started: BTreeSet<u32>,
+    started: BTreeMap<u32, ChunkStage>,
     finishing: bool,
     end: Option<ExecutionEnd>,
 }
 
 impl JobExecution {
-    /// A run of a job just claimed, from the chunk rows read after the claim.
+    /// Starts the execution of a newly claimed job. `finished` holds the chunk rows read after the
+    /// claim.
     pub fn new(owned: OwnedJob, finished: &[(u32, ChunkRow)]) -> Self {
-        let mut todo: BTreeSet<u32> = (0..owned.row.chunks).collect();
+        let mut not_started: BTreeSet<u32> = (0..owned.row.chunks).collect();
         let mut counts = JobCounts::default();
         for (index, chunk) in finished {
-            if todo.remove(index) {
+            if not_started.remove(index) {
                 counts.add(chunk);
             }
         }
         JobExecution {
             owned,
             counts,
-            todo,
+            not_started,
             started: BTreeMap::new(),
             finishing: false,
             end: None,
         }
     }
 
-    /// The job as this run knows it.
+    /// The job row and versions as this execution last saw them.
     pub fn owned(&self) -> &OwnedJob {
         &self.owned
     }
 
-    /// What the job still needs, for the judgement of jobs offered.
+    /// Remaining work of the job, for the deadline check of new jobs.
     pub fn backlog(&self, lease_state: LeaseState) -> Backlog {
         let done = self.counts.completed + self.counts.failed;
-        let unstarted = self.started.values().any(|stage| *stage == Stage::Items);
-        let waiting = unstarted || !self.todo.is_empty();
+        let has_starting_chunk = self
+            .started
+            .values()
+            .any(|stage| *stage == ChunkStage::StartingItems);
+        let waiting = has_starting_chunk || !self.not_started.is_empty();
         Backlog {
             deadline_wall_ms: self.owned.row.deadline_wall_ms,
             items_left: self.owned.row.items.saturating_sub(done),
@@ -94,17 +98,17 @@
         }
     }
 
-    /// Chunks without a result.
+    /// Number of chunks without a committed result.
     pub fn chunks_left(&self) -> usize {
-        self.todo.len() + self.started.len()
+        self.not_started.len() + self.started.len()
     }
 
-    /// Whether an item of the job may start.
+    /// Whether an item of the job may start now.
     pub fn may_start_items(&self, now: WallMs, lease_state: LeaseState) -> bool {
         self.end.is_none() && lease_state == LeaseState::Held && self.status_due(now).is_none()
     }
 
-    /// The final status that the job has to be given now.
+    /// The final status that has to be written now, if any.
     fn status_due(&self, now: WallMs) -> Option<JobStatus> {
         if self.owned.row.status == JobStatus::Cancelling {
             return Some(JobStatus::Cancelled);
@@ -115,27 +119,36 @@
         (now.0 > self.owned.row.deadline_wall_ms).then_some(JobStatus::Expired)
     }
 
-    /// Whether a chunk should be started now: one is left, and every item of the started ones has
-    /// been started. So chunks end one after the other, and an owner that dies loses few of them.
+    /// Whether another chunk should start now: one is left, and all items of the started chunks
+    /// have been started. Chunks therefore end one after the other, and an owner that crashes loses
+    /// the work of few of them.
     pub fn wants_chunk_slot(&self, now: WallMs, lease_state: LeaseState) -> bool {
-        let waiting = self.started.values().any(|stage| *stage == Stage::Items);
-        !waiting && !self.todo.is_empty() && self.may_start_items(now, lease_state)
+        let waiting = self
+            .started
+            .values()
+            .any(|stage| *stage == ChunkStage::StartingItems);
+        !waiting && !self.not_started.is_empty() && self.may_start_items(now, lease_state)
     }
 
-    /// Notes that all items of a chunk were started.
+    /// Records that all items of a chunk have been started.
     pub fn all_items_started(&mut self, index: u32) {
         if let Some(stage) = self.started.get_mut(&index)
-            && *stage == Stage::Items
+            && *stage == ChunkStage::StartingItems
         {
-            *stage = Stage::Drained;
+            *stage = ChunkStage::AllItemsStarted;
         }
     }
 
-    /// Decides the next step. `room` says whether another chunk may be started.
+    /// Decides the next step. `slot_available` says whether another chunk may start.
     ///
-    /// While the lease has lapsed nothing is started and nothing dropped: results of items that
-    /// ended are kept for when it comes back.
-    pub fn step(&mut self, now: WallMs, lease_state: LeaseState, room: bool) -> ExecutionStep {
+    /// While the lease has lapsed, no chunk starts and none is dropped, so that the results of
+    /// finished items can be committed once the lease is renewed.
+    pub fn step(
+        &mut self,
+        now: WallMs,
+        lease_state: LeaseState,
+        slot_available: bool,
+    ) -> ExecutionStep {
         if let Some(end) = self.end {
             return ExecutionStep::End(end);
         }
@@ -144,22 +157,27 @@
             return ExecutionStep::End(ExecutionEnd::Lost);
         }
         if let Some(status) = self.status_due(now) {
-            return self.step_towards(status, now);
+            return self.finish_step(status, now);
         }
-        if !room || !self.wants_chunk_slot(now, lease_state) {
+        if !slot_available || !self.wants_chunk_slot(now, lease_state) {
             return ExecutionStep::Wait;
         }
-        let Some(index) = self.todo.pop_first() else {
+        let Some(index) = self.not_started.pop_first() else {
             return ExecutionStep::Wait;
         };
-        self.started.insert(index, Stage::Items);
+        self.started.insert(index, ChunkStage::StartingItems);
         ExecutionStep::StartChunk(index)
     }
 
-    /// A commit on its way may still take effect until its fate is known, unless a cancel fences
-    /// it, and the counts of the final row must not miss it.
-    fn step_towards(&mut self, status: JobStatus, now: WallMs) -> ExecutionStep {
-        if self.started.values().any(|stage| *stage != Stage::Commit) {
+    /// Stops items and then writes the final status. A commit in flight may still take effect until
+    /// its outcome is known, unless a cancellation fences it. The final status waits for it,
+    /// because the counts in the final row have to include it.
+    fn finish_step(&mut self, status: JobStatus, now: WallMs) -> ExecutionStep {
+        if self
+            .started
+            .values()
+            .any(|stage| *stage != ChunkStage::Committing)
+        {
             return self.stop_items();
         }
         if self.finishing || !self.started.is_empty() {
@@ -173,7 +191,7 @@
     fn stop_items(&mut self) -> ExecutionStep {
         let mut stopped = Vec::new();
         for (index, stage) in &self.started {
-            if *stage != Stage::Commit {
+            if *stage != ChunkStage::Committing {
                 stopped.push(*index);
             }
         }
@@ -182,26 +200,26 @@
         }
         for index in &stopped {
             self.started.remove(index);
-            self.todo.insert(*index);
+            self.not_started.insert(*index);
         }
         ExecutionStep::StopChunks(stopped)
     }
 
-    /// Notes that all items of a chunk ended and its commit is about to be sent.
+    /// Records that all items of a chunk have ended and that its commit is about to be sent.
     pub fn commit_started(&mut self, index: u32) {
         if let Some(stage) = self.started.get_mut(&index) {
-            *stage = Stage::Commit;
+            *stage = ChunkStage::Committing;
         }
     }
 
-    /// Takes the end of a chunk's commit; [`ChunkCommitResult::Resend`] changes nothing.
+    /// Processes the result of a chunk's commit; [`ChunkCommitResult::Resend`] changes nothing.
     pub fn commit_ended(&mut self, index: u32, chunk: &ChunkRow, step: ChunkCommitResult) {
         match step {
             ChunkCommitResult::Resend => return,
             ChunkCommitResult::Committed => self.counts.add(chunk),
             ChunkCommitResult::AlreadyCommitted(found) => self.counts.add(&found),
             ChunkCommitResult::JobChanged(found) => {
-                self.todo.insert(index);
+                self.not_started.insert(index);
                 self.job_changed(found);
             }
             ChunkCommitResult::OwnerChanged => self.end = Some(ExecutionEnd::Lost),
@@ -209,7 +227,8 @@
         self.started.remove(&index);
     }
 
-    /// Takes the end of the final write; [`FinishResult::Resend`] changes nothing.
+    /// Processes the result of the write of the final status; [`FinishResult::Resend`] changes
+    /// nothing.
     pub fn finish_ended(&mut self, step: FinishResult) {
         match step {
             FinishResult::Resend => return,
--- a/crates/foxtailhold/src/batch/finish.rs
+++ b/crates/foxtailhold/src/batch/finish.rs
@@ -1,4 +1,4 @@
-//! Giving a job its final status.
+//! Writing the final status of a job.
 
 use crate::batch::claim::OwnedJob;
 use crate::batch::rows::{JobCounts, JobRow, JobStatus};
@@ -9,23 +9,24 @@
 };
 use crate::time::WallMs;
 
-/// Writes the final status with the counts of all chunks, once.
+/// A transaction that writes the final status and the counts of all chunks, at most once.
 #[derive(Debug, Clone)]
 pub struct FinishTransaction {
     ended: JobRow,
     transaction: Transaction,
 }
 
-/// What an outcome means.
+/// What the outcome of a [`FinishTransaction`] means for the job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FinishResult {
-    /// The job has this final status, by this transaction or one with the same content.
+    /// The job has this final status, written by this transaction or by one with the same content.
     Ended,
-    /// The job's row has changed; absent where it is gone.
+    /// The job row has changed. Absent if the row is gone.
     JobChanged(Option<Box<Versioned<JobRow>>>),
-    /// The job was taken over.
+    /// Another instance has taken over the job.
     OwnerChanged,
-    /// Nothing is known: the same transaction is sent again, which is harmless.
+    /// The outcome is unknown or the store was unavailable. Send the same transaction again; it
+    /// is idempotent.
     Resend,
 }
 
@@ -66,7 +67,7 @@
         FinishTransaction { ended, transaction }
     }
 
-    /// By the owner of the job.
+    /// Final status written by the owner of the job.
     pub fn by_owner(owned: &OwnedJob, status: JobStatus, counts: JobCounts, now: WallMs) -> Self {
         let job = Versioned {
             version: owned.job_version,
@@ -76,23 +77,24 @@
         FinishTransaction::new(&job, owner, status, counts, now)
     }
 
-    /// Of a job whose cancel is committed and whose owner, if any, has stopped it. From the cancel
-    /// on no chunk can be committed, so `counts` may be read at any time after it.
+    /// Final status of a job that is `cancelling` and that its owner, if any, has stopped. No chunk
+    /// can be committed once the job is `cancelling`, so `counts` may be read at any time after
+    /// that.
     pub fn cancelled(job: &Versioned<JobRow>, counts: JobCounts, now: WallMs) -> Self {
         FinishTransaction::new(job, Condition::Any, JobStatus::Cancelled, counts, now)
     }
 
-    /// The job's row as it will be.
+    /// The job row that the transaction writes.
     pub fn ended(&self) -> &JobRow {
         &self.ended
     }
 
-    /// The transaction to send.
+    /// The transaction to send to the table service.
     pub fn transaction(&self) -> &Transaction {
         &self.transaction
     }
 
-    /// Takes what became of the transaction.
+    /// Interprets the outcome of the transaction.
     pub fn handle_outcome(&self, outcome: TransactionOutcome) -> FinishResult {
         match outcome {
             TransactionOutcome::Committed => FinishResult::Ended,
--- a/crates/foxtailhold/src/batch/mod.rs
+++ b/crates/foxtailhold/src/batch/mod.rs
@@ -1,11 +1,13 @@
-//! Batch jobs: rows, items and the rule that each chunk is committed once.
+//! Batch jobs: table rows, input and output lines, and exactly-once commits of chunk results.
 //!
-//! A job's input is stored in parts cut at line ends; a chunk is one part. Each chunk's result
-//! object gets a name unique to the attempt, and one transaction makes it the chunk's result:
-//! the chunk row is absent, the job row says `in_progress`, the owner row is the owner's own.
+//! A job's input is stored in parts that end at line ends, and each part is one chunk. Every
+//! attempt at a chunk writes its result object under a name of its own. One transaction then makes
+//! that object the chunk's result, on condition that the chunk row is absent, that the job row says
+//! `in_progress` and that the owner row has not changed since the claim.
 //!
-//! [`claim`], [`execution`], [`chunk`], [`finish`] and [`cancel`] are the machines; [`transaction`] holds what
-//! they ask of the table service and [`registry`] what runs on one instance.
+//! [`claim`], [`execution`], [`chunk`], [`finish`] and [`cancel`] are state machines without I/O.
+//! [`transaction`] defines the transactions that they produce for the table service, and
+//! [`registry`] tracks which jobs run on one instance.
 
 pub mod cancel;
 pub mod chunk;
@@ -25,153 +27,154 @@
 
 pub use rows::{ChunkRow, JobCounts, JobRow, JobStatus, OpenJobRow, OwnerRow};
 
-/// Most items in one chunk.
+/// Maximum number of items in one chunk.
 pub const MAX_CHUNK_ITEMS: usize = 200;
-/// Most input bytes in one chunk.
+/// Input size at which a chunk is closed; its last line may exceed it.
 pub const MAX_CHUNK_BYTES: usize = 1 << 20;
-/// Most items in one job.
+/// Maximum number of items in one job.
 pub const MAX_JOB_ITEMS: u64 = 200_000;
-/// Tries of one item on different backend servers before it ends as failed.
+/// Attempts at one item, each on a different backend server, before it ends as failed.
 pub const MAX_ITEM_ATTEMPTS: u32 = 4;
 
-/// Result of checking batch input.
+/// Result of validating a line of the batch input.
 pub type Result<T> = std::result::Result<T, BatchError>;
 
-/// Why input is refused.
+/// Reason for rejecting the input file of a batch job.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BatchError {
-    /// A line is not a JSON object of the batch form.
+    /// A line is not a valid batch item.
     #[error("line {line}: {detail}")]
     BadLine {
-        /// Line, from 1.
+        /// Line number in the input file, from 1.
         line: u64,
-        /// What is wrong.
+        /// Description of the first problem found in the line.
         detail: String,
     },
-    /// Two lines have the same `custom_id`.
+    /// A `custom_id` is used by two lines.
     #[error("line {line}: custom_id {custom_id:?} stands on an earlier line too")]
     DuplicateId {
-        /// Line, from 1.
+        /// Line number in the input file, from 1.
         line: u64,
-        /// The identifier.
+        /// The repeated `custom_id`.
         custom_id: String,
     },
-    /// More than [`MAX_JOB_ITEMS`].
+    /// The file has more than [`MAX_JOB_ITEMS`] items.
     #[error("a job may have at most {MAX_JOB_ITEMS} items")]
     TooManyItems,
-    /// No line at all.
+    /// The file has no line that is not blank.
     #[error("the input file has no items")]
     Empty,
 }
 
-/// A file's row.
+/// Table row with the metadata of an uploaded or generated file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileRow {
-    /// Name given by the caller.
+    /// File name from the upload request.
     pub filename: String,
-    /// Purpose given by the caller.
+    /// `purpose` from the upload request.
     pub purpose: String,
-    /// Size.
+    /// Size of the file.
     pub bytes: u64,
-    /// When it was made.
+    /// Time at which the file was created.
     pub created_wall_ms: u64,
-    /// Lines that are not blank, for each part.
+    /// Number of lines that are not blank, for each stored part.
     pub part_lines: Vec<u32>,
 }
 
-/// One line of the input.
+/// One request of a batch job, as one line of the input file states it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct BatchItem {
-    /// The caller's identifier of the item.
+    /// Identifier of the item, chosen by the caller and unique within the job.
     pub custom_id: String,
-    /// HTTP method, always `POST`.
+    /// HTTP method; only `POST` is accepted.
     pub method: String,
-    /// The endpoint.
+    /// Request path; must equal the endpoint of the job.
     pub url: String,
-    /// The request's body, passed through.
+    /// Request body, forwarded to the engine without changes.
     pub body: Box<RawValue>,
 }
 
 impl BatchItem {
-    /// Reads and checks line number `line`.
+    /// Parses and validates the line with the number `line`, from 1.
     pub fn from_line(text: &str, line: u64, endpoint: &str) -> Result<Self> {
         let item: BatchItem = serde_json::from_str(text).map_err(|error| BatchError::BadLine {
             line,
             detail: error.to_string(),
         })?;
-        let bad = |detail: String| Err(BatchError::BadLine { line, detail });
+        let invalid = |detail: String| Err(BatchError::BadLine { line, detail });
         if item.custom_id.is_empty() {
-            return bad("custom_id is empty".into());
+            return invalid("custom_id is empty".into());
         }
         if item.method != "POST" {
-            return bad(format!("method is {:?}, it must be \"POST\"", item.method));
+            return invalid(format!("method is {:?}, it must be \"POST\"", item.method));
         }
         if item.url != endpoint {
-            return bad(format!(
+            return invalid(format!(
                 "url is {:?}, the batch's endpoint is {endpoint:?}",
                 item.url
             ));
         }
         if !item.body.get().starts_with('{') {
-            return bad("body is not an object".into());
+            return invalid("body is not an object".into());
         }
         Ok(item)
     }
 }
 
-/// One line of the output: the answer of one item, or its error.
+/// One line of the output file: the response to one item, or its error.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// Identifier of the result.
+    /// Identifier of this output line.
     pub id: String,
-    /// The caller's identifier of the item.
+    /// Identifier of the item, chosen by the caller and unique within the job.
     pub custom_id: String,
-    /// The answer, absent where the item failed.
+    /// The response; absent if the item failed.
     pub response: Option<ItemResponse>,
-    /// The error, absent where the item was answered.
+    /// The error; absent if the item got a response.
     pub error: Option<ItemError>,
 }
 
-/// An item's answer.
+/// Response to one item.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ItemResponse {
-    /// HTTP status.
+    /// HTTP status of the engine's response.
     pub status_code: u16,
-    /// The engine's request.
+    /// Identifier under which the engine served the request.
     pub request_id: String,
-    /// The body as the engine gave it.
+    /// Response body, as received from the engine.
     pub body: Box<RawValue>,
 }
 
-/// Why an item failed.
+/// Error of one failed item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemError {
-    /// A stable code.
+    /// Error code that does not change between releases.
     pub code: String,
-    /// A sentence.
+    /// Description of the error for people.
     pub message: String,
 }
 
-/// Cuts a file into parts at line ends.
+/// Splits an uploaded file at line ends into parts of at most [`MAX_CHUNK_ITEMS`] lines, each
+/// closed once it reaches [`MAX_CHUNK_BYTES`].
 #[derive(Debug, Default)]
 pub struct PartSplitter {
     pending: Vec<u8>,
     lines: usize,
 }
 
-/// One part of a file.
+/// A part of a file that consists of whole lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FilePart {
-    /// Whole lines.
+    /// Content, up to and including the end of the last line.
     pub bytes: Vec<u8>,
-    /// How many lines that are not blank.
+    /// Number of lines that are not blank.
     pub lines: usize,
 }
 
 impl PartSplitter {
-    /// Takes the next bytes and returns the parts that became full.
+    /// Appends bytes of the file and returns the parts that they completed.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<FilePart> {
-        let mut full = Vec::new();
+        let mut completed = Vec::new();
         for line in bytes.split_inclusive(|byte| *byte == b'\n') {
             self.pending.extend_from_slice(line);
             if !line.ends_with(b"\n") {
@@ -179,18 +182,18 @@
             }
             self.lines += 1;
             if self.lines >= MAX_CHUNK_ITEMS || self.pending.len() >= MAX_CHUNK_BYTES {
-                full.extend(self.take());
+                completed.extend(self.take_part());
             }
         }
-        full
+        completed
     }
 
-    /// The last part, if anything is left.
+    /// Returns the last part, or `None` if no bytes are left.
     pub fn finish(mut self) -> Option<FilePart> {
-        self.take()
+        self.take_part()
     }
 
-    fn take(&mut self) -> Option<FilePart> {
+    fn take_part(&mut self) -> Option<FilePart> {
         let bytes = std::mem::take(&mut self.pending);
         self.lines = 0;
         if bytes.is_empty() {
--- a/crates/foxtailhold/src/batch/rows.rs
+++ b/crates/foxtailhold/src/batch/rows.rs
@@ -1,32 +1,32 @@
-//! Rows of batch jobs in the table service.
+//! Rows of batch jobs in the table service, stored as JSON.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{CustomerId, FileId, InstanceId, JobId};
 
-/// Where a job stands. Names are those of the OpenAI batch object.
+/// Status of a job. The names are those of the OpenAI batch object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
-    /// Accepted; its items run.
+    /// The job was accepted and its items run or wait.
     InProgress,
-    /// A cancel is committed; items in flight are being stopped.
+    /// A cancellation is committed and items in flight are being stopped.
     Cancelling,
-    /// Stopped by a cancel.
+    /// The job was cancelled and none of its items runs any more.
     Cancelled,
-    /// Every item has its result.
+    /// Every item has a result or an error.
     Completed,
-    /// Its deadline passed; results so far stay readable.
+    /// The deadline passed before all chunks were committed. Their results stay readable.
     Expired,
 }
 
 impl JobStatus {
-    /// Whether it never changes again.
+    /// Whether the status can no longer change.
     pub fn is_final(self) -> bool {
         !matches!(self, JobStatus::InProgress | JobStatus::Cancelling)
     }
 
-    /// The text in the batch object.
+    /// The value of `status` in the batch object.
     pub fn as_str(self) -> &'static str {
         match self {
             JobStatus::InProgress => "in_progress",
@@ -38,78 +38,80 @@
     }
 }
 
-/// The job's row.
+/// Row of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// Whose.
+    /// The customer that offered the job.
     pub customer: CustomerId,
-    /// Digest of the request's body, to tell a resend from another request under the same key.
+    /// Digest of the request body, which tells a resend from a different request with the same
+    /// idempotency key.
     pub digest: String,
-    /// The input file.
+    /// File with the input lines.
     pub input_file: FileId,
-    /// The endpoint of every item, `/v1/chat/completions` or `/v1/completions`.
+    /// Endpoint of every item, `/v1/chat/completions` or `/v1/completions`.
     pub endpoint: String,
-    /// Chunks, one for each part of the input.
+    /// Number of chunks, one for each part of the input file.
     pub chunks: u32,
-    /// Items in all chunks.
+    /// Number of items in all chunks.
     pub items: u64,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub created_wall_ms: u64,
-    /// When it must be finished.
+    /// Deadline of the job.
     pub deadline_wall_ms: u64,
-    /// Where it stands.
+    /// Current status.
     pub status: JobStatus,
-    /// When the status became final.
+    /// Time at which the status became final; absent until then.
     pub ended_wall_ms: Option<u64>,
-    /// Counts of all finished chunks, once the status is final.
+    /// Counts of all committed chunks; absent until the status is final.
     #[serde(default)]
     pub counts: Option<JobCounts>,
-    /// The caller's metadata, kept as given.
+    /// Metadata from the caller, stored unchanged.
     #[serde(default)]
     pub metadata: serde_json::Value,
 }
 
-/// Which instance runs the job.
+/// Row that names the instance that owns a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRow {
-    /// The instance.
+    /// The owner, or the last owner if the job was released.
     pub holder: InstanceId,
-    /// The holder's lease epoch, the fencing number of its commits.
+    /// Epoch of the owner's lease, the fencing number of its commits.
     pub epoch: u64,
-    /// Set when the holder gave the job up: another instance may take it at once. The row stays,
-    /// so that its version goes on rising and fences commits still on their way.
+    /// Set when the owner released the job, so that another instance may claim it at once. The row
+    /// is kept, because its version has to go on rising to fence delayed commits.
     #[serde(default)]
     pub released: bool,
 }
 
-/// A job that is not finished, as the periodic scan reads it.
+/// Row of a job that has not ended, read by the periodic scan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenJobRow {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// Items in all chunks.
+    /// Number of items in all chunks.
     pub items: u64,
-    /// When it must be finished.
+    /// Deadline of the job.
     pub deadline_wall_ms: u64,
-    /// Whether a cancel is committed; tells an owner whom no peer message reaches.
+    /// Whether a cancellation is committed. The scan tells it to an owner that the peer message did
+    /// not reach.
     pub cancelling: bool,
 }
 
-/// What the finished chunks of a job hold together.
+/// Sums over the committed chunks of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobCounts {
-    /// Items with a result.
+    /// Number of items with a response.
     pub completed: u64,
-    /// Items that ended as failed.
+    /// Number of items that ended with an error.
     pub failed: u64,
-    /// Size of all result objects.
+    /// Total size of the result objects.
     pub bytes: u64,
 }
 
 impl JobCounts {
-    /// Adds one finished chunk.
+    /// Adds the counts of one committed chunk.
     pub fn add(&mut self, chunk: &ChunkRow) {
         self.completed += chunk.completed;
         self.failed += chunk.failed;
@@ -117,21 +119,21 @@
     }
 }
 
-/// A finished chunk.
+/// Row of a committed chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRow {
-    /// Name of the result object.
+    /// Name of the result object in the object store.
     pub object: String,
-    /// Items with a result.
+    /// Number of items with a response.
     pub completed: u64,
-    /// Items that ended as failed.
+    /// Number of items that ended with an error.
     pub failed: u64,
     /// Size of the result object.
     pub bytes: u64,
 }
 
 impl OpenJobRow {
-    /// The row of a job that was just accepted.
+    /// Creates the row of a newly accepted job.
     pub fn accepted(row: &JobRow) -> Self {
         OpenJobRow {
             job: row.job.clone(),
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The row of a job whose cancel is committed.
+    /// Creates the row of a job that is `cancelling`.
     pub fn cancelling(row: &JobRow) -> Self {
         OpenJobRow {
             cancelling: true,
--- a/crates/foxtailhold/src/batch/sweep.rs
+++ b/crates/foxtailhold/src/batch/sweep.rs
@@ -1,8 +1,9 @@
-//! Result objects that no chunk row names: left by attempts that were lost before their commit.
+//! Finds orphaned result objects, which no chunk row refers to because their attempt was lost
+//! before its commit.
 //!
-//! A job's end writes a sweep row in the same transaction. From the end on no chunk row can be
-//! added, so an object not named then never will be; the delay lets writes still on their way
-//! arrive first.
+//! The transaction that ends a job also writes its sweep row. No chunk row can be added after it,
+//! so an object without a reference stays without one. The sweep is delayed so that object writes
+//! still in flight arrive before it.
 
 use std::collections::HashSet;
 
@@ -12,23 +13,23 @@
 use crate::ids::JobId;
 use crate::time::WallMs;
 
-/// A job whose result objects have to be looked through.
+/// Row of an ended job whose result objects still have to be swept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SweepRow {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// When it ended.
+    /// Time at which the job ended.
     pub ended_wall_ms: u64,
 }
 
 impl SweepRow {
-    /// Whether the job ended more than `after_ms` ago.
+    /// Whether the job ended at least `after_ms` ago.
     pub fn is_due(&self, after_ms: u64, now: WallMs) -> bool {
         now.0 >= self.ended_wall_ms.saturating_add(after_ms)
     }
 }
 
-/// The listed objects that no chunk row names.
+/// Returns the listed objects that no chunk row refers to.
 pub fn orphans<'a>(listed: &'a [String], chunks: &[(u32, ChunkRow)]) -> Vec<&'a str> {
     let named: HashSet<&str> = chunks.iter().map(|(_, row)| row.object.as_str()).collect();
     let mut found = Vec::new();
--- a/crates/foxtailhold/src/batch/transaction.rs
+++ b/crates/foxtailhold/src/batch/transaction.rs
@@ -1,119 +1,120 @@
-//! Typed transactions on the rows of one batch job, and what becomes of them.
+//! Typed transactions on the rows of one batch job, and their outcomes.
 //!
-//! The machines of this folder yield a [`Transaction`]; the caller sends it to the table service
-//! and feeds the [`TransactionOutcome`] back. Nothing here knows names of tables or keys.
+//! The state machines of this folder produce a [`Transaction`]. The caller sends it to the table
+//! service and passes the [`TransactionOutcome`] back. The names of tables and keys are defined by
+//! the caller.
 
 use crate::batch::rows::{ChunkRow, JobRow, OpenJobRow, OwnerRow};
 use crate::batch::sweep::SweepRow;
 use crate::ids::{CustomerId, InstanceId, JobId};
 use crate::lease_row::LeaseRow;
 
-/// A row with the version that the table service raises at each write.
+/// A row with its version, which the table service raises with each write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// Version, from 1.
+    /// Version of the row, from 1.
     pub version: u64,
-    /// The content.
+    /// Content of the row.
     pub row: T,
 }
 
-/// What a step expects of its row.
+/// Precondition of a step on the row that it changes or checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// Anything.
+    /// No precondition.
     Any,
-    /// No row.
+    /// The row does not exist.
     Absent,
-    /// Exactly this version.
+    /// The row has exactly this version.
     Version(u64),
 }
 
 impl Condition {
-    /// The row as it was read.
+    /// The condition that the row is as it was read; `None` stands for an absent row.
     pub fn unchanged<T>(found: Option<&Versioned<T>>) -> Self {
         found.map_or(Condition::Absent, |found| Condition::Version(found.version))
     }
 }
 
-/// What a step does to its row.
+/// Change that a step makes to its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowChange {
-    /// Only checks the job's row.
+    /// Checks the job row without changing it.
     CheckJob,
-    /// Writes the job's row.
+    /// Writes the job row.
     PutJob(JobRow),
-    /// Writes the row in the list of open jobs.
+    /// Writes the row of the job in the list of open jobs.
     PutOpen(OpenJobRow),
-    /// Takes the job off the list of open jobs.
+    /// Deletes the row of the job in the list of open jobs.
     DeleteOpen,
-    /// Only checks the owner's row.
+    /// Checks the owner row without changing it.
     CheckOwner,
-    /// Writes the owner's row.
+    /// Writes the owner row.
     PutOwner(OwnerRow),
-    /// Deletes the owner's row.
+    /// Deletes the owner row.
     DeleteOwner,
     /// Writes the row of the chunk with this index.
     PutChunk(u32, ChunkRow),
-    /// Writes the row that has the job's result objects looked through later.
+    /// Writes the row that schedules the sweep of the job's result objects.
     PutSweep(SweepRow),
-    /// Writes the lease's row of an instance.
+    /// Writes the lease row of an instance.
     PutLease(InstanceId, LeaseRow),
 }
 
-/// One step of a transaction.
+/// One conditional change of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransactionStep {
-    /// What must hold.
+    /// Precondition on the row.
     pub condition: Condition,
-    /// What is done.
+    /// Change to the row, made if the preconditions of all steps hold.
     pub change: RowChange,
 }
 
 impl TransactionStep {
-    /// A step.
+    /// Creates a step.
     pub fn new(condition: Condition, change: RowChange) -> Self {
         TransactionStep { condition, change }
     }
 }
 
-/// Steps on the rows of one job; all take effect or none.
+/// Steps on the rows of one job, of which either all take effect or none.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transaction {
-    /// Whose job.
+    /// Customer of the job.
     pub customer: CustomerId,
-    /// The job.
+    /// Job whose rows are changed.
     pub job: JobId,
-    /// The steps.
+    /// The steps, checked in this order.
     pub steps: Vec<TransactionStep>,
 }
 
-/// A row found where a condition failed.
+/// The row that did not meet the condition of a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConflictingRow {
-    /// No row.
+    /// The row does not exist.
     None,
-    /// The job's row.
+    /// The job row.
     Job(Box<Versioned<JobRow>>),
-    /// A chunk's row.
+    /// A chunk row.
     Chunk(ChunkRow),
-    /// A row of another kind.
+    /// A row of any other kind.
     Other,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// All steps took effect.
+    /// All changes took effect.
     Committed,
-    /// None took effect.
+    /// No change took effect, because a condition failed.
     Conflict {
-        /// The first step whose condition failed.
+        /// Index of the first step whose condition failed.
         step: usize,
-        /// The row it found.
+        /// The row that this step found.
         found: ConflictingRow,
     },
-    /// It had no effect and will have none.
+    /// The transaction had no effect and will have none.
     Unavailable,
-    /// The answer was lost: it took effect, or did not, or still may.
+    /// The response was lost: the transaction may have taken effect, or may still.
     Unknown,
 }
--- a/crates/foxtailhold/src/lease_row.rs
+++ b/crates/foxtailhold/src/lease_row.rs
@@ -1,18 +1,19 @@
-//! An instance's lease as the platform's table keeps it.
+//! The stored form of a lease in the platform's table service.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::InstanceId;
 
-/// The row's content.
+/// Row of a lease, stored as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds it.
+    /// The instance that holds the lease.
     pub holder: InstanceId,
-    /// Fencing number, raised each time the holder starts anew.
+    /// Fencing number, raised whenever the lease is acquired anew.
     pub epoch: u64,
-    /// Raised by each renewal.
+    /// Counter that each renewal raises.
     pub renewal: u64,
-    /// Set by the instance that took over: the holder has to start anew with a higher epoch.
+    /// Set by the holder that gives up the lease, or by the instance that takes over its work after
+    /// the lease expired. The next lease has a higher epoch.
     pub ended: bool,
 }
--- a/crates/foxtailhold/src/lib.rs
+++ b/crates/foxtailhold/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions of the foxtailhold serving system, without I/O.
+//! Decision logic of the foxtailhold serving system, without I/O.
 //!
-//! Every module is a state machine over explicit time ([`time::MonoMs`]) and typed messages.
-//! The other crates do the I/O and feed these machines; tests and fuzzers drive them directly.
+//! The modules are state machines that take the time ([`time::MonoMs`]) and typed messages as
+//! arguments. The other crates do the I/O and call these state machines. Tests and fuzzers call
+//! them directly.
 #![warn(clippy::unwrap_used)]
 
 pub mod admission;
--- a/crates/foxtailhold/src/rendezvous.rs
+++ b/crates/foxtailhold/src/rendezvous.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): every instance that knows the same members
-//! names the same home for a key, and a lost member moves only its own keys.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998). Instances that know the same members select
+//! the same member for a key, and only the keys of a lost member move.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -10,7 +10,7 @@
     xxh3_64_with_seed(key, seed)
 }
 
-/// The member with the highest weight for `key`, `None` without members.
+/// Returns the member with the highest weight for `key`, or `None` if there are no members.
 pub fn select<'a>(
     members: impl IntoIterator<Item = &'a InstanceId>,
     key: &[u8],
--- a/crates/foxtailhold/src/time.rs
+++ b/crates/foxtailhold/src/time.rs
@@ -1,17 +1,17 @@
-//! Explicit time: the state machines never read a clock.
+//! Time values that callers pass to the state machines, which never read a clock.
 
 use std::ops::Add;
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on one process's monotonic clock. Not comparable between processes.
+/// Milliseconds on the monotonic clock of one process. Not comparable between processes.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MonoMs(pub u64);
 
 impl MonoMs {
-    /// Milliseconds since `earlier`, zero where `earlier` is later.
+    /// Milliseconds since `earlier`; 0 if `earlier` is later than `self`.
     pub fn since_ms(self, earlier: MonoMs) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -25,9 +25,9 @@
     }
 }
 
-/// Milliseconds since the Unix epoch by one process's wall clock.
+/// Milliseconds since the Unix epoch on the wall clock of one process.
 ///
-/// Used for deadlines that callers and operators see and in the time line, never for leases.
+/// Used in the timeline and for deadlines that callers and operators see, never for leases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/foxtailhold/tests/attempt_counts.rs
+++ b/crates/foxtailhold/tests/attempt_counts.rs
@@ -1,6 +1,6 @@
 //! How often a batch item may run, over the loss of its owners.
 
-use foxtailhold::attempt_counts::{AttemptCounts, AttemptDecision, MOST_OPEN_RUNS};
+use foxtailhold::attempt_counts::{AttemptCounts, AttemptDecision, MAX_PENDING_ATTEMPTS};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -50,7 +50,7 @@
 }
 
 /// Runs an item that always fails through owners; returns how often it ran.
-fn runs(lives: &[Life], most_failed: u32, gives_up_at_once: bool) -> u32 {
+fn runs(lives: &[Life], max_failed: u32, gives_up_at_once: bool) -> u32 {
     let mut runs = 0;
     let mut written: Option<AttemptCounts> = None;
     for (lost_owners, life) in lives.iter().enumerate() {
@@ -61,7 +61,7 @@
             Life::LostLater(count) => *count,
         };
         for answer in 0..=written_here {
-            if account.next_attempt(most_failed) != AttemptDecision::Allowed {
+            if account.next_attempt(max_failed) != AttemptDecision::Allowed {
                 return runs;
             }
             if account.must_record_start(lost_owners) {
@@ -81,16 +81,16 @@
 proptest! {
     #[test]
     fn failed_answers_stay_within_three_times_the_routes_bound(
-        lives in prop::collection::vec(life(), 0..12), most_failed in 1_u32..5,
+        lives in prop::collection::vec(life(), 0..12), max_failed in 1_u32..5,
     ) {
-        let runs = runs(&lives, most_failed, false);
-        prop_assert!(runs <= 3 * most_failed, "{} runs", runs);
+        let runs = runs(&lives, max_failed, false);
+        prop_assert!(runs <= 3 * max_failed, "{} runs", runs);
     }
 
     #[test]
     fn an_item_that_can_never_be_done_runs_three_times_at_most(
-        lives in prop::collection::vec(life(), 0..12), most_failed in 1_u32..5,
+        lives in prop::collection::vec(life(), 0..12), max_failed in 1_u32..5,
     ) {
-        prop_assert!(runs(&lives, most_failed, true) <= MOST_OPEN_RUNS);
+        prop_assert!(runs(&lives, max_failed, true) <= MAX_PENDING_ATTEMPTS);
     }
 }
