--- a/crates/foxtailhold/src/idempotency.rs
+++ b/crates/foxtailhold/src/idempotency.rs
@@ -1,9 +1,10 @@
-//! Requests that must not be repeated: claimed in the table service before the first byte is sent.
+//! At-most-once execution of requests with an idempotency key.
 //!
-//! One attempt is one [`ClaimAttempt`]. It writes its claim under (customer, idempotency key), and only
-//! the attempt that holds the claim may send the request, once. A claim is never deleted by its
-//! attempt but overwritten as released: the row's version goes on rising, so that a write that the
-//! store applies late finds another version and does nothing.
+//! Each attempt at such a request is one [`ClaimAttempt`]. Before the first byte is sent, it writes
+//! a claim to the table service under (customer, idempotency key). Only the attempt that holds the
+//! claim may send the request, and only once. An attempt never deletes its claim but overwrites it
+//! as released. The version of the row therefore keeps rising, and a write that the store applies
+//! late finds a different version and has no effect.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,68 +14,70 @@
 
 pub use release::{ClaimRelease, ReleaseStep};
 
-/// Tries to write a claim while answers are lost.
-pub const MAX_CLAIM_TRIES: u32 = 3;
-/// A claim that was not sent within this time is not sent any more.
-pub const SEND_WITHIN_MS: u64 = 300_000;
-/// A claim that was not released within this time is left. Its row is kept far longer, so that a
-/// release never meets a row that was written anew after a sweep.
-pub const RELEASE_WITHIN_MS: u64 = 3_600_000;
-/// Answered and released rows are kept this long after they were written.
+/// Maximum number of writes of a claim while responses are lost.
+pub const MAX_CLAIM_WRITES: u32 = 3;
+/// Maximum time between the first write of a claim and the sending of its request.
+pub const MAX_SEND_DELAY_MS: u64 = 300_000;
+/// Time after which a claim is no longer released. Its row is kept far longer than this, so that a
+/// release never finds a row that was written anew after a sweep.
+pub const MAX_RELEASE_DELAY_MS: u64 = 3_600_000;
+/// Retention of answered and released rows, from when they were written.
 pub const RETENTION_MS: u64 = 24 * 3_600_000;
-/// Rows of claims whose end is unknown are kept this long, far longer than [`SEND_WITHIN_MS`].
+/// Retention of claims whose outcome is unknown, far longer than [`MAX_SEND_DELAY_MS`].
 pub const CLAIMED_RETENTION_MS: u64 = 7 * RETENTION_MS;
-/// Bodies up to this size are stored in the row, larger ones in the object store.
+/// Maximum size of a response body stored in the row; larger ones go to the object store.
 pub const MAX_ROW_BODY_BYTES: usize = 16 << 10;
 
-/// The claim's row, under (customer, idempotency key).
+/// Row of a claim, stored as JSON under (customer, idempotency key).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// Unique to the attempt that wrote the claim.
+    /// Identifier of the attempt that wrote the claim, unique to it.
     pub claim_id: String,
-    /// Digest of method, path and body, as hex.
+    /// Digest of method, path and body in hexadecimal, which tells a resend from a different
+    /// request under the same key.
     pub digest: String,
-    /// When the row was written, by the attempt's wall clock.
+    /// Time at which the row was written, on the wall clock of the writing instance.
     pub written_at: WallMs,
-    /// How far the request is known to have come.
+    /// Known progress of the request.
     pub state: ClaimState,
 }
 
-/// How far a claimed request is known to have come.
+/// Known progress of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ClaimState {
-    /// The claimer may send it at any time, or has.
+    /// The attempt that holds the claim may send the request at any time, or has sent it.
     Claimed,
-    /// The claimer did not send it and never will.
+    /// The attempt did not send the request and never will.
     Released,
-    /// The whole answer is stored.
+    /// The complete response is stored.
     Answered(StoredAnswer),
 }
 
-/// A stored whole answer.
+/// A complete response, stored so that resends get the same one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Content type, where given.
+    /// Value of the `Content-Type` header, if any.
     pub content_type: Option<String>,
-    /// The body.
+    /// Response body, or where it is stored.
     pub body: StoredBody,
 }
 
-/// Where a stored body is.
+/// Where the body of a stored response is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoredBody {
-    /// In the row.
+    /// In the row itself.
     Text(String),
-    /// In the object store, under the claim's name.
+    /// In the object store, under a name derived from the claim.
     Object,
 }
 
 impl StoredBody {
-    /// Where `body` goes: text of at most [`MAX_ROW_BODY_BYTES`] into the row.
+    /// Selects the storage for `body`: the row for text of at most [`MAX_ROW_BODY_BYTES`],
+    /// otherwise the object store.
     pub fn of(body: &[u8]) -> Self {
         match std::str::from_utf8(body) {
             Ok(text) if body.len() <= MAX_ROW_BODY_BYTES => StoredBody::Text(text.to_owned()),
@@ -83,90 +86,91 @@
     }
 }
 
-/// What a write expects of the row.
+/// Precondition of a write on the version of the row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExpectedVersion {
-    /// No row.
+    /// The row does not exist.
     Absent,
-    /// Exactly this version.
+    /// The row has exactly this version.
     Version(u64),
 }
 
-/// A row as it was found.
+/// A claim row as read from the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FoundClaim {
-    /// Its version.
+    /// Version of the row.
     pub version: u64,
-    /// Its value.
+    /// Content of the row.
     pub row: ClaimRow,
 }
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Committed,
-    /// The row was not as expected.
+    /// The precondition failed; the current row is given if it exists.
     Conflict(Option<FoundClaim>),
-    /// It had no effect and will have none.
+    /// The write had no effect and will have none.
     NoEffect,
-    /// The answer was lost: it may have taken effect, or may still.
+    /// The response was lost: the write may have taken effect, or may still.
     Unknown,
 }
 
-/// Why an attempt does not get the claim.
+/// Reason why an attempt does not get the claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimRefusal {
-    /// Another attempt holds the claim: the request may have run.
+    /// Another attempt holds the claim, so the request may have run.
     MayHaveRun,
-    /// The key was used with another request.
+    /// The key was used before with a different request.
     OtherRequest,
-    /// The store gave no answer: this attempt did not run the request and never will.
+    /// The store did not respond. This attempt did not send the request and never will.
     StoreUnavailable,
 }
 
-/// What an attempt does next.
+/// Next step of an attempt.
 #[derive(Debug)]
 pub enum ClaimStep {
-    /// Write [`ClaimAttempt::row`], expecting [`ClaimAttempt::expected`].
+    /// Write [`ClaimAttempt::row`] on the condition [`ClaimAttempt::expected`], then call
+    /// [`ClaimAttempt::handle_write`].
     Write(ClaimAttempt),
-    /// The claim is held: send once.
+    /// The claim is held: send the request at most once.
     Held(HeldClaim),
-    /// Give the stored answer.
+    /// Return the stored response.
     Answer(ClaimRow, StoredAnswer),
-    /// Refuse; where a release is given, the claim may still appear and is released later.
+    /// Refuse the request. If a release is given, a lost write may still create the claim, and the
+    /// release has to run in the background.
     Refuse(ClaimRefusal, Option<ClaimRelease>),
 }
 
-/// Both clocks before the first write of a claim. The wall clock is asked too, because the
-/// monotonic clock stands still in a suspended machine.
+/// Both clocks as read before the first write of a claim. The wall clock is included because the
+/// monotonic clock does not advance while the machine is suspended.
 #[derive(Debug, Clone, Copy, Default)]
-struct ClaimedAt {
-    now: MonoMs,
+struct ClockReading {
+    mono: MonoMs,
     wall: WallMs,
 }
 
-impl ClaimedAt {
+impl ClockReading {
     fn elapsed_ms(&self, now: MonoMs, wall: WallMs) -> u64 {
         let wall_ms = wall.0.saturating_sub(self.wall.0);
-        now.since_ms(self.now).max(wall_ms)
+        now.since_ms(self.mono).max(wall_ms)
     }
 }
 
-/// One attempt before it holds the claim.
+/// An attempt that does not hold the claim yet.
 #[derive(Debug)]
 pub struct ClaimAttempt {
     row: ClaimRow,
     expected: ExpectedVersion,
-    /// Both clocks before the first write was sent.
-    first_write: Option<ClaimedAt>,
-    tries: u32,
-    /// A write whose answer was lost may still take effect.
-    uncertain: bool,
+    first_write: Option<ClockReading>,
+    writes: u32,
+    /// Whether a write with a lost response may still take effect.
+    write_uncertain: bool,
 }
 
 impl ClaimAttempt {
-    /// An attempt with a `claim_id` of its own.
+    /// Creates an attempt. `claim_id` must be unique to it.
     pub fn new(claim_id: String, digest: String) -> Self {
         ClaimAttempt {
             row: ClaimRow {
@@ -177,27 +181,28 @@
             },
             expected: ExpectedVersion::Absent,
             first_write: None,
-            tries: 0,
-            uncertain: false,
+            writes: 0,
+            write_uncertain: false,
         }
     }
 
-    /// The row to write right after the clocks were read.
+    /// The row to write. The clocks have to be read right before the write.
     pub fn row(&mut self, now: MonoMs, wall: WallMs) -> &ClaimRow {
-        self.first_write.get_or_insert(ClaimedAt { now, wall });
+        self.first_write
+            .get_or_insert(ClockReading { mono: now, wall });
         self.row.written_at = wall;
         &self.row
     }
 
-    /// What the write expects.
+    /// Precondition of the write.
     pub fn expected(&self) -> ExpectedVersion {
         self.expected
     }
 
-    /// Takes the result of the write.
-    pub fn handle_write(mut self, written: WriteOutcome) -> ClaimStep {
-        self.tries += 1;
-        match written {
+    /// Processes the outcome of the write and returns the next step.
+    pub fn handle_write(mut self, outcome: WriteOutcome) -> ClaimStep {
+        self.writes += 1;
+        match outcome {
             WriteOutcome::Committed => {
                 let version = match self.expected {
                     ExpectedVersion::Absent => 1,
@@ -205,15 +210,15 @@
                 };
                 self.held(version)
             }
-            WriteOutcome::Conflict(Some(found)) => self.found(found),
+            WriteOutcome::Conflict(Some(found)) => self.handle_conflict(found),
             WriteOutcome::Conflict(None) => {
                 self.expected = ExpectedVersion::Absent;
-                self.again()
+                self.retry_write()
             }
             WriteOutcome::NoEffect => self.refuse(),
             WriteOutcome::Unknown => {
-                self.uncertain = true;
-                self.again()
+                self.write_uncertain = true;
+                self.retry_write()
             }
         }
     }
@@ -226,15 +231,15 @@
         })
     }
 
-    /// The same write again also reads the row back: a conflict shows it.
-    fn again(self) -> ClaimStep {
-        if self.tries >= MAX_CLAIM_TRIES {
+    /// Repeats the write. If the lost write took effect, the conflict returns the row.
+    fn retry_write(self) -> ClaimStep {
+        if self.writes >= MAX_CLAIM_WRITES {
             return self.refuse();
         }
         ClaimStep::Write(self)
     }
 
-    fn found(mut self, found: FoundClaim) -> ClaimStep {
+    fn handle_conflict(mut self, found: FoundClaim) -> ClaimStep {
         let FoundClaim { version, row } = found;
         if row.claim_id == self.row.claim_id {
             return match row.state {
@@ -243,10 +248,11 @@
             };
         }
         if row.state == ClaimState::Released {
-            // An earlier write of this attempt expected a version that is gone.
-            self.uncertain = false;
+            // An earlier write of this attempt can no longer take effect, because the version that
+            // it expected is gone.
+            self.write_uncertain = false;
             self.expected = ExpectedVersion::Version(version);
-            return self.again();
+            return self.retry_write();
         }
         if row.digest != self.row.digest {
             return ClaimStep::Refuse(ClaimRefusal::OtherRequest, None);
@@ -260,38 +266,39 @@
     fn refuse(self) -> ClaimStep {
         let claimed_at = self.first_write.unwrap_or_default();
         let release = self
-            .uncertain
+            .write_uncertain
             .then(|| ClaimRelease::uncertain(self.row, claimed_at, self.expected));
         ClaimStep::Refuse(ClaimRefusal::StoreUnavailable, release)
     }
 }
 
-/// A held claim. It is consumed by its end; dropping it leaves the claim, so that resends are told
-/// that the request may have run.
+/// A held claim. [`HeldClaim::into_release`] or [`HeldClaim::answered`] ends it. If it is dropped
+/// instead, the claim stays in the table and resends are told that the request may have run.
 #[derive(Debug)]
 pub struct HeldClaim {
     row: ClaimRow,
     version: u64,
-    claimed_at: ClaimedAt,
+    claimed_at: ClockReading,
 }
 
 impl HeldClaim {
-    /// The claim's row.
+    /// Row of the claim.
     pub fn row(&self) -> &ClaimRow {
         &self.row
     }
 
-    /// Whether the request may be sent now; asked again right before each connection.
+    /// Whether the request may be sent now. Has to be checked right before each connection.
     pub fn may_send(&self, now: MonoMs, wall: WallMs) -> bool {
-        self.claimed_at.elapsed_ms(now, wall) <= SEND_WITHIN_MS
+        self.claimed_at.elapsed_ms(now, wall) <= MAX_SEND_DELAY_MS
     }
 
-    /// Ends the attempt: no byte was sent, and none will be.
+    /// Ends the attempt without sending: no byte was sent, and none will be.
     pub fn into_release(self) -> ClaimRelease {
         ClaimRelease::held(self.row, self.claimed_at, self.version)
     }
 
-    /// Ends the attempt with the whole answer: the row to write and the version it replaces.
+    /// Ends the attempt with the complete response. Returns the row to write and the version that
+    /// it replaces.
     pub fn answered(self, answer: StoredAnswer, wall: WallMs) -> (ClaimRow, ExpectedVersion) {
         let row = ClaimRow {
             written_at: wall,
@@ -302,11 +309,11 @@
     }
 }
 
-/// Whether a row has outlived its use.
+/// Whether a row may be deleted.
 ///
-/// A row whose claimer may still send is kept for [`CLAIMED_RETENTION_MS`]: its claimer asks
-/// [`HeldClaim::may_send`] right before it sends and would have to be paused between the two for
-/// days.
+/// A row whose attempt may still send the request is kept for [`CLAIMED_RETENTION_MS`]. The attempt
+/// checks [`HeldClaim::may_send`] right before it sends, so it could outlive the row only if it
+/// were paused for days between the check and the send.
 pub fn is_expired(row: &ClaimRow, now: WallMs) -> bool {
     let keep_ms = match row.state {
         ClaimState::Claimed => CLAIMED_RETENTION_MS,
--- a/crates/foxtailhold/src/idempotency/release.rs
+++ b/crates/foxtailhold/src/idempotency/release.rs
@@ -1,36 +1,37 @@
-//! Releasing a claim whose request was not sent, so that a resend can run.
+//! Release of a claim whose request was not sent, so that a resend can run.
 
 use crate::idempotency::{
-    ClaimRow, ClaimState, ClaimedAt, ExpectedVersion, FoundClaim, RELEASE_WITHIN_MS, WriteOutcome,
+    ClaimRow, ClaimState, ClockReading, ExpectedVersion, FoundClaim, MAX_RELEASE_DELAY_MS,
+    WriteOutcome,
 };
 use crate::time::{MonoMs, WallMs};
 
-/// What a release does next.
+/// Next step of a release.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReleaseStep {
-    /// Read the row, then [`ClaimRelease::handle_read`].
+    /// Read the row, then call [`ClaimRelease::handle_read`].
     Read,
-    /// Write [`ClaimRelease::row`], expecting this, then [`ClaimRelease::handle_write`].
+    /// Write [`ClaimRelease::row`] on this condition, then call [`ClaimRelease::handle_write`].
     Write(ExpectedVersion),
-    /// Nothing is left to do.
+    /// The release is complete.
     Done,
 }
 
-/// The release of one attempt's claim. It only ever replaces that claim, or the place where it
-/// could still appear.
+/// Release of the claim of one attempt. It replaces only that claim or the row version that a
+/// delayed write of that claim could still replace.
 #[derive(Debug, Clone)]
 pub struct ClaimRelease {
     row: ClaimRow,
-    claimed_at: ClaimedAt,
-    /// The claim's version, where it is known to be in the table.
+    claimed_at: ClockReading,
+    /// Version of the claim if it is known to be in the table.
     version: Option<u64>,
-    /// What the write of the claim expected.
+    /// Precondition of the write of the claim.
     expected: ExpectedVersion,
 }
 
 impl ClaimRelease {
-    /// Of a claim known to be in the table with `version`.
-    pub(super) fn held(row: ClaimRow, claimed_at: ClaimedAt, version: u64) -> Self {
+    /// Releases a claim that is in the table with `version`.
+    pub(super) fn held(row: ClaimRow, claimed_at: ClockReading, version: u64) -> Self {
         ClaimRelease {
             row,
             claimed_at,
@@ -39,10 +40,10 @@
         }
     }
 
-    /// Of a claim that may appear later, by a write that expected `expected`.
+    /// Releases a claim that a delayed write with the precondition `expected` may still create.
     pub(super) fn uncertain(
         row: ClaimRow,
-        claimed_at: ClaimedAt,
+        claimed_at: ClockReading,
         expected: ExpectedVersion,
     ) -> Self {
         ClaimRelease {
@@ -53,9 +54,10 @@
         }
     }
 
-    /// The row to write right after the clocks were read; `None` once it is too late to write it.
+    /// The row to write, or `None` if more than [`MAX_RELEASE_DELAY_MS`] have passed. The clocks
+    /// have to be read right before the write.
     pub fn row(&self, now: MonoMs, wall: WallMs) -> Option<ClaimRow> {
-        if self.claimed_at.elapsed_ms(now, wall) > RELEASE_WITHIN_MS {
+        if self.claimed_at.elapsed_ms(now, wall) > MAX_RELEASE_DELAY_MS {
             return None;
         }
         Some(ClaimRow {
@@ -65,7 +67,7 @@
         })
     }
 
-    /// The first step, and the next one after a failed read.
+    /// The first step, also taken again after a failed read.
     pub fn start(&self) -> ReleaseStep {
         match self.version {
             Some(version) => ReleaseStep::Write(ExpectedVersion::Version(version)),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Takes the row as it was found.
+    /// Processes the row that was read; `None` if there is none.
     pub fn handle_read(&self, found: Option<&FoundClaim>) -> ReleaseStep {
         let Some(found) = found else {
             return match self.expected {
@@ -81,21 +83,21 @@
                 ExpectedVersion::Version(_) => ReleaseStep::Done,
             };
         };
-        let here = ExpectedVersion::Version(found.version);
+        let current = ExpectedVersion::Version(found.version);
         let own = found.row.claim_id == self.row.claim_id;
         if own && found.row.state == ClaimState::Claimed {
-            return ReleaseStep::Write(here);
+            return ReleaseStep::Write(current);
         }
-        if !own && here == self.expected {
-            // The claim may still replace this version: raise it.
-            return ReleaseStep::Write(here);
+        if !own && current == self.expected {
+            // The claim may still replace this version, so the version is raised.
+            return ReleaseStep::Write(current);
         }
         ReleaseStep::Done
     }
 
-    /// Takes the result of the write.
-    pub fn handle_write(&self, written: WriteOutcome) -> ReleaseStep {
-        match (written, self.version) {
+    /// Processes the outcome of the write.
+    pub fn handle_write(&self, outcome: WriteOutcome) -> ReleaseStep {
+        match (outcome, self.version) {
             (WriteOutcome::Committed, _) | (WriteOutcome::Conflict(_), Some(_)) => {
                 ReleaseStep::Done
             }
--- a/crates/foxtailhold/src/orders.rs
+++ b/crates/foxtailhold/src/orders.rs
@@ -1,11 +1,11 @@
-//! Orders to engines: load a model, its adapters, a version, or change role.
+//! Orders to engines: load a model with its adapters and version, or change the role.
 //!
-//! Operators write the wanted state of an engine as a row. One instance at a time, the giver, holds
-//! a lease on the engine, looks at the engine's state and orders the wanted one until it is in
-//! effect. Orders state the wanted end state and are idempotent.
+//! Operators write the desired setup of an engine as a row. One instance at a time, the issuer,
+//! holds a lease on the engine, reads the engine's state and sends orders until the desired setup
+//! is in effect. An order states the complete setup and is idempotent.
 //!
-//! Each fencing number is taken in one transaction that also checks the version of the wanted
-//! state's row, so a higher fencing number never stands for an older wanted state.
+//! Each fencing number is acquired in a transaction that also checks the version of the row with
+//! the desired setup. A higher fencing number therefore never belongs to an older desired setup.
 
 pub mod issuer;
 
@@ -17,126 +17,127 @@
 
 pub use issuer::{IssuerAction, LeaseWrite, OrderIssuer};
 
-/// Assumed of the deployment: an order has reached the engine or is lost this long after its giver
-/// last checked its lease. It only matters for engines that ignore fencing numbers.
-pub const LONGEST_FLIGHT_MS: u64 = 5_000;
-/// An engine whose wanted state is not in effect is looked at this often.
-pub const LOOK_PERIOD_MS: u64 = 1_000;
-/// An engine whose wanted state is in effect is looked at this often.
-pub const SETTLED_PERIOD_MS: u64 = 5_000;
-/// Pause after an order or a look that failed.
-pub const RETRY_MS: u64 = 1_000;
-
-/// What an engine is used for.
+/// Assumed maximum time from the issuer's last check of its lease until the order has reached the
+/// engine or is lost. The deployment has to meet it for engines that ignore fencing numbers.
+pub const MAX_ORDER_DELAY_MS: u64 = 5_000;
+/// Poll interval for an engine whose desired setup is not in effect.
+pub const POLL_PERIOD_MS: u64 = 1_000;
+/// Poll interval for an engine whose desired setup is in effect.
+pub const SETTLED_POLL_PERIOD_MS: u64 = 5_000;
+/// Delay after a failed order, read or lease write.
+pub const RETRY_DELAY_MS: u64 = 1_000;
+
+/// Kind of work that an engine serves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Online and batch.
+    /// Online and batch requests.
     #[default]
     Mixed,
-    /// Online only.
+    /// Online requests only.
     Online,
-    /// Batch only.
+    /// Batch items only.
     Batch,
 }
 
-/// What an engine has loaded and what it is used for.
+/// Model, adapters and role of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EngineSetup {
-    /// Model.
+    /// Name of the model.
     pub model: TargetName,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: String,
-    /// Adapters on top of the model, in order.
+    /// Adapters, in the order in which they are applied to the model.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Role.
+    /// Kind of work that the engine serves.
     #[serde(default)]
     pub role: Role,
 }
 
-/// An order.
+/// An order to an engine, sent as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of its giver.
+    /// Fencing number of the issuer's lease.
     pub fencing: u64,
-    /// The wanted end state.
+    /// The setup that the engine has to reach.
     pub setup: EngineSetup,
 }
 
-/// An engine's own report.
+/// State that an engine reports, as JSON.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The highest fencing number taken; 0 where the engine ignores them.
+    /// Highest fencing number of the accepted orders; 0 if the engine ignores fencing numbers.
     #[serde(default)]
     pub fencing: u64,
-    /// What is in effect.
+    /// Setup that is in effect; absent if nothing is loaded.
     pub in_effect: Option<EngineSetup>,
-    /// What is being loaded.
+    /// Setup that is being loaded, if any.
     pub loading: Option<EngineSetup>,
 }
 
-/// Whether an engine refuses an order with an old fencing number.
+/// Whether an engine rejects orders with an outdated fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FencingCheck {
-    /// It refuses.
+    /// The engine rejects them.
     Enforced,
-    /// It ignores the number.
+    /// The engine ignores fencing numbers.
     Ignored,
 }
 
-/// The wanted state's row at some version.
+/// Desired setup of an engine with the version of its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DesiredSetup {
-    /// Version of the row; it rises with each change.
+    /// Version of the row, which each change raises.
     pub version: u64,
-    /// The wanted state.
+    /// The setup that the operator asked for.
     pub setup: EngineSetup,
 }
 
 impl Order {
-    /// Whether an engine that took `taken` before has to refuse this.
-    pub fn is_stale(&self, taken: &EngineState) -> bool {
-        self.fencing < taken.fencing
+    /// Whether an engine in the state `engine` has to reject this order because it has accepted an
+    /// order with a higher fencing number.
+    pub fn is_stale(&self, engine: &EngineState) -> bool {
+        self.fencing < engine.fencing
     }
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// The engine took it.
+    /// The engine accepted the order.
     Taken,
-    /// The engine refused its fencing number.
+    /// The engine rejected the fencing number.
     Refused,
-    /// It was not sent.
+    /// The order was not sent.
     NotSent,
-    /// The answer was lost: it may take effect until the longest flight is over.
+    /// The response was lost. The order may take effect until [`MAX_ORDER_DELAY_MS`] have passed.
     Unknown,
 }
 
-/// What became of a write of the lease's row.
+/// Outcome of a write of the lease row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseWriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Committed,
-    /// It had no effect: a row was not as expected, or the store refused.
+    /// The write had no effect, because a precondition failed or the store refused it.
     Failed,
-    /// The answer was lost.
+    /// The response was lost: the write may have taken effect, or may still.
     Unknown,
 }
 
-/// Which engines refuse an order with an old fencing number.
+/// The set of engines that reject orders with an outdated fencing number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FencingEngines {
-    /// All of them.
+    /// All engines.
     All,
-    /// Only these; none where the list is empty.
+    /// Only these engines; none if the set is empty.
     Listed(BTreeSet<BackendId>),
 }
 
 impl FencingEngines {
-    /// Whether `backend` checks.
+    /// Whether the engine `backend` checks fencing numbers.
     pub fn fencing_check(&self, backend: &BackendId) -> FencingCheck {
         match self {
             FencingEngines::All => FencingCheck::Enforced,
@@ -149,7 +150,7 @@
 impl TryFrom<&str> for FencingEngines {
     type Error = IdError;
 
-    /// Reads `all`, `none` or identifiers with commas between them.
+    /// Parses `all`, `none` or a comma-separated list of backend server identifiers.
     fn try_from(text: &str) -> Result<Self, IdError> {
         match text {
             "all" => return Ok(FencingEngines::All),
--- a/crates/foxtailhold/src/orders/issuer.rs
+++ b/crates/foxtailhold/src/orders/issuer.rs
@@ -1,222 +1,233 @@
-//! The giver's side of the orders to one engine. One action is outstanding at a time.
+//! State machine that issues the orders to one engine. At most one action is outstanding at a time.
 
 use crate::idempotency::ExpectedVersion;
 use crate::ids::InstanceId;
 use crate::lease::{HeldLease, LEASE_MARGIN_MS, LEASE_RENEW_MS, WatchedLease};
 use crate::lease_row::LeaseRow;
 use crate::orders::{
-    DesiredSetup, EngineState, FencingCheck, LONGEST_FLIGHT_MS, LOOK_PERIOD_MS, LeaseWriteOutcome,
-    Order, OrderOutcome, RETRY_MS, SETTLED_PERIOD_MS,
+    DesiredSetup, EngineState, FencingCheck, LeaseWriteOutcome, MAX_ORDER_DELAY_MS, Order,
+    OrderOutcome, POLL_PERIOD_MS, RETRY_DELAY_MS, SETTLED_POLL_PERIOD_MS,
 };
 use crate::time::MonoMs;
 
-/// What a giver does next.
+/// Next action of an issuer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IssuerAction {
-    /// Nothing now.
+    /// Do nothing for now.
     Wait,
-    /// Read the lease's row, then [`OrderIssuer::lease_read`].
+    /// Read the lease row, then call [`OrderIssuer::lease_read`].
     ReadLease,
-    /// Write the lease's row, then [`OrderIssuer::lease_written`].
+    /// Write the lease row, then call [`OrderIssuer::lease_written`].
     WriteLease(LeaseWrite),
-    /// Read the engine's state, then [`OrderIssuer::engine_read`].
+    /// Read the engine's state, then call [`OrderIssuer::engine_read`].
     ReadEngine,
-    /// Send an order at once, then [`OrderIssuer::order_sent`].
+    /// Send an order without delay, then call [`OrderIssuer::order_sent`].
     SendOrder(Order),
 }
 
-/// A write of the lease's row.
+/// A conditional write of the lease row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseWrite {
-    /// The row.
+    /// The row to write.
     pub row: LeaseRow,
-    /// What is expected of it.
+    /// Precondition on the current lease row.
     pub expected: ExpectedVersion,
-    /// The version that the wanted state's row must have, for a new fencing number.
+    /// For a new fencing number: the version that the row with the desired setup must have.
     pub desired_version: Option<u64>,
 }
 
-/// What is known of the lease's row.
+/// What the issuer knows of the lease row.
 #[derive(Debug, Clone)]
-enum Lease {
+enum LeaseView {
     Unknown,
     Absent,
-    /// Written by this giver; the version is current unless another one took over.
+    /// Written by this issuer. The version is current unless another issuer has taken over.
     Own(LeaseRow, u64),
-    Foreign(LeaseRow, u64, WatchedLease),
+    Other(LeaseRow, u64, WatchedLease),
 }
 
-/// A write of the lease that is under way.
+/// A write of the lease row in flight.
 #[derive(Debug, Clone)]
-struct Pending {
+struct PendingWrite {
     write: LeaseWrite,
     sent_at: MonoMs,
 }
 
-/// Steers one engine towards its wanted state.
+/// Brings one engine to its desired setup.
 #[derive(Debug, Clone)]
 pub struct OrderIssuer {
     me: InstanceId,
     fencing: FencingCheck,
-    lease: Lease,
+    lease: LeaseView,
     held: HeldLease,
     renewed_at: MonoMs,
-    pending: Option<Pending>,
-    /// Rows that this giver wrote or tried to write last; only these are its own after a lost
-    /// answer, so that a restarted process takes nothing from its predecessor.
-    written: [Option<LeaseRow>; 2],
-    /// The wanted version that the fencing number held stands for.
-    bound_to: Option<u64>,
-    /// The wanted version last seen in effect.
-    settled: Option<u64>,
-    /// Another giver's orders may still arrive: set when a lease that was not ended is taken over.
-    quiet_due: bool,
+    pending_write: Option<PendingWrite>,
+    /// The last two rows that this issuer wrote or tried to write. After a lost response only these
+    /// count as its own, so that a restarted process does not adopt the lease of its
+    /// predecessor.
+    own_rows: [Option<LeaseRow>; 2],
+    /// Version of the desired setup for which the current fencing number was acquired.
+    fenced_version: Option<u64>,
+    /// Version of the desired setup that is known to be settled: last seen in effect, or accepted
+    /// by an engine that checks fencing numbers.
+    settled_version: Option<u64>,
+    /// Set when a lease that was not ended is taken over: orders of the previous issuer may still
+    /// arrive.
+    quiet_period_due: bool,
     quiet_until: MonoMs,
-    /// When the last order was sent whose arrival is not known.
-    uncertain_at: Option<MonoMs>,
-    looked: Option<(MonoMs, EngineState)>,
-    read_at: Option<MonoMs>,
+    /// Time at which the last order with an unknown outcome was sent.
+    unconfirmed_order_at: Option<MonoMs>,
+    engine_state: Option<(MonoMs, EngineState)>,
+    lease_read_at: Option<MonoMs>,
     retry_at: MonoMs,
 }
 
 impl OrderIssuer {
-    /// A giver that knows nothing yet.
+    /// Creates an issuer that has read neither the engine nor the lease.
     pub fn new(me: InstanceId, fencing: FencingCheck) -> Self {
         OrderIssuer {
             me,
             fencing,
-            lease: Lease::Unknown,
+            lease: LeaseView::Unknown,
             held: HeldLease::default(),
             renewed_at: MonoMs::default(),
-            pending: None,
-            written: [None, None],
-            bound_to: None,
-            settled: None,
-            quiet_due: false,
+            pending_write: None,
+            own_rows: [None, None],
+            fenced_version: None,
+            settled_version: None,
+            quiet_period_due: false,
             quiet_until: MonoMs::default(),
-            uncertain_at: None,
-            looked: None,
-            read_at: None,
+            unconfirmed_order_at: None,
+            engine_state: None,
+            lease_read_at: None,
             retry_at: MonoMs::default(),
         }
     }
 
-    /// Whether the giver holds the lease at `now`.
+    /// Whether this issuer holds the lease at `now`.
     pub fn holds(&self, now: MonoMs) -> bool {
         self.held.epoch_at(now).is_some()
     }
 
-    /// What to do at `now`. `wanted` is `None` where this instance is not to give orders.
-    pub fn next(&mut self, now: MonoMs, wanted: Option<&DesiredSetup>) -> IssuerAction {
-        let Some(wanted) = wanted else {
-            return self.finish(now);
+    /// Decides the action at `now`. `desired` is `None` if this instance must not issue orders.
+    pub fn next(&mut self, now: MonoMs, desired: Option<&DesiredSetup>) -> IssuerAction {
+        let Some(desired) = desired else {
+            return self.end_lease(now);
         };
         if now < self.retry_at {
             return IssuerAction::Wait;
         }
-        let Some((looked_at, state)) = &self.looked else {
+        let Some((state_read_at, state)) = &self.engine_state else {
             return IssuerAction::ReadEngine;
         };
-        let looked_ago_ms = now.since_ms(*looked_at);
-        if self.is_settled(wanted, state) {
-            self.settled = Some(wanted.version);
-            if looked_ago_ms > SETTLED_PERIOD_MS {
+        let state_age_ms = now.since_ms(*state_read_at);
+        if self.is_settled(desired, state) {
+            self.settled_version = Some(desired.version);
+            if state_age_ms > SETTLED_POLL_PERIOD_MS {
                 return IssuerAction::ReadEngine;
             }
-            return self.finish(now);
+            return self.end_lease(now);
         }
-        if looked_ago_ms > LOOK_PERIOD_MS {
+        if state_age_ms > POLL_PERIOD_MS {
             return IssuerAction::ReadEngine;
         }
         let Some(epoch) = self.held.epoch_at(now) else {
-            return self.take(now, wanted);
+            return self.acquire(now, desired);
         };
-        if self.bound_to != Some(wanted.version) {
-            return self.take(now, wanted);
+        if self.fenced_version != Some(desired.version) {
+            return self.acquire(now, desired);
         }
         if now.since_ms(self.renewed_at) >= LEASE_RENEW_MS {
             return self.renew(now);
         }
-        self.order(now, epoch, wanted)
+        self.next_order(now, epoch, desired)
     }
 
-    /// A checking engine has the wanted state only once an order for this version was taken: that
-    /// order also keeps out what earlier givers still have on the way.
-    fn is_settled(&self, wanted: &DesiredSetup, state: &EngineState) -> bool {
-        if state.in_effect.as_ref() != Some(&wanted.setup) || state.loading.is_some() {
+    /// Whether the desired setup is in effect and will stay. An engine that checks fencing numbers
+    /// counts as settled only after it has accepted an order for this version, because that order
+    /// also fences delayed orders of earlier issuers.
+    fn is_settled(&self, desired: &DesiredSetup, state: &EngineState) -> bool {
+        if state.in_effect.as_ref() != Some(&desired.setup) || state.loading.is_some() {
             return false;
         }
-        self.fencing == FencingCheck::Ignored || self.settled == Some(wanted.version)
+        self.fencing == FencingCheck::Ignored || self.settled_version == Some(desired.version)
     }
 
-    fn order(&mut self, now: MonoMs, epoch: u64, wanted: &DesiredSetup) -> IssuerAction {
+    fn next_order(&mut self, now: MonoMs, epoch: u64, desired: &DesiredSetup) -> IssuerAction {
         if now < self.quiet_until {
             return IssuerAction::Wait;
         }
-        let Some((looked_at, state)) = &self.looked else {
+        let Some((state_read_at, state)) = &self.engine_state else {
             return IssuerAction::ReadEngine;
         };
-        if *looked_at < self.quiet_until {
+        if *state_read_at < self.quiet_until {
             return IssuerAction::ReadEngine;
         }
-        let loading = state.loading.as_ref() == Some(&wanted.setup);
+        let loading = state.loading.as_ref() == Some(&desired.setup);
         if loading && (self.fencing == FencingCheck::Ignored || state.fencing >= epoch) {
             return IssuerAction::Wait;
         }
         IssuerAction::SendOrder(Order {
             fencing: epoch,
-            setup: wanted.setup.clone(),
+            setup: desired.setup.clone(),
         })
     }
 
-    /// Takes the result of an order that [`OrderIssuer::next`] gave at `sent_at`.
-    pub fn order_sent(&mut self, sent_at: MonoMs, now: MonoMs, wanted: u64, ordered: OrderOutcome) {
-        self.looked = None;
-        match ordered {
+    /// Processes the outcome of an order that [`OrderIssuer::next`] returned at `sent_at`, for the
+    /// version `desired_version` of the desired setup.
+    pub fn order_sent(
+        &mut self,
+        sent_at: MonoMs,
+        now: MonoMs,
+        desired_version: u64,
+        outcome: OrderOutcome,
+    ) {
+        self.engine_state = None;
+        match outcome {
             OrderOutcome::Taken => {
                 if self.fencing == FencingCheck::Enforced {
-                    self.settled = Some(wanted);
+                    self.settled_version = Some(desired_version);
                 }
             }
-            OrderOutcome::NotSent => self.retry_at = now + RETRY_MS,
+            OrderOutcome::NotSent => self.retry_at = now + RETRY_DELAY_MS,
             OrderOutcome::Unknown => {
-                self.uncertain_at = Some(sent_at);
-                self.retry_at = now + RETRY_MS;
+                self.unconfirmed_order_at = Some(sent_at);
+                self.retry_at = now + RETRY_DELAY_MS;
             }
             OrderOutcome::Refused => {
-                self.lose();
-                self.retry_at = now + RETRY_MS;
+                self.drop_lease();
+                self.retry_at = now + RETRY_DELAY_MS;
             }
         }
     }
 
-    /// Takes the engine's state, asked for at `asked_at`.
+    /// Processes the engine's state, requested at `asked_at`; `None` if the read failed.
     pub fn engine_read(&mut self, asked_at: MonoMs, now: MonoMs, state: Option<EngineState>) {
         match state {
-            Some(state) => self.looked = Some((asked_at, state)),
-            None => self.retry_at = now + RETRY_MS,
+            Some(state) => self.engine_state = Some((asked_at, state)),
+            None => self.retry_at = now + RETRY_DELAY_MS,
         }
     }
 
-    fn flights_over(&self, now: MonoMs) -> bool {
-        let Some(at) = self.uncertain_at else {
+    fn no_order_in_flight(&self, now: MonoMs) -> bool {
+        let Some(at) = self.unconfirmed_order_at else {
             return true;
         };
-        self.fencing == FencingCheck::Enforced || now >= at + LONGEST_FLIGHT_MS
+        self.fencing == FencingCheck::Enforced || now >= at + MAX_ORDER_DELAY_MS
     }
 
-    /// Ends a held lease, so that the next giver need not wait, once no order is on its way.
-    fn finish(&mut self, now: MonoMs) -> IssuerAction {
+    /// Ends a held lease once no order is in flight, so that the next issuer does not have to wait.
+    fn end_lease(&mut self, now: MonoMs) -> IssuerAction {
         if self.held.epoch_at(now).is_none() {
             return IssuerAction::Wait;
         }
-        if now < self.quiet_until || !self.flights_over(now) {
+        if now < self.quiet_until || !self.no_order_in_flight(now) {
             if now.since_ms(self.renewed_at) >= LEASE_RENEW_MS {
                 return self.renew(now);
             }
             return IssuerAction::Wait;
         }
-        let Lease::Own(row, version) = self.lease.clone() else {
+        let LeaseView::Own(row, version) = self.lease.clone() else {
             return IssuerAction::Wait;
         };
         let row = LeaseRow {
@@ -228,8 +239,8 @@
     }
 
     fn renew(&mut self, now: MonoMs) -> IssuerAction {
-        let Lease::Own(row, version) = self.lease.clone() else {
-            self.lose();
+        let LeaseView::Own(row, version) = self.lease.clone() else {
+            self.drop_lease();
             return IssuerAction::ReadLease;
         };
         let row = LeaseRow {
@@ -239,21 +250,21 @@
         self.write(now, row, ExpectedVersion::Version(version), None)
     }
 
-    /// Takes the lease, or a new fencing number for another wanted version.
-    fn take(&mut self, now: MonoMs, wanted: &DesiredSetup) -> IssuerAction {
-        if !self.flights_over(now) {
-            let at = self.uncertain_at.unwrap_or_default();
-            self.quiet_until = self.quiet_until.max(at + LONGEST_FLIGHT_MS);
+    /// Acquires the lease, or a new fencing number for another version of the desired setup.
+    fn acquire(&mut self, now: MonoMs, desired: &DesiredSetup) -> IssuerAction {
+        if !self.no_order_in_flight(now) {
+            let at = self.unconfirmed_order_at.unwrap_or_default();
+            self.quiet_until = self.quiet_until.max(at + MAX_ORDER_DELAY_MS);
         }
-        let over = |row: &LeaseRow| LeaseRow {
+        let next_row = |row: &LeaseRow| LeaseRow {
             holder: self.me.clone(),
             epoch: row.epoch + 1,
             renewal: row.renewal + 1,
             ended: false,
         };
         let (row, expected) = match &self.lease {
-            Lease::Unknown => return IssuerAction::ReadLease,
-            Lease::Absent => {
+            LeaseView::Unknown => return IssuerAction::ReadLease,
+            LeaseView::Absent => {
                 let first = LeaseRow {
                     holder: self.me.clone(),
                     epoch: 1,
@@ -262,25 +273,25 @@
                 };
                 (first, ExpectedVersion::Absent)
             }
-            Lease::Own(row, version) => (over(row), ExpectedVersion::Version(*version)),
-            Lease::Foreign(row, version, _) if row.ended => {
-                (over(row), ExpectedVersion::Version(*version))
+            LeaseView::Own(row, version) => (next_row(row), ExpectedVersion::Version(*version)),
+            LeaseView::Other(row, version, _) if row.ended => {
+                (next_row(row), ExpectedVersion::Version(*version))
             }
-            Lease::Foreign(row, _, watched) => {
+            LeaseView::Other(row, _, watched) => {
                 let Some(version) = watched.expired_version(now) else {
-                    let read_at = self.read_at.unwrap_or_default();
-                    return if now.since_ms(read_at) > LOOK_PERIOD_MS {
+                    let lease_read_at = self.lease_read_at.unwrap_or_default();
+                    return if now.since_ms(lease_read_at) > POLL_PERIOD_MS {
                         IssuerAction::ReadLease
                     } else {
                         IssuerAction::Wait
                     };
                 };
-                let row = over(row);
-                self.quiet_due = true;
+                let row = next_row(row);
+                self.quiet_period_due = true;
                 (row, ExpectedVersion::Version(version))
             }
         };
-        self.write(now, row, expected, Some(wanted.version))
+        self.write(now, row, expected, Some(desired.version))
     }
 
     fn write(
@@ -295,97 +306,97 @@
             expected,
             desired_version,
         };
-        self.pending = Some(Pending {
+        self.pending_write = Some(PendingWrite {
             write: write.clone(),
             sent_at: now,
         });
         IssuerAction::WriteLease(write)
     }
 
-    /// Takes the lease's row, received at `now`.
+    /// Processes the lease row, received at `now`; `None` if there is none.
     ///
-    /// The term of another giver's lease is counted from when the row was received: the renewal
-    /// was sent before that, so the holder's own count ends earlier.
+    /// The term of another issuer's lease is counted from when the row was received. The holder
+    /// counts from before it sent the renewal, so its own count ends earlier.
     pub fn lease_read(&mut self, now: MonoMs, found: Option<(LeaseRow, u64)>) {
-        self.read_at = Some(now);
+        self.lease_read_at = Some(now);
         let Some((row, version)) = found else {
-            self.lease = Lease::Absent;
+            self.lease = LeaseView::Absent;
             return;
         };
-        if self.written.iter().flatten().any(|own| *own == row) {
-            self.adopt(now, row, version);
+        if self.own_rows.iter().flatten().any(|own| *own == row) {
+            self.adopt_lease(now, row, version);
             return;
         }
         let watched = match &self.lease {
-            Lease::Foreign(_, _, watched) => {
+            LeaseView::Other(_, _, watched) => {
                 let mut watched = watched.clone();
                 watched.observe(version, now);
                 watched
             }
             _ => WatchedLease::new(version, now),
         };
-        self.lease = Lease::Foreign(row, version, watched);
+        self.lease = LeaseView::Other(row, version, watched);
     }
 
-    fn adopt(&mut self, now: MonoMs, row: LeaseRow, version: u64) {
-        self.start_quiet(now);
-        self.lease = Lease::Own(row, version);
+    fn adopt_lease(&mut self, now: MonoMs, row: LeaseRow, version: u64) {
+        self.start_quiet_period(now);
+        self.lease = LeaseView::Own(row, version);
     }
 
-    fn start_quiet(&mut self, now: MonoMs) {
-        if !std::mem::take(&mut self.quiet_due) || self.fencing == FencingCheck::Enforced {
+    fn start_quiet_period(&mut self, now: MonoMs) {
+        if !std::mem::take(&mut self.quiet_period_due) || self.fencing == FencingCheck::Enforced {
             return;
         }
-        let until = now + LEASE_MARGIN_MS + LONGEST_FLIGHT_MS;
+        let until = now + LEASE_MARGIN_MS + MAX_ORDER_DELAY_MS;
         self.quiet_until = self.quiet_until.max(until);
     }
 
-    /// Takes the result of a write of the lease's row, at `now`.
-    pub fn lease_written(&mut self, now: MonoMs, written: LeaseWriteOutcome) {
-        let Some(Pending { write, sent_at }) = self.pending.take() else {
+    /// Processes the outcome of a write of the lease row, received at `now`.
+    pub fn lease_written(&mut self, now: MonoMs, outcome: LeaseWriteOutcome) {
+        let Some(PendingWrite { write, sent_at }) = self.pending_write.take() else {
             return;
         };
-        match written {
-            LeaseWriteOutcome::Committed => self.committed(now, sent_at, write),
+        match outcome {
+            LeaseWriteOutcome::Committed => self.lease_committed(now, sent_at, write),
             LeaseWriteOutcome::Failed => {
-                self.lose();
-                self.retry_at = now + RETRY_MS;
+                self.drop_lease();
+                self.retry_at = now + RETRY_DELAY_MS;
             }
             LeaseWriteOutcome::Unknown => {
-                self.note_written(write.row);
-                self.lose();
-                self.retry_at = now + RETRY_MS;
+                self.remember_own_row(write.row);
+                self.drop_lease();
+                self.retry_at = now + RETRY_DELAY_MS;
             }
         }
     }
 
-    fn committed(&mut self, now: MonoMs, sent_at: MonoMs, write: LeaseWrite) {
+    fn lease_committed(&mut self, now: MonoMs, sent_at: MonoMs, write: LeaseWrite) {
         let version = match write.expected {
             ExpectedVersion::Absent => 1,
             ExpectedVersion::Version(version) => version + 1,
         };
-        self.note_written(write.row.clone());
+        self.remember_own_row(write.row.clone());
         if write.row.ended {
-            self.lose();
+            self.drop_lease();
             return;
         }
         self.held.renewed(write.row.epoch, sent_at);
         self.renewed_at = sent_at;
         if write.desired_version.is_some() {
-            self.bound_to = write.desired_version;
+            self.fenced_version = write.desired_version;
         }
-        self.adopt(now, write.row, version);
+        self.adopt_lease(now, write.row, version);
     }
 
-    fn note_written(&mut self, row: LeaseRow) {
-        self.written.swap(0, 1);
-        self.written[0] = Some(row);
+    fn remember_own_row(&mut self, row: LeaseRow) {
+        self.own_rows.swap(0, 1);
+        self.own_rows[0] = Some(row);
     }
 
-    /// Stops acting; the row is read again before the next write.
-    fn lose(&mut self) {
+    /// Stops issuing orders. The lease row is read again before the next write.
+    fn drop_lease(&mut self) {
         self.held.lost();
-        self.lease = Lease::Unknown;
-        self.bound_to = None;
+        self.lease = LeaseView::Unknown;
+        self.fenced_version = None;
     }
 }
--- a/crates/foxtailhold/tests/orders_fuzz/world.rs
+++ b/crates/foxtailhold/tests/orders_fuzz/world.rs
@@ -7,7 +7,7 @@
 use foxtailhold::lease_row::LeaseRow;
 use foxtailhold::orders::issuer::{IssuerAction, LeaseWrite, OrderIssuer};
 use foxtailhold::orders::{
-    DesiredSetup, EngineSetup, EngineState, FencingCheck, LONGEST_FLIGHT_MS, LeaseWriteOutcome,
+    DesiredSetup, EngineSetup, EngineState, FencingCheck, LeaseWriteOutcome, MAX_ORDER_DELAY_MS,
     Order, OrderOutcome, Role,
 };
 use foxtailhold::time::MonoMs;
@@ -135,7 +135,7 @@
         if self.fencing == FencingCheck::Enforced {
             return;
         }
-        let due = |sent_at: u64| sent_at + LONGEST_FLIGHT_MS <= self.now_ms;
+        let due = |sent_at: u64| sent_at + MAX_ORDER_DELAY_MS <= self.now_ms;
         let mut index = 0;
         while index < self.flights.len() {
             if due(self.flights[index].sent_at) {
@@ -149,7 +149,7 @@
             let Some((IssuerAction::SendOrder(_), sent_at)) = self.seats[index].pending else {
                 continue;
             };
-            if sent_at + LONGEST_FLIGHT_MS <= self.now_ms {
+            if sent_at + MAX_ORDER_DELAY_MS <= self.now_ms {
                 self.step(index, Fate::AnswerLost, true);
             }
         }
