--- a/crates/foxtailhold/src/ids.rs
+++ b/crates/foxtailhold/src/ids.rs
@@ -1,4 +1,4 @@
-//! Checked identifiers.
+//! Validated identifiers.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,35 +6,35 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest identifier accepted, in bytes.
+/// Maximum length of an identifier.
 pub const MAX_ID_BYTES: usize = 128;
 
-/// Result of checking an identifier.
+/// Result of parsing an identifier.
 pub type Result<T> = std::result::Result<T, IdError>;
 
-/// Why a text is not an identifier.
+/// Reason why a text is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty.
     #[error("a {kind} may not be empty")]
     Empty {
-        /// What was being read.
+        /// Kind of identifier that was expected.
         kind: &'static str,
     },
     /// The text is longer than [`MAX_ID_BYTES`].
     #[error("a {kind} may have at most {MAX_ID_BYTES} bytes, this one has {length_bytes}")]
     TooLong {
-        /// What was being read.
+        /// Kind of identifier that was expected.
         kind: &'static str,
-        /// Length of the text.
+        /// Length of the rejected text.
         length_bytes: usize,
     },
     /// The text holds a character other than letters, digits, `-`, `_`, `.` and `:`.
     #[error("a {kind} may hold letters, digits, '-', '_', '.' and ':', not {character:?}")]
     BadCharacter {
-        /// What was being read.
+        /// Kind of identifier that was expected.
         kind: &'static str,
-        /// The first character refused.
+        /// The first character that is not allowed.
         character: char,
     },
 }
@@ -64,7 +64,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -108,19 +108,19 @@
 }
 
 id!(
-    /// One process of `foxtailhold-entry`.
+    /// Identifier of an instance, a process of this system.
     InstanceId,
     "instance id"
 );
 id!(
-    /// One backend server: a replica of a model engine or of a plain service.
+    /// Identifier of a backend server, a replica of a model engine or of a plain service.
     BackendId,
     "backend server id"
 );
 impl BackendId {
-    /// The identifier of one start of a backend server that keeps its identity when it starts again.
-    /// Whatever is known of one start, by this identifier, says nothing of another. Where the start is
-    /// not known (0) the identity stands for it.
+    /// Returns an identifier for one start of a backend server that keeps its identity across
+    /// restarts, so that records about one start do not apply to the next. If the start time is not
+    /// known (0), the identity itself is returned.
     pub fn for_start(identity: &BackendId, started_unix_ms: u64) -> Result<Self> {
         if started_unix_ms == 0 {
             return Ok(identity.clone());
@@ -130,37 +130,37 @@
 }
 
 id!(
-    /// One customer, the holder of one contract.
+    /// Identifier of a customer, who has one contract.
     CustomerId,
     "customer id"
 );
 id!(
-    /// An availability zone.
+    /// Name of an availability zone.
     AvailabilityZone,
     "availability zone"
 );
 id!(
-    /// One request of a caller, unique over all instances.
+    /// Identifier of a request, unique over all instances.
     RequestId,
     "request id"
 );
 id!(
-    /// One accepted batch job.
+    /// Identifier of an accepted batch job.
     JobId,
     "job id"
 );
 id!(
-    /// One uploaded or written file.
+    /// Identifier of an uploaded file or of an output file of a job.
     FileId,
     "file id"
 );
 id!(
-    /// The name of a model or of a plain service.
+    /// Name of a model or of a plain service.
     TargetName,
     "model or service name"
 );
 id!(
-    /// A caller's idempotency key.
+    /// Idempotency key of a request, chosen by the caller.
     IdempotencyKey,
     "idempotency key"
 );
--- a/crates/foxtailhold/src/lease.rs
+++ b/crates/foxtailhold/src/lease.rs
@@ -1,129 +1,133 @@
-//! A lease of one instance, kept as a row of the table service with a fencing number.
+//! The lease of an instance, stored with a fencing number as a row of the table service.
 //!
-//! The holder counts from the moment before it sent the renewal, on its own monotonic clock
-//! (Gray and Cheriton, "Leases", 1989), and stops acting a margin before the end. Another instance
-//! may take over only after it has seen the row unchanged for the whole term on its own clock.
+//! The holder counts the term on its own monotonic clock from before it sent the renewal (Gray and
+//! Cheriton, "Leases", 1989) and stops acting a margin before the end. Another instance may take
+//! over only after it has seen the row unchanged for the whole term on its own clock.
 
 use crate::batch::transaction::{Condition, TransactionOutcome, Versioned};
 use crate::ids::InstanceId;
 use crate::lease_row::LeaseRow;
 use crate::time::MonoMs;
 
-/// Term of a lease.
+/// Term of a lease, counted from each renewal.
 pub const LEASE_TERM_MS: u64 = 6_000;
-/// The holder stops acting this long before the term ends.
+/// Safety margin: the holder stops acting this long before the term ends.
 pub const LEASE_MARGIN_MS: u64 = 1_500;
-/// The holder renews this often.
+/// Interval between renewals.
 pub const LEASE_RENEW_MS: u64 = 1_500;
 
-/// The holder's side.
+/// The lease as its holder knows it.
 #[derive(Debug, Clone, Default)]
 pub struct HeldLease {
-    held: Option<(u64, MonoMs)>,
+    /// Epoch, and the time at which the last committed renewal was sent.
+    last_renewal: Option<(u64, MonoMs)>,
 }
 
 impl HeldLease {
-    /// Notes a renewal known to be committed, sent at `sent_at`.
+    /// Records a committed renewal that was sent at `sent_at`.
     pub fn renewed(&mut self, epoch: u64, sent_at: MonoMs) {
-        self.held = Some((epoch, sent_at));
+        self.last_renewal = Some((epoch, sent_at));
     }
 
-    /// Gives the lease up.
+    /// Gives up the lease.
     pub fn lost(&mut self) {
-        self.held = None;
+        self.last_renewal = None;
     }
 
-    /// The fencing number, while the holder may act at `now`.
+    /// The fencing number if the holder may act at `now`.
     pub fn epoch_at(&self, now: MonoMs) -> Option<u64> {
-        let (epoch, _) = self.held?;
+        let (epoch, _) = self.last_renewal?;
         (now < self.valid_until(epoch)?).then_some(epoch)
     }
 
-    /// Until when the holder may act on work owned under `epoch`; `None` where it holds nothing, or
-    /// another epoch.
+    /// Time until which the holder may act on work owned under `epoch`; `None` if it holds no lease
+    /// or holds one with a different epoch.
     pub fn valid_until(&self, epoch: u64) -> Option<MonoMs> {
-        let (held, sent_at) = self.held?;
-        (held == epoch).then_some(sent_at + (LEASE_TERM_MS - LEASE_MARGIN_MS))
+        let (held_epoch, sent_at) = self.last_renewal?;
+        (held_epoch == epoch).then_some(sent_at + (LEASE_TERM_MS - LEASE_MARGIN_MS))
     }
 }
 
-/// How an owner stands towards work owned under an epoch.
+/// State of the lease with respect to work that was claimed under some epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
-    /// It may act.
+    /// The owner may act.
     Held,
-    /// It may not act now; the lease may come back under the same epoch.
+    /// The owner may not act now, but the lease may be renewed with the same epoch.
     Lapsed,
-    /// The epoch is over for good.
+    /// The lease has a different epoch, so the work is lost for good.
     Lost,
 }
 
 impl HeldLease {
-    /// How the holder stands towards work owned under `epoch`.
+    /// State of the lease for work owned under `epoch`.
     pub fn lease_state(&self, epoch: u64, now: MonoMs) -> LeaseState {
-        match self.held {
-            Some((held, _)) if held != epoch => LeaseState::Lost,
+        match self.last_renewal {
+            Some((held_epoch, _)) if held_epoch != epoch => LeaseState::Lost,
             _ if self.epoch_at(now).is_some() => LeaseState::Held,
             _ => LeaseState::Lapsed,
         }
     }
 }
 
-/// Renews one instance's own lease.
+/// Renews the lease of this instance.
 ///
-/// The epoch belongs to one run of the process. It is kept as long as the row says it and is not
-/// marked as ended, also after a gap longer than the term: a take-over would have marked the row,
-/// and the renewal is conditional on the row's version.
+/// A process keeps its epoch as long as the row has this epoch and is not marked as ended, even
+/// after a gap longer than the term. This is safe because a take-over would have marked the row as
+/// ended and each renewal is conditional on the version of the row.
 #[derive(Debug, Clone)]
 pub struct LeaseRenewer {
     me: InstanceId,
     held: HeldLease,
     epoch: Option<u64>,
-    known: Option<Versioned<LeaseRow>>,
+    last_row: Option<Versioned<LeaseRow>>,
 }
 
-/// A renewal ready to be sent.
+/// A planned renewal, not sent yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Renewal {
-    /// What the row must be.
+    /// Precondition on the current row.
     pub condition: Condition,
-    /// What it becomes.
+    /// The row to write.
     pub row: LeaseRow,
     sent_at: MonoMs,
     version: u64,
 }
 
 impl LeaseRenewer {
-    /// The keeper of an instance that has just started.
+    /// Creates the renewer of an instance that has just started and holds no lease.
     pub fn new(me: InstanceId) -> Self {
         LeaseRenewer {
             me,
             held: HeldLease::default(),
             epoch: None,
-            known: None,
+            last_row: None,
         }
     }
 
-    /// What is held.
+    /// The lease as held by this instance.
     pub fn held(&self) -> &HeldLease {
         &self.held
     }
 
-    /// Whether the row has to be read before the next renewal.
+    /// Whether the row has to be read before the next renewal is planned.
     pub fn needs_read(&self) -> bool {
-        self.known.is_none()
+        self.last_row.is_none()
     }
 
-    /// Plans the next renewal at `now`, which must not be later than the moment it is sent.
-    /// `found` is the row where it was read for this renewal.
+    /// Plans the next renewal. `now` must not be later than the time at which it is sent. `found`
+    /// is the row if it was read for this renewal.
     pub fn renewal(&mut self, found: Option<Versioned<LeaseRow>>, now: MonoMs) -> Renewal {
-        let known = self.known.take().or(found);
-        let condition = Condition::unchanged(known.as_ref());
-        if !known.as_ref().is_some_and(|known| self.is_own(&known.row)) {
+        let last_row = self.last_row.take().or(found);
+        let condition = Condition::unchanged(last_row.as_ref());
+        if !last_row
+            .as_ref()
+            .is_some_and(|last_row| self.is_own(&last_row.row))
+        {
             self.held.lost();
         }
-        let version = known.as_ref().map_or(0, |known| known.version) + 1;
-        let row = match known {
+        let version = last_row.as_ref().map_or(0, |last_row| last_row.version) + 1;
+        let row = match last_row {
             None => LeaseRow {
                 holder: self.me.clone(),
                 epoch: self.epoch.unwrap_or(0) + 1,
@@ -148,15 +152,16 @@
         }
     }
 
-    /// The end of the lease, which others may then take over at once; `None` if its row is not
-    /// known. Nothing may be done under the lease after this.
+    /// Gives up the lease and returns the write that marks it as ended, so that other instances do
+    /// not have to wait for its expiry. Returns `None` if the row is not known. The holder must not
+    /// act under the lease after this.
     pub fn end(&mut self) -> Option<(Condition, LeaseRow)> {
         self.held.lost();
-        let known = self.known.take()?;
-        let condition = Condition::unchanged(Some(&known));
+        let last_row = self.last_row.take()?;
+        let condition = Condition::unchanged(Some(&last_row));
         let row = LeaseRow {
             ended: true,
-            ..known.row
+            ..last_row.row
         };
         Some((condition, row))
     }
@@ -165,14 +170,14 @@
         !row.ended && self.epoch == Some(row.epoch)
     }
 
-    /// Takes what became of a renewal. After a lost answer or a conflict the row is read anew;
-    /// until then the holder acts on what it was granted before.
+    /// Processes the outcome of a renewal. After a lost response or a conflict the row has to be
+    /// read again. Until then the holder acts on its previous renewal.
     pub fn handle_outcome(&mut self, renewal: Renewal, outcome: &TransactionOutcome) {
         match outcome {
             TransactionOutcome::Committed => {
                 self.epoch = Some(renewal.row.epoch);
                 self.held.renewed(renewal.row.epoch, renewal.sent_at);
-                self.known = Some(Versioned {
+                self.last_row = Some(Versioned {
                     version: renewal.version,
                     row: renewal.row,
                 });
@@ -184,7 +189,7 @@
     }
 }
 
-/// Another instance's view of the row.
+/// The lease of another instance, as observed through its row.
 #[derive(Debug, Clone)]
 pub struct WatchedLease {
     version: u64,
@@ -192,7 +197,8 @@
 }
 
 impl WatchedLease {
-    /// Starts watching a row with `version`, whose reading was answered at `answered_at`.
+    /// Starts to observe a lease whose row was read with `version`; the response arrived at
+    /// `answered_at`.
     pub fn new(version: u64, answered_at: MonoMs) -> Self {
         WatchedLease {
             version,
@@ -200,8 +206,8 @@
         }
     }
 
-    /// Notes a later reading, answered at `answered_at`. The time before the read was sent would
-    /// be too early: the holder may have sent its renewal after that.
+    /// Records a later read, whose response arrived at `answered_at`. The time at which the read
+    /// was sent would be too early, because the holder may have sent its renewal after that.
     pub fn observe(&mut self, version: u64, answered_at: MonoMs) {
         if version == self.version {
             return;
@@ -210,8 +216,8 @@
         self.seen_at = answered_at;
     }
 
-    /// The version that a take-over must be conditional on, once a reading sent at `asked_at` found
-    /// it unchanged for the whole term.
+    /// Version on which a take-over has to be conditional, or `None` unless a read sent at
+    /// `asked_at` has found the row unchanged for longer than the term.
     pub fn expired_version(&self, asked_at: MonoMs) -> Option<u64> {
         (asked_at.since_ms(self.seen_at) > LEASE_TERM_MS).then_some(self.version)
     }
--- a/crates/foxtailhold/src/refusal.rs
+++ b/crates/foxtailhold/src/refusal.rs
@@ -1,27 +1,27 @@
-//! The final answer to a request the system does not serve.
+//! Errors returned to callers for requests that are not served.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::ids::{CustomerId, TargetName};
 
-/// Result of a step that may end a request.
+/// Result of a step that may refuse a request.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// What is known of a request's effect when it is refused.
+/// Whether a refused request may have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionStatus {
-    /// No backend server was sent a byte of it, and none will be.
+    /// No byte of the request was sent to a backend server, and none will be.
     NotRun,
-    /// A backend server may have run it, wholly or in part.
+    /// A backend server may have run the request completely or in part.
     MayHaveRun,
-    /// A backend server ran it.
+    /// A backend server ran the request.
     Ran,
 }
 
 impl ExecutionStatus {
-    /// The text in the error object's `ran` field.
+    /// The value of the field `ran` in the error object.
     pub fn as_str(self) -> &'static str {
         match self {
             ExecutionStatus::NotRun => "not_run",
@@ -31,129 +31,130 @@
     }
 }
 
-/// Why a request is refused. Each variant becomes one documented error object.
+/// Reason why a request is refused. Each variant corresponds to one documented error object.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// No key or an unknown key.
+    /// The API key is missing or unknown.
     #[error("the API key is missing or unknown")]
     Unauthorized,
-    /// The request cannot be understood.
+    /// The request is malformed.
     #[error("{detail}")]
     Invalid {
-        /// What is wrong, naming the field.
+        /// Description of the problem, with the name of the field.
         detail: String,
     },
-    /// The body is over the limit.
+    /// The request body exceeds the size limit.
     #[error("the body is over the limit of {limit_bytes} bytes")]
     BodyTooLarge {
-        /// The limit.
+        /// The size limit.
         limit_bytes: u64,
     },
-    /// The caller was too slow to send the body.
+    /// The caller sent no further byte of the body in time.
     #[error("no byte of the body came within {idle_ms} ms")]
     BodyTimeout {
-        /// The limit for the wait between two parts of the body.
+        /// Maximum time between two reads of the body.
         idle_ms: u64,
     },
-    /// The path is known and does not take the method.
+    /// The path exists but does not support the method.
     #[error("{method} is not allowed here, {allow} is")]
     MethodNotAllowed {
-        /// The method of the request.
+        /// Method of the request.
         method: String,
-        /// The methods allowed, as in the `Allow` header (RFC 9110, 10.2.1).
+        /// Supported methods, as in the `Allow` header (RFC 9110, 10.2.1).
         allow: String,
     },
-    /// The model or service is not known.
+    /// No model or service has the requested name.
     #[error("{name} is not a model or service of this system")]
     UnknownTarget {
-        /// The name asked for.
+        /// The requested name.
         name: String,
     },
-    /// The object asked for does not exist.
+    /// The requested object does not exist.
     #[error("there is no {kind} {id}")]
     NotFound {
-        /// What kind of object.
+        /// Kind of the object.
         kind: String,
-        /// Its identifier.
+        /// Identifier of the object.
         id: String,
     },
-    /// The same key came with another body, or the object is in another state.
+    /// The idempotency key was used with a different body, or the object is in a state that does
+    /// not allow the request.
     #[error("{detail}")]
     Conflict {
-        /// What clashes.
+        /// Description of the conflict.
         detail: String,
     },
-    /// The contract's limit is used up.
+    /// A limit of the customer's contract is exhausted.
     #[error("customer {customer} is over its limit of {limit}")]
     OverLimit {
-        /// The customer.
+        /// The customer whose limit is exhausted.
         customer: CustomerId,
-        /// Which limit, with its unit.
+        /// Name of the limit, with its unit.
         limit: String,
     },
-    /// Queues are full.
+    /// The queues of the target are full.
     #[error("the system is at capacity for {target}")]
     Overloaded {
-        /// The model or service.
+        /// The requested model or service.
         target: TargetName,
     },
-    /// No backend server of the target is live.
+    /// No backend server of the target is available.
     #[error("no backend server of {target} is available")]
     NoBackend {
-        /// The model or service.
+        /// The requested model or service.
         target: TargetName,
     },
-    /// A backend server failed and no retry is left or allowed.
+    /// A backend server failed and no further retry is left or allowed.
     #[error("a backend server of {target} failed: {detail}")]
     BackendFailed {
-        /// The model or service.
+        /// The requested model or service.
         target: TargetName,
-        /// What was seen.
+        /// Description of the failure.
         detail: String,
     },
-    /// The request crashed backend servers before and is not run again for now.
+    /// The request is in quarantine, because it crashed backend servers before.
     #[error("this request crashed backend servers and is refused for now")]
     Quarantined,
-    /// The platform's store did not answer.
+    /// The platform's store did not respond.
     #[error("the platform's store is unavailable")]
     StoreUnavailable,
-    /// The request's own deadline passed.
+    /// The deadline of the request passed.
     #[error("the deadline of {deadline_ms} ms passed")]
     DeadlinePassed {
-        /// The deadline given with the request.
+        /// The deadline that the caller set for the request.
         deadline_ms: u64,
     },
-    /// A request with the same key was claimed before and its answer is not stored.
+    /// A request with the same idempotency key was started before and its response is not stored.
     #[error("a request with this idempotency key was started before; its answer is not known")]
     AlreadyStarted,
-    /// The batch job cannot be finished by its deadline.
+    /// The batch job cannot finish by its deadline.
     #[error("the job needs about {needed_ms} ms and its window is {window_ms} ms")]
     #[serde(rename = "CannotLand")]
     DeadlineInfeasible {
-        /// Estimated time to finish.
+        /// Estimated time until the job would finish.
         needed_ms: u64,
-        /// The job's window.
+        /// Time from acceptance to the deadline of the job.
         window_ms: u64,
     },
-    /// This instance is stopping and takes no new requests.
+    /// This instance is stopping and accepts no new requests.
     #[error("this instance is stopping; ask another one")]
     Stopping,
 }
 
-/// A refusal: the reason, what is known of the effect, and when to come back.
+/// Refusal of a request, with its reason, whether the request ran, and when to retry.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{reason}")]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// What is known of the effect.
+    /// Whether the request may have been executed.
     pub ran: ExecutionStatus,
-    /// When trying again makes sense; `None` where it never does.
+    /// Time after which a retry makes sense; `None` if it never does.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal before any byte was sent that makes no sense to repeat.
+    /// Creates a refusal of a request that was not sent and that the caller should not retry.
     pub fn not_run(reason: RefusalReason) -> Self {
         Refusal {
             reason,
@@ -162,19 +163,19 @@
         }
     }
 
-    /// A refusal for a request that cannot be understood.
+    /// Creates the refusal of a malformed request.
     pub fn invalid(detail: impl Into<String>) -> Self {
         let detail = detail.into();
         Refusal::not_run(RefusalReason::Invalid { detail })
     }
 
-    /// The same refusal with a time to come back.
+    /// Returns the refusal with a time after which to retry.
     pub fn retry_after_ms(mut self, after_ms: u64) -> Self {
         self.retry_after_ms = Some(after_ms);
         self
     }
 
-    /// The same refusal with another statement on the effect.
+    /// Returns the refusal with a different execution status.
     pub fn with_ran(mut self, ran: ExecutionStatus) -> Self {
         self.ran = ran;
         self
--- a/crates/foxtailhold/src/timeline.rs
+++ b/crates/foxtailhold/src/timeline.rs
@@ -1,5 +1,5 @@
-//! The time line of events over all processes, ordered by a hybrid logical clock
-//! (Kulkarni and others, "Logical Physical Clocks", 2014).
+//! Timeline of events in all processes, ordered by a hybrid logical clock (Kulkarni et al.,
+//! "Logical Physical Clocks", 2014).
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,54 +11,54 @@
 use crate::orders::OrderOutcome;
 use crate::time::WallMs;
 
-/// A reading of a hybrid logical clock.
+/// Timestamp of a hybrid logical clock.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct HlcTime {
-    /// Largest wall clock seen.
+    /// Largest wall clock time seen so far, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
-    /// Orders readings within one millisecond.
+    /// Orders timestamps within the same millisecond.
     pub counter: u32,
 }
 
 impl fmt::Display for HlcTime {
-    /// Milliseconds, a dot and the counter, as [`HlcTime::from_str`] reads it.
+    /// Writes the milliseconds, a dot and the counter, as [`HlcTime::from_str`] parses them.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}.{}", self.wall_ms, self.counter)
     }
 }
 
-/// A text is not a reading.
+/// A text is not a timestamp of a hybrid logical clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a reading of a hybrid logical clock is milliseconds, a dot and a counter")]
-pub struct BadHlcTime;
+pub struct ParseHlcTimeError;
 
 impl FromStr for HlcTime {
-    type Err = BadHlcTime;
+    type Err = ParseHlcTimeError;
 
-    fn from_str(text: &str) -> Result<Self, BadHlcTime> {
-        let (wall_ms, counter) = text.split_once('.').ok_or(BadHlcTime)?;
+    fn from_str(text: &str) -> Result<Self, ParseHlcTimeError> {
+        let (wall_ms, counter) = text.split_once('.').ok_or(ParseHlcTimeError)?;
         Ok(HlcTime {
-            wall_ms: wall_ms.parse().map_err(|_| BadHlcTime)?,
-            counter: counter.parse().map_err(|_| BadHlcTime)?,
+            wall_ms: wall_ms.parse().map_err(|_| ParseHlcTimeError)?,
+            counter: counter.parse().map_err(|_| ParseHlcTimeError)?,
         })
     }
 }
 
-/// One process's hybrid logical clock.
+/// Hybrid logical clock of one process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HybridClock {
     last: HlcTime,
 }
 
 impl HybridClock {
-    /// A reading for a local event.
+    /// Returns the timestamp of a local event.
     pub fn tick(&mut self, wall: WallMs) -> HlcTime {
         self.advance(HlcTime::default(), wall)
     }
 
-    /// A reading for the receipt of a message stamped `remote`.
+    /// Returns the timestamp for the receipt of a message with the timestamp `remote`.
     pub fn receive(&mut self, remote: HlcTime, wall: WallMs) -> HlcTime {
         self.advance(remote, wall)
     }
@@ -80,124 +80,124 @@
     }
 }
 
-/// What happened.
+/// An event in the timeline, written as JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum TimelineEvent {
-    /// The process started.
+    /// An instance started.
     Started,
-    /// A planned stop began.
+    /// A planned stop of an instance began.
     Stopping,
-    /// The process is about to exit.
+    /// An instance is about to exit.
     Stopped,
-    /// A request was taken in.
+    /// A request was accepted.
     Accepted {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Whose.
+        /// The customer that sent the request.
         customer: CustomerId,
     },
     /// A request was sent to a backend server.
     Sent {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Where to.
+        /// The backend server that it was sent to.
         backend: BackendId,
     },
-    /// A request was answered in whole.
+    /// A request was answered completely.
     Answered {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
     },
     /// A request was refused.
     Refused {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// The error code.
+        /// Error code of the refusal.
         code: String,
     },
     /// A job was accepted.
     JobAccepted {
-        /// The job.
+        /// Identifier of the job.
         job: JobId,
     },
-    /// This instance took over a job.
+    /// This instance claimed a job.
     JobOwned {
-        /// The job.
+        /// Identifier of the job.
         job: JobId,
-        /// Fencing number.
+        /// Fencing number of the claim.
         epoch: u64,
     },
     /// A chunk of a job was committed.
     ChunkDone {
-        /// The job.
+        /// Identifier of the job.
         job: JobId,
-        /// Which chunk.
+        /// Index of the chunk.
         chunk: u32,
     },
-    /// A job reached its end.
+    /// A job ended.
     JobEnded {
-        /// The job.
+        /// Identifier of the job.
         job: JobId,
-        /// Its final status.
+        /// Final status of the job.
         status: String,
     },
-    /// A contract change was accepted here.
+    /// This instance accepted a contract change.
     ContractAccepted {
-        /// The change's number.
+        /// Number of the change.
         number: u64,
     },
-    /// A contract change took effect here.
+    /// A contract change took effect on this instance.
     ContractApplied {
-        /// The change's number.
+        /// Number of the change.
         number: u64,
     },
-    /// An order was given to an engine.
+    /// An order was sent to an engine.
     EngineOrdered {
-        /// The engine.
+        /// The engine that the order is for.
         backend: BackendId,
         /// Fencing number of the order.
         fencing: u64,
-        /// What became of it.
+        /// Outcome of the order.
         outcome: OrderOutcome,
     },
-    /// A member's state changed in this instance's view.
+    /// The state of a member changed in this instance's membership list.
     MemberChanged {
-        /// Which member; the entry's own field `instance` is the one that saw it.
+        /// The member whose state changed. The field `instance` of the entry is the observer.
         #[serde(rename = "member")]
         instance: InstanceId,
-        /// The state.
+        /// The new state.
         state: String,
     },
-    /// Streams of batch items were cancelled here to make room at a backend server.
+    /// Batch items were preempted to free capacity at a backend server.
     #[serde(rename = "batch_yielded")]
     BatchPreempted {
-        /// Where.
+        /// The backend server.
         backend: BackendId,
-        /// How many.
+        /// Number of preempted items.
         items: u32,
     },
-    /// A request was convicted of crashing backend servers.
+    /// A request was put into quarantine for crashing backend servers.
     Convicted {
-        /// Its fingerprint.
+        /// Fingerprint of the request.
         fingerprint: String,
     },
 }
 
-/// One line of the time line.
+/// One entry of the timeline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TimelineEntry {
-    /// When, in the merged order.
+    /// Timestamp, which orders the entries of all instances.
     pub at: HlcTime,
-    /// The process.
+    /// The instance that recorded the event.
     pub instance: InstanceId,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: TimelineEvent,
 }
 
 impl TimelineEntry {
-    /// Whether one of the event's identifiers, or the instance, is `id`.
+    /// Whether the instance or one of the identifiers in the event equals `id`.
     pub fn has_id(&self, id: &str) -> bool {
         if self.instance.as_str() == id {
             return true;
