--- a/crates/foxtailhold/tests/batch_exactly_once.rs
+++ b/crates/foxtailhold/tests/batch_exactly_once.rs
@@ -1,7 +1,8 @@
-//! Stateful fuzzing of the batch machines: each chunk gets one result that never changes, one
-//! owner at a time acts, nothing of a cancelled job starts, and every accepted job ends.
+//! Stateful fuzzing of the batch state machines with crashes, pauses, lost messages and store
+//! outages. It checks that each chunk gets one result that never changes, that one owner at a time
+//! acts, that no item of a cancelled job starts, and that every accepted job ends.
 //!
-//! `FOXTAILHOLD_FUZZ_CASES` sets the number of sequences, `FOXTAILHOLD_FUZZ_SEED` the seed.
+//! `FOXTAILHOLD_FUZZ_CASES` sets the number of sequences and `FOXTAILHOLD_FUZZ_SEED` the seed.
 
 mod batch_sim;
 
@@ -18,24 +19,24 @@
 #[derive(Debug, Clone)]
 enum Transition {
     Advance { ms: u64 },
-    Poke { node: usize },
-    Quiet { rounds: usize },
-    ItemsEnd { node: usize },
+    Tick { node: usize },
+    RunWithoutFaults { rounds: usize },
+    FinishItems { node: usize },
     Apply { call: usize },
     Answer { call: usize },
-    Lose { call: usize },
-    LoseAnswer { call: usize },
+    TimeOut { call: usize },
+    LoseResponse { call: usize },
     Refuse { call: usize },
-    Store { up: bool },
-    Cut { node: usize, cut: bool },
+    SetStoreUp { up: bool },
+    SetDisconnected { node: usize, disconnected: bool },
     Pause { node: usize },
     Resume { node: usize },
     Kill { node: usize },
     Stop { node: usize },
     Submit { job: usize },
     Cancel { node: usize, job: usize },
-    PeerArrives { cancel: usize },
-    PeerLost { cancel: usize },
+    DeliverPeerMessage { cancel: usize },
+    LosePeerMessage { cancel: usize },
 }
 
 struct Reference;
@@ -54,26 +55,26 @@
         prop_oneof![
             6 => (50..3_000_u64).prop_map(|ms| Advance { ms }),
             1 => (6_000..9_000_u64).prop_map(|ms| Advance { ms }),
-            10 => (0..NODES).prop_map(|node| Poke { node }),
-            3 => (1..12_usize).prop_map(|rounds| Quiet { rounds }),
-            8 => (0..NODES).prop_map(|node| ItemsEnd { node }),
+            10 => (0..NODES).prop_map(|node| Tick { node }),
+            3 => (1..12_usize).prop_map(|rounds| RunWithoutFaults { rounds }),
+            8 => (0..NODES).prop_map(|node| FinishItems { node }),
             8 => any_call().prop_map(|call| Apply { call }),
             24 => any_call().prop_map(|call| Answer { call }),
-            4 => any_call().prop_map(|call| Lose { call }),
-            4 => any_call().prop_map(|call| LoseAnswer { call }),
+            4 => any_call().prop_map(|call| TimeOut { call }),
+            4 => any_call().prop_map(|call| LoseResponse { call }),
             2 => any_call().prop_map(|call| Refuse { call }),
-            1 => Just(Store { up: false }),
-            2 => Just(Store { up: true }),
-            2 => (0..NODES).prop_map(|node| Cut { node, cut: true }),
-            3 => (0..NODES).prop_map(|node| Cut { node, cut: false }),
+            1 => Just(SetStoreUp { up: false }),
+            2 => Just(SetStoreUp { up: true }),
+            2 => (0..NODES).prop_map(|node| SetDisconnected { node, disconnected: true }),
+            3 => (0..NODES).prop_map(|node| SetDisconnected { node, disconnected: false }),
             2 => (0..NODES).prop_map(|node| Pause { node }),
             3 => (0..NODES).prop_map(|node| Resume { node }),
             1 => (0..NODES).prop_map(|node| Kill { node }),
             1 => (0..NODES).prop_map(|node| Stop { node }),
             3 => (0..JOBS).prop_map(|job| Submit { job }),
             2 => (0..NODES, 0..JOBS).prop_map(|(node, job)| Cancel { node, job }),
-            4 => (0..4_usize).prop_map(|cancel| PeerArrives { cancel }),
-            2 => (0..4_usize).prop_map(|cancel| PeerLost { cancel }),
+            4 => (0..4_usize).prop_map(|cancel| DeliverPeerMessage { cancel }),
+            2 => (0..4_usize).prop_map(|cancel| LosePeerMessage { cancel }),
         ]
         .boxed()
     }
@@ -85,8 +86,8 @@
 
 struct Machine;
 
-/// Runs `step` on one of `len` things, if there is any.
-fn on_one(world: &mut World, len: usize, choice: usize, step: fn(&mut World, usize)) {
+/// Applies `step` to one of `len` elements, selected by `choice`; does nothing if there is none.
+fn with_one(world: &mut World, len: usize, choice: usize, step: fn(&mut World, usize)) {
     if len > 0 {
         step(world, choice % len);
     }
@@ -105,28 +106,28 @@
         let calls = world.calls.len();
         match transition {
             Transition::Advance { ms } => world.now_ms += ms,
-            Transition::Poke { node } => world.poke(node),
-            Transition::Quiet { rounds } => world.quiet(rounds),
-            Transition::ItemsEnd { node } => world.items_end(node),
-            Transition::Apply { call } => on_one(&mut world, calls, call, World::apply),
-            Transition::Answer { call } => on_one(&mut world, calls, call, World::answer),
-            Transition::Lose { call } => on_one(&mut world, calls, call, World::lose),
-            Transition::LoseAnswer { call } => {
-                on_one(&mut world, calls, call, World::apply);
-                on_one(&mut world, calls, call, World::lose);
+            Transition::Tick { node } => world.tick(node),
+            Transition::RunWithoutFaults { rounds } => world.run_without_faults(rounds),
+            Transition::FinishItems { node } => world.finish_items(node),
+            Transition::Apply { call } => with_one(&mut world, calls, call, World::apply),
+            Transition::Answer { call } => with_one(&mut world, calls, call, World::answer),
+            Transition::TimeOut { call } => with_one(&mut world, calls, call, World::time_out),
+            Transition::LoseResponse { call } => {
+                with_one(&mut world, calls, call, World::apply);
+                with_one(&mut world, calls, call, World::time_out);
             }
-            Transition::Refuse { call } => on_one(&mut world, calls, call, World::refuse),
-            Transition::Store { up } => {
-                if world.up && !up {
+            Transition::Refuse { call } => with_one(&mut world, calls, call, World::refuse),
+            Transition::SetStoreUp { up } => {
+                if world.store_up && !up {
                     count("store down");
                 }
-                world.up = up;
+                world.store_up = up;
             }
-            Transition::Cut { node, cut } => {
-                if cut {
+            Transition::SetDisconnected { node, disconnected } => {
+                if disconnected {
                     count("instance cut off from the store");
                 }
-                world.nodes[node].cut = cut;
+                world.nodes[node].disconnected = disconnected;
             }
             Transition::Pause { node } => {
                 count("instance paused");
@@ -140,16 +141,16 @@
                 count("cancel");
                 world.cancel(node, job);
             }
-            Transition::PeerArrives { cancel } => {
+            Transition::DeliverPeerMessage { cancel } => {
                 let stops = world.peer_messages();
-                on_one(&mut world, stops.len(), cancel, |world, choice| {
-                    world.peer_arrives(world.peer_messages()[choice]);
+                with_one(&mut world, stops.len(), cancel, |world, choice| {
+                    world.deliver_peer_message(world.peer_messages()[choice]);
                 });
             }
-            Transition::PeerLost { cancel } => {
+            Transition::LosePeerMessage { cancel } => {
                 let stops = world.peer_messages();
-                on_one(&mut world, stops.len(), cancel, |world, choice| {
-                    world.peer_lost(world.peer_messages()[choice]);
+                with_one(&mut world, stops.len(), cancel, |world, choice| {
+                    world.lose_peer_message(world.peer_messages()[choice]);
                 });
             }
         }
--- a/crates/foxtailhold/tests/batch_races.rs
+++ b/crates/foxtailhold/tests/batch_races.rs
@@ -1,8 +1,9 @@
-//! Races that random sequences seldom reach, step by step.
+//! Races of the batch state machines that the random sequences of `batch_exactly_once` seldom
+//! reach.
 
 mod batch_sim;
 
-use batch_sim::store::{Store, Token};
+use batch_sim::store::{ProcessId, Store};
 use batch_sim::world::job;
 use foxtailhold::batch::chunk::{ChunkCommit, ChunkCommitResult};
 use foxtailhold::batch::chunk_slots::ChunkSlots;
@@ -46,19 +47,21 @@
     }
 }
 
-fn claim(store: &mut Store, token: &Token) -> OwnedJob {
+fn claim(store: &mut Store, process: &ProcessId) -> OwnedJob {
     let view = ClaimView {
         job: store.job.get(&job(0)).cloned(),
         owner: store.owner.get(&job(0)).cloned(),
         ..ClaimView::default()
     };
-    let claim = Claim::plan(&token.0, 1, view, &mut WatchedLeases::new()).unwrap();
-    let outcome = store.transact(token, claim.transaction());
+    let claim = Claim::plan(&process.0, 1, view, &mut WatchedLeases::new()).unwrap();
+    let outcome = store.transact(process, claim.transaction());
     claim.close(&outcome).unwrap()
 }
 
+/// Guards against a commit of the previous owner that arrives after the job was released and
+/// claimed by another instance.
 #[test]
-fn commit_on_its_way_during_a_release_does_not_pass_after_the_next_claim() {
+fn delayed_commit_fails_after_release_and_claim_by_another_instance() {
     let mut store = Store::default();
     store.accept(&job_row());
     let (first, second) = ((instance("first"), 1), (instance("second"), 1));
@@ -76,35 +79,39 @@
     assert_eq!(commit.handle_outcome(outcome), ChunkCommitResult::Committed);
 }
 
+/// Guards against an owner that takes its own committed result for that of another attempt because
+/// the response to its first commit was lost.
 #[test]
-fn commit_sent_again_after_a_lost_answer_finds_its_own_result() {
+fn resent_commit_recognizes_its_own_result_after_a_lost_response() {
     let mut store = Store::default();
     store.accept(&job_row());
-    let token = (instance("first"), 1);
-    let owned = claim(&mut store, &token);
+    let process = (instance("first"), 1);
+    let owned = claim(&mut store, &process);
     let commit = ChunkCommit::new(&owned, 0, chunk_row("first"));
     assert_eq!(
         commit.handle_outcome(TransactionOutcome::Unknown),
         ChunkCommitResult::Resend
     );
-    store.transact(&token, commit.transaction());
-    let outcome = store.transact(&token, commit.transaction());
+    store.transact(&process, commit.transaction());
+    let outcome = store.transact(&process, commit.transaction());
     assert_eq!(commit.handle_outcome(outcome), ChunkCommitResult::Committed);
     let other = ChunkCommit::new(&owned, 0, chunk_row("other"));
-    let outcome = store.transact(&token, other.transaction());
+    let outcome = store.transact(&process, other.transaction());
     assert_eq!(
         other.handle_outcome(outcome),
         ChunkCommitResult::AlreadyCommitted(chunk_row("first"))
     );
 }
 
-/// The lease's row is renewed at 1,900 ms, while a read sent at 0 is on its way, and never again.
+/// Guards against a take-over before the lease has expired. The row is renewed for the last time at
+/// 1,900 ms, while a read that was sent at 0 is in flight, so the term must not be counted from the
+/// time at which the read was sent.
 #[test_case(LEASE_TERM_MS + 1, false; "one term after the first read was sent")]
-#[test_case(2_000 + LEASE_TERM_MS, false; "one term after the first answer")]
-#[test_case(2_000 + LEASE_TERM_MS + 1, true; "more than a term after the first answer")]
+#[test_case(2_000 + LEASE_TERM_MS, false; "one term after the first response")]
+#[test_case(2_000 + LEASE_TERM_MS + 1, true; "more than a term after the first response")]
 fn slow_read_of_a_lease_does_not_shorten_its_term(second_read_ms: u64, taken: bool) {
     let holder = instance("holder");
-    let view = |asked_ms: u64, answered_ms: u64| ClaimView {
+    let view = |sent_ms: u64, answered_ms: u64| ClaimView {
         job: Some(Versioned {
             version: 1,
             row: job_row(),
@@ -126,7 +133,7 @@
                 ended: false,
             },
         }),
-        asked_at: MonoMs(asked_ms),
+        asked_at: MonoMs(sent_ms),
         answered_at: MonoMs(answered_ms),
     };
     let me = instance("watcher");
@@ -138,16 +145,16 @@
 }
 
 #[test]
-fn chunk_place_goes_to_the_job_with_the_least_slack() {
-    let mut places = ChunkSlots::new(1);
-    assert!(places.try_acquire(&job(0), 50));
-    assert!(!places.try_acquire(&job(0), 50));
-    assert!(!places.try_acquire(&job(1), 10));
-    places.release();
-    assert!(!places.try_acquire(&job(0), 50));
-    assert!(places.try_acquire(&job(1), 10));
-    places.release();
-    assert!(places.try_acquire(&job(0), 50));
-    places.record_chunk_duration(1_000);
-    assert_eq!(places.slack_ms(10_000, 4, WallMs(1_000)), 5_000);
+fn chunk_slot_goes_to_the_job_with_the_least_slack() {
+    let mut slots = ChunkSlots::new(1);
+    assert!(slots.try_acquire(&job(0), 50));
+    assert!(!slots.try_acquire(&job(0), 50));
+    assert!(!slots.try_acquire(&job(1), 10));
+    slots.release();
+    assert!(!slots.try_acquire(&job(0), 50));
+    assert!(slots.try_acquire(&job(1), 10));
+    slots.release();
+    assert!(slots.try_acquire(&job(0), 50));
+    slots.record_chunk_duration(1_000);
+    assert_eq!(slots.slack_ms(10_000, 4, WallMs(1_000)), 5_000);
 }
--- a/crates/foxtailhold/tests/batch_sim/drive.rs
+++ b/crates/foxtailhold/tests/batch_sim/drive.rs
@@ -1,4 +1,5 @@
-//! What instances do by themselves: renewals, looks, runs; and the steps of cancels.
+//! Periodic work of the simulated instances (lease renewal, scans, job execution) and the steps of
+//! cancellations.
 
 use foxtailhold::batch::cancel::{CancelPlan, CancelTransaction, CancellingJob};
 use foxtailhold::batch::chunk::{ChunkCommit, ChunkCommitResult};
@@ -11,17 +12,17 @@
 use foxtailhold::time::{MonoMs, WallMs};
 
 use super::count;
-use super::node::{Ask, Look, Reply, Waiter};
+use super::node::{JobScan, StoreRequest, StoreResponse, Waiter};
 use super::world::{CancelState, World};
 
-/// Chunks of one run started at once.
-const ROOM: usize = 2;
-/// Rounds in which everything must end once nothing fails any more.
+/// Maximum number of started chunks of one job.
+const MAX_STARTED_CHUNKS: usize = 2;
+/// Rounds without faults within which every job must end.
 const HEALED_ROUNDS: usize = 400;
 
 impl World {
-    /// An instance does all that is due.
-    pub fn poke(&mut self, index: usize) {
+    /// Does all work of an instance that is due.
+    pub fn tick(&mut self, index: usize) {
         if self.nodes[index].paused {
             return;
         }
@@ -30,24 +31,24 @@
         if !node.renewing && self.now_ms >= node.renewed_at_ms + LEASE_RENEW_MS {
             node.renewing = true;
             node.renewed_at_ms = self.now_ms;
-            if node.keeper.needs_read() {
-                let ask = Ask::ReadLease(node.id.clone());
-                self.ask(index, Waiter::Renewal(None), ask);
+            if node.lease_renewer.needs_read() {
+                let request = StoreRequest::ReadLease(node.id.clone());
+                self.send(index, Waiter::Renewal(None), request);
             } else {
-                let renewal = node.keeper.renewal(None, now);
+                let renewal = node.lease_renewer.renewal(None, now);
                 let waiter = Waiter::Renewal(Some(renewal.clone()));
-                self.ask(index, waiter, Ask::Renew(renewal));
+                self.send(index, waiter, StoreRequest::Renew(renewal));
             }
         }
         let node = &mut self.nodes[index];
-        let held = node.keeper.held().epoch_at(now).is_some();
+        let held = node.lease_renewer.held().epoch_at(now).is_some();
         if held && let Some(running) = node.registry.begin_scan() {
-            let look = Look {
+            let scan = JobScan {
                 running,
-                ..Look::default()
+                ..JobScan::default()
             };
-            node.look = Some(look);
-            self.ask(index, Waiter::Look, Ask::ScanOpen);
+            node.scan = Some(scan);
+            self.send(index, Waiter::Scan, StoreRequest::ScanOpen);
         }
         let jobs: Vec<JobId> = self.nodes[index].runs.keys().cloned().collect();
         for job in jobs {
@@ -57,21 +58,23 @@
 
     fn lease_state(&self, index: usize, job: &JobId) -> LeaseState {
         let node = &self.nodes[index];
-        let epoch = node.runs[job].machine.owned().epoch;
-        node.keeper.held().lease_state(epoch, MonoMs(self.now_ms))
+        let epoch = node.runs[job].execution.owned().epoch;
+        node.lease_renewer
+            .held()
+            .lease_state(epoch, MonoMs(self.now_ms))
     }
 
     fn advance_run(&mut self, index: usize, job: &JobId) {
         let run = self.nodes[index].runs.get_mut(job).unwrap();
         for chunk in run.items.keys() {
-            run.machine.all_items_started(*chunk);
+            run.execution.all_items_started(*chunk);
         }
         loop {
             let lease_state = self.lease_state(index, job);
             let now = WallMs(self.now_ms);
             let run = self.nodes[index].runs.get_mut(job).unwrap();
-            let room = run.items.len() < ROOM;
-            match run.machine.step(now, lease_state, room) {
+            let room = run.items.len() < MAX_STARTED_CHUNKS;
+            match run.execution.step(now, lease_state, room) {
                 ExecutionStep::StartChunk(chunk) => {
                     run.items.insert(chunk, false);
                     self.item_started(index, job);
@@ -79,8 +82,8 @@
                 ExecutionStep::StopChunks(stopped) => run.items.retain(|c, _| !stopped.contains(c)),
                 ExecutionStep::Finish(finish) => {
                     let number = run.number;
-                    let ask = Ask::Transact(finish.transaction().clone());
-                    self.ask(index, Waiter::Finish(job.clone(), number, *finish), ask);
+                    let request = StoreRequest::Transact(finish.transaction().clone());
+                    self.send(index, Waiter::Finish(job.clone(), number, *finish), request);
                 }
                 ExecutionStep::Wait => return,
                 ExecutionStep::End(_) => return self.end_run(index, job),
@@ -88,24 +91,28 @@
         }
     }
 
-    /// The oracle: who starts an item owns the job, and the job is not cancelled.
+    /// Oracle: an instance that starts an item owns the job, and the job is not cancelled.
     fn item_started(&self, index: usize, job: &JobId) {
         count("item started");
         let status = self.store.job[job].row.status;
         assert_ne!(
             status,
             JobStatus::Cancelled,
-            "an item started after the cancel"
+            "an item of a cancelled job started"
         );
         let node = &self.nodes[index];
-        let epoch = node.runs[job].machine.owned().epoch;
+        let epoch = node.runs[job].execution.owned().epoch;
         let owner = self.store.owner.get(job).map(|owner| &owner.row);
         let owns = owner.is_some_and(|owner| owner.holder == node.id && owner.epoch == epoch);
-        assert!(owns, "an item started at {} beside {owner:?}", node.id);
+        assert!(
+            owns,
+            "an item started on {}, which does not own the job: {owner:?}",
+            node.id
+        );
     }
 
-    /// All items of the first chunk of each run of an instance end.
-    pub fn items_end(&mut self, index: usize) {
+    /// Finishes all items of the first chunk of each job that runs on an instance.
+    pub fn finish_items(&mut self, index: usize) {
         if self.nodes[index].paused {
             return;
         }
@@ -115,7 +122,7 @@
             let run = &self.nodes[index].runs[&job];
             let first = run.items.iter().find(|(_, storing)| !**storing);
             let may_start = run
-                .machine
+                .execution
                 .may_start_items(WallMs(self.now_ms), lease_state);
             let Some((&chunk, _)) = first.filter(|_| may_start) else {
                 continue;
@@ -130,10 +137,10 @@
             let run = self.nodes[index].runs.get_mut(&job).unwrap();
             run.items.insert(chunk, true);
             let number = run.number;
-            self.ask(
+            self.send(
                 index,
                 Waiter::Stored(job, number, chunk, row),
-                Ask::PutObject,
+                StoreRequest::PutObject,
             );
         }
     }
@@ -150,23 +157,23 @@
         number: u64,
         chunk: u32,
         row: ChunkRow,
-        reply: &Reply,
+        response: &StoreResponse,
     ) {
         if !self.is_current(index, job, number) {
             return;
         }
-        if !matches!(reply, Reply::Stored) {
+        if !matches!(response, StoreResponse::Stored) {
             let waiter = Waiter::Stored(job.clone(), number, chunk, row);
-            return self.ask(index, waiter, Ask::PutObject);
+            return self.send(index, waiter, StoreRequest::PutObject);
         }
         let run = self.nodes[index].runs.get_mut(job).unwrap();
         if run.items.remove(&chunk).is_none() {
             return;
         }
-        run.machine.commit_started(chunk);
-        let commit = ChunkCommit::new(run.machine.owned(), chunk, row);
-        let ask = Ask::Transact(commit.transaction().clone());
-        self.ask(index, Waiter::Commit(job.clone(), number, commit), ask);
+        run.execution.commit_started(chunk);
+        let commit = ChunkCommit::new(run.execution.owned(), chunk, row);
+        let request = StoreRequest::Transact(commit.transaction().clone());
+        self.send(index, Waiter::Commit(job.clone(), number, commit), request);
     }
 
     pub fn commit(
@@ -175,9 +182,9 @@
         job: &JobId,
         number: u64,
         commit: ChunkCommit,
-        reply: Reply,
+        response: StoreResponse,
     ) {
-        let Reply::Outcome(outcome) = reply else {
+        let StoreResponse::Outcome(outcome) = response else {
             return;
         };
         if !self.is_current(index, job, number) {
@@ -185,11 +192,11 @@
         }
         let step = commit.handle_outcome(outcome);
         if step == ChunkCommitResult::Resend {
-            let ask = Ask::Transact(commit.transaction().clone());
-            return self.ask(index, Waiter::Commit(job.clone(), number, commit), ask);
+            let request = StoreRequest::Transact(commit.transaction().clone());
+            return self.send(index, Waiter::Commit(job.clone(), number, commit), request);
         }
         let run = self.nodes[index].runs.get_mut(job).unwrap();
-        run.machine
+        run.execution
             .commit_ended(commit.index(), commit.chunk(), step);
     }
 
@@ -199,9 +206,9 @@
         job: &JobId,
         number: u64,
         finish: FinishTransaction,
-        reply: Reply,
+        response: StoreResponse,
     ) {
-        let Reply::Outcome(outcome) = reply else {
+        let StoreResponse::Outcome(outcome) = response else {
             return;
         };
         if !self.is_current(index, job, number) {
@@ -209,72 +216,79 @@
         }
         let step = finish.handle_outcome(outcome);
         if step == FinishResult::Resend {
-            let ask = Ask::Transact(finish.transaction().clone());
-            return self.ask(index, Waiter::Finish(job.clone(), number, finish), ask);
+            let request = StoreRequest::Transact(finish.transaction().clone());
+            return self.send(index, Waiter::Finish(job.clone(), number, finish), request);
         }
         let run = self.nodes[index].runs.get_mut(job).unwrap();
-        run.machine.finish_ended(step);
+        run.execution.finish_ended(step);
     }
 
-    fn cancel_asks(&mut self, id: usize, state: CancelState, ask: Ask) {
+    fn send_for_cancel(&mut self, id: usize, state: CancelState, request: StoreRequest) {
         let cancel = &mut self.cancels[id];
         cancel.state = state;
         let node = cancel.node;
-        self.ask(node, Waiter::Cancel(id), ask);
+        self.send(node, Waiter::Cancel(id), request);
     }
 
-    pub fn cancel_step(&mut self, id: usize, reply: Reply) {
+    pub fn cancel_step(&mut self, id: usize, response: StoreResponse) {
         let cancel = &mut self.cancels[id];
         let job = cancel.job.clone();
         let state = std::mem::replace(&mut cancel.state, CancelState::Ended);
-        match (state, reply) {
-            (CancelState::ReadJob, Reply::Job(Some(row))) => {
-                self.cancel_asks(id, CancelState::ReadOwner(row), Ask::ReadOwner(job));
+        match (state, response) {
+            (CancelState::ReadJob, StoreResponse::Job(Some(row))) => {
+                self.send_for_cancel(
+                    id,
+                    CancelState::ReadOwner(row),
+                    StoreRequest::ReadOwner(job),
+                );
             }
-            (CancelState::ReadOwner(row), Reply::Owner(owner)) => {
+            (CancelState::ReadOwner(row), StoreResponse::Owner(owner)) => {
                 match CancelTransaction::plan(row, owner.as_ref()) {
                     CancelPlan::Final => {}
-                    CancelPlan::Cancelling(marked) => self.marked(id, marked),
+                    CancelPlan::Cancelling(cancelling_job) => self.stop_owner(id, cancelling_job),
                     CancelPlan::Begin(cancel) => {
-                        let ask = Ask::Transact(cancel.transaction().clone());
-                        self.cancel_asks(id, CancelState::Mark(cancel), ask);
+                        let request = StoreRequest::Transact(cancel.transaction().clone());
+                        self.send_for_cancel(id, CancelState::SetCancelling(cancel), request);
                     }
                 }
             }
-            (CancelState::Mark(mark), Reply::Outcome(outcome)) => match mark.close(&outcome) {
-                Some(marked) => self.marked(id, marked),
-                None => self.cancel_asks(id, CancelState::ReadJob, Ask::ReadJob(job)),
+            (CancelState::SetCancelling(cancel), StoreResponse::Outcome(outcome)) => match cancel
+                .close(&outcome)
+            {
+                Some(cancelling_job) => self.stop_owner(id, cancelling_job),
+                None => self.send_for_cancel(id, CancelState::ReadJob, StoreRequest::ReadJob(job)),
             },
-            (CancelState::Count(marked), Reply::Chunks(chunks)) => {
+            (CancelState::CountChunks(cancelling_job), StoreResponse::Chunks(chunks)) => {
                 let mut counts = JobCounts::default();
                 for (_, chunk) in &chunks {
                     counts.add(chunk);
                 }
-                let finish = FinishTransaction::cancelled(&marked.job, counts, WallMs(self.now_ms));
-                let ask = Ask::Transact(finish.transaction().clone());
-                self.cancel_asks(id, CancelState::Finish(finish), ask);
+                let finish =
+                    FinishTransaction::cancelled(&cancelling_job.job, counts, WallMs(self.now_ms));
+                let request = StoreRequest::Transact(finish.transaction().clone());
+                self.send_for_cancel(id, CancelState::Finish(finish), request);
             }
-            (CancelState::Finish(finish), Reply::Outcome(outcome)) => {
+            (CancelState::Finish(finish), StoreResponse::Outcome(outcome)) => {
                 if finish.handle_outcome(outcome) != FinishResult::Resend {
                     return;
                 }
-                let ask = Ask::Transact(finish.transaction().clone());
-                self.cancel_asks(id, CancelState::Finish(finish), ask);
+                let request = StoreRequest::Transact(finish.transaction().clone());
+                self.send_for_cancel(id, CancelState::Finish(finish), request);
             }
             _ => {}
         }
     }
 
-    fn marked(&mut self, id: usize, marked: CancellingJob) {
-        let Some(owner) = marked.owner.clone() else {
-            let ask = Ask::ScanChunks(marked.job.row.job.clone());
-            return self.cancel_asks(id, CancelState::Count(marked), ask);
+    fn stop_owner(&mut self, id: usize, cancelling_job: CancellingJob) {
+        let Some(owner) = cancelling_job.owner.clone() else {
+            let request = StoreRequest::ScanChunks(cancelling_job.job.row.job.clone());
+            return self.send_for_cancel(id, CancelState::CountChunks(cancelling_job), request);
         };
         let to = self.nodes.iter().position(|node| node.id == owner);
-        self.cancels[id].state = CancelState::Stop(marked, to.unwrap());
+        self.cancels[id].state = CancelState::Stop(cancelling_job, to.unwrap());
     }
 
-    /// Cancels whose message to an owner, or its answer, is on its way.
+    /// Cancellations whose message to the owner, or the response to it, is in flight.
     pub fn peer_messages(&self) -> Vec<usize> {
         let mut found = Vec::new();
         for (id, cancel) in self.cancels.iter().enumerate() {
@@ -285,29 +299,29 @@
         found
     }
 
-    /// The message to an owner arrives.
-    pub fn peer_arrives(&mut self, id: usize) {
+    /// Delivers the message to the owner.
+    pub fn deliver_peer_message(&mut self, id: usize) {
         let cancel = &self.cancels[id];
         let CancelState::Stop(_, to) = &cancel.state else {
             return;
         };
         let (to, job) = (*to, cancel.job.clone());
-        if cancel.held || self.nodes[to].paused {
+        if cancel.waits_for_scan || self.nodes[to].paused {
             return;
         }
         match self.nodes[to].registry.stop(&job) {
             StopAction::Stopped => {}
             StopAction::StopExecution => self.end_run(to, &job),
             StopAction::AwaitScan => {
-                self.cancels[id].held = true;
-                return self.nodes[to].stops.push(id);
+                self.cancels[id].waits_for_scan = true;
+                return self.nodes[to].pending_stops.push(id);
             }
         }
         self.owner_stopped(id);
     }
 
-    /// The message to an owner, or its answer, is lost.
-    pub fn peer_lost(&mut self, id: usize) {
+    /// Loses the message to the owner or the response to it.
+    pub fn lose_peer_message(&mut self, id: usize) {
         if matches!(self.cancels[id].state, CancelState::Stop(..)) {
             count("peer message lost");
             self.cancels[id].state = CancelState::Ended;
@@ -317,45 +331,48 @@
     pub fn owner_stopped(&mut self, id: usize) {
         let cancel = &mut self.cancels[id];
         let state = std::mem::replace(&mut cancel.state, CancelState::Ended);
-        let CancelState::Stop(marked, _) = state else {
+        let CancelState::Stop(cancelling_job, _) = state else {
             return;
         };
-        let ask = Ask::ScanChunks(cancel.job.clone());
-        self.cancel_asks(id, CancelState::Count(marked), ask);
+        let request = StoreRequest::ScanChunks(cancel.job.clone());
+        self.send_for_cancel(id, CancelState::CountChunks(cancelling_job), request);
     }
 
-    /// A while in which nothing fails but what is switched off.
-    pub fn quiet(&mut self, rounds: usize) {
+    /// Runs all instances for some rounds without new faults; those in force stay.
+    pub fn run_without_faults(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.now_ms += 250;
             for index in 0..self.nodes.len() {
-                self.poke(index);
-                self.items_end(index);
+                self.tick(index);
+                self.finish_items(index);
             }
             for index in (0..self.calls.len()).rev() {
                 self.answer(index);
             }
             for id in 0..self.cancels.len() {
-                self.peer_arrives(id);
+                self.deliver_peer_message(id);
             }
         }
     }
 
-    /// Once nothing fails any more, every accepted job ends.
+    /// Ends all faults and checks that every accepted job ends.
     pub fn heal_and_check(mut self) {
-        self.up = true;
+        self.store_up = true;
         for node in &mut self.nodes {
             node.paused = false;
-            node.cut = false;
+            node.disconnected = false;
         }
         for _ in 0..HEALED_ROUNDS {
-            self.quiet(1);
+            self.run_without_faults(1);
             let mut rows = self.store.job.values();
             if rows.all(|found| found.row.status.is_final()) {
                 return;
             }
         }
         let open = &self.store.open;
-        panic!("jobs do not end: {open:?}, {:?}", self.store.owner);
+        panic!(
+            "jobs did not end: open {open:?}, owners {:?}",
+            self.store.owner
+        );
     }
 }
--- a/crates/foxtailhold/tests/batch_sim/mod.rs
+++ b/crates/foxtailhold/tests/batch_sim/mod.rs
@@ -1,4 +1,5 @@
-//! A small deterministic fake of table, time and instances around the batch machines.
+//! Deterministic simulation of the table service, time and instances around the batch state
+//! machines.
 #![allow(dead_code)]
 
 pub mod drive;
@@ -11,13 +12,13 @@
 
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
-/// Counts a step or a fault by kind.
+/// Counts a step or an injected fault by kind.
 pub fn count(kind: &'static str) {
     let mut counts = COUNTS.lock().unwrap_or_else(|poison| poison.into_inner());
     *counts.entry(kind).or_default() += 1;
 }
 
-/// All counts so far.
+/// Counts of all steps and faults so far.
 pub fn counts() -> BTreeMap<&'static str, u64> {
     let counts = COUNTS.lock().unwrap_or_else(|poison| poison.into_inner());
     counts.clone()
--- a/crates/foxtailhold/tests/batch_sim/node.rs
+++ b/crates/foxtailhold/tests/batch_sim/node.rs
@@ -1,4 +1,4 @@
-//! One instance: the machines of one process and the calls it has in flight.
+//! One simulated instance: the state machines of one process and its calls in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,11 +13,11 @@
 use foxtailhold::lease::{LeaseRenewer, Renewal};
 use foxtailhold::lease_row::LeaseRow;
 
-use super::store::Token;
+use super::store::ProcessId;
 
-/// What the store is asked.
+/// Request to the store.
 #[derive(Debug, Clone)]
-pub enum Ask {
+pub enum StoreRequest {
     ReadLease(InstanceId),
     Renew(Renewal),
     ScanOpen,
@@ -28,9 +28,9 @@
     Transact(Transaction),
 }
 
-/// What the store answers.
+/// Response of the store.
 #[derive(Debug, Clone)]
-pub enum Reply {
+pub enum StoreResponse {
     Lease(Option<Versioned<LeaseRow>>),
     Open(Vec<OpenJobRow>),
     Job(Option<Versioned<JobRow>>),
@@ -38,42 +38,42 @@
     Chunks(Vec<(u32, ChunkRow)>),
     Stored,
     Outcome(TransactionOutcome),
-    /// A read or an object write without an answer, or refused.
+    /// A read or an object write was refused or its response was lost.
     Failed,
 }
 
-/// Who waits for an answer.
+/// What the caller does with the response.
 #[derive(Debug, Clone)]
 pub enum Waiter {
     Renewal(Option<Renewal>),
-    Look,
+    Scan,
     Claim(Claim),
-    /// The scan of chunks when a run starts.
-    Begin(OwnedJob),
+    /// Reads the chunks before the execution of a job starts.
+    StartJob(OwnedJob),
     Stored(JobId, u64, u32, ChunkRow),
     Commit(JobId, u64, ChunkCommit),
     Finish(JobId, u64, FinishTransaction),
     Cancel(usize),
-    /// Nobody: a release.
+    /// Nothing: the call is a release.
     None,
 }
 
-/// A call in flight.
+/// A call to the store in flight.
 #[derive(Debug, Clone)]
 pub struct Call {
-    pub token: Token,
+    pub process: ProcessId,
     pub node: usize,
     pub waiter: Waiter,
-    pub ask: Ask,
-    /// What the store did, once the call has reached it.
-    pub applied: Option<Reply>,
-    /// Whether somebody still waits for the answer.
+    pub request: StoreRequest,
+    /// Response of the store once the call has reached it.
+    pub applied: Option<StoreResponse>,
+    /// Whether the caller still waits for the response.
     pub awaited: bool,
 }
 
-/// A look at open jobs in flight.
+/// A scan of open jobs in progress.
 #[derive(Debug, Default)]
-pub struct Look {
+pub struct JobScan {
     pub todo: VecDeque<JobId>,
     pub view: ClaimView,
     pub claimed: Vec<OwnedJob>,
@@ -81,12 +81,12 @@
     pub running: Vec<JobId>,
 }
 
-/// A run with the attempts whose items run.
+/// Execution of a job on one instance.
 #[derive(Debug)]
-pub struct Run {
+pub struct RunningJob {
     pub number: u64,
-    pub machine: JobExecution,
-    /// Chunks whose items run, and whether their results are on the way to the store.
+    pub execution: JobExecution,
+    /// Started chunks, and whether their result objects are being stored.
     pub items: BTreeMap<u32, bool>,
 }
 
@@ -95,38 +95,38 @@
     pub id: InstanceId,
     pub incarnation: u64,
     pub paused: bool,
-    /// Whether its calls do not reach the store.
-    pub cut: bool,
-    pub keeper: LeaseRenewer,
+    /// Whether the store refuses the calls of this instance.
+    pub disconnected: bool,
+    pub lease_renewer: LeaseRenewer,
     pub renewing: bool,
     pub renewed_at_ms: u64,
     pub watched: WatchedLeases,
     pub registry: JobRegistry,
-    pub look: Option<Look>,
-    pub runs: BTreeMap<JobId, Run>,
-    /// Cancels that wait for the look to end.
-    pub stops: Vec<usize>,
+    pub scan: Option<JobScan>,
+    pub runs: BTreeMap<JobId, RunningJob>,
+    /// Cancellations that wait for the end of the scan.
+    pub pending_stops: Vec<usize>,
 }
 
 impl Node {
     pub fn new(id: InstanceId, incarnation: u64) -> Self {
         Node {
-            keeper: LeaseRenewer::new(id.clone()),
+            lease_renewer: LeaseRenewer::new(id.clone()),
             id,
             incarnation,
             paused: false,
-            cut: false,
+            disconnected: false,
             renewing: false,
             renewed_at_ms: 0,
             watched: WatchedLeases::new(),
             registry: JobRegistry::default(),
-            look: None,
+            scan: None,
             runs: BTreeMap::new(),
-            stops: Vec::new(),
+            pending_stops: Vec::new(),
         }
     }
 
-    pub fn token(&self) -> Token {
+    pub fn process(&self) -> ProcessId {
         (self.id.clone(), self.incarnation)
     }
 }
--- a/crates/foxtailhold/tests/batch_sim/store.rs
+++ b/crates/foxtailhold/tests/batch_sim/store.rs
@@ -1,4 +1,4 @@
-//! The table, with the oracle that judges every transaction that commits.
+//! Simulated table service with an oracle that checks every committed transaction.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 
 use super::count;
 
-/// One run of the process of an instance.
-pub type Token = (InstanceId, u64);
+/// A process of an instance; a restart raises the number.
+pub type ProcessId = (InstanceId, u64);
 
 #[derive(Debug, Default)]
 pub struct Store {
@@ -21,8 +21,8 @@
     pub owner: BTreeMap<JobId, Versioned<OwnerRow>>,
     pub chunk: BTreeMap<(JobId, u32), ChunkRow>,
     pub lease: BTreeMap<InstanceId, Versioned<LeaseRow>>,
-    /// Who claimed a job last.
-    claimed: BTreeMap<JobId, Token>,
+    /// The process that claimed each job last.
+    last_claimer: BTreeMap<JobId, ProcessId>,
 }
 
 fn holds<T>(condition: Condition, row: Option<&Versioned<T>>) -> bool {
@@ -38,8 +38,12 @@
 }
 
 impl Store {
-    /// A transaction sent by `token`.
-    pub fn transact(&mut self, token: &Token, transaction: &Transaction) -> TransactionOutcome {
+    /// Applies a transaction sent by `process`.
+    pub fn transact(
+        &mut self,
+        process: &ProcessId,
+        transaction: &Transaction,
+    ) -> TransactionOutcome {
         for (index, step) in transaction.steps.iter().enumerate() {
             let (holds, found) = self.check(&transaction.job, step.condition, &step.change);
             if !holds {
@@ -47,7 +51,7 @@
             }
         }
         for step in &transaction.steps {
-            self.change(token, &transaction.job, &step.change);
+            self.change(process, &transaction.job, &step.change);
         }
         TransactionOutcome::Committed
     }
@@ -87,27 +91,35 @@
         }
     }
 
-    fn change(&mut self, token: &Token, job: &JobId, change: &RowChange) {
+    fn change(&mut self, process: &ProcessId, job: &JobId, change: &RowChange) {
         match change {
             RowChange::CheckJob | RowChange::CheckOwner | RowChange::PutSweep(_) => {}
             RowChange::PutJob(row) => {
-                self.judge_job(job, row);
+                self.check_job_write(job, row);
                 put(&mut self.job, job.clone(), row.clone());
             }
             RowChange::PutOpen(row) => put(&mut self.open, job.clone(), row.clone()),
             RowChange::DeleteOpen => drop(self.open.remove(job)),
             RowChange::PutOwner(row) => {
                 if !row.released {
-                    self.claimed.insert(job.clone(), token.clone());
+                    self.last_claimer.insert(job.clone(), process.clone());
                 }
                 put(&mut self.owner, job.clone(), row.clone());
             }
             RowChange::DeleteOwner => drop(self.owner.remove(job)),
             RowChange::PutChunk(index, row) => {
                 count("chunk committed");
-                assert_eq!(self.claimed.get(job), Some(token), "an old owner committed");
+                assert_eq!(
+                    self.last_claimer.get(job),
+                    Some(process),
+                    "a previous owner committed a chunk"
+                );
                 let status = self.job[job].row.status;
-                assert_eq!(status, JobStatus::InProgress, "a commit after the end");
+                assert_eq!(
+                    status,
+                    JobStatus::InProgress,
+                    "a chunk was committed after the job was cancelled or ended"
+                );
                 let before = self.chunk.insert((job.clone(), *index), row.clone());
                 assert_eq!(before, None, "a chunk's result was replaced");
             }
@@ -117,12 +129,15 @@
 
     pub fn put_lease(&mut self, instance: &InstanceId, row: &LeaseRow) {
         if let Some(found) = self.lease.get(instance) {
-            assert!(row.epoch >= found.row.epoch, "an epoch went back");
+            assert!(
+                row.epoch >= found.row.epoch,
+                "the epoch of a lease decreased"
+            );
         }
         put(&mut self.lease, instance.clone(), row.clone());
     }
 
-    fn judge_job(&self, job: &JobId, row: &JobRow) {
+    fn check_job_write(&self, job: &JobId, row: &JobRow) {
         let before = self.job.get(job).map(|found| found.row.status);
         assert!(
             !before.is_some_and(JobStatus::is_final),
@@ -137,24 +152,32 @@
         for (_, chunk) in &chunks {
             counts.add(chunk);
         }
-        assert_eq!(row.counts, Some(counts), "the counts are wrong");
+        assert_eq!(
+            row.counts,
+            Some(counts),
+            "the counts of the final status do not match the chunks"
+        );
         if row.status == JobStatus::Completed {
-            assert_eq!(chunks.len(), row.chunks as usize, "completed without all");
+            assert_eq!(
+                chunks.len(),
+                row.chunks as usize,
+                "a job was completed without all chunks"
+            );
         }
     }
 
-    /// The finished chunks of a job.
+    /// The committed chunks of a job.
     pub fn chunks(&self, job: &JobId) -> Vec<(u32, ChunkRow)> {
         let mut found = Vec::new();
-        for ((of, index), chunk) in &self.chunk {
-            if of == job {
+        for ((owner_job, index), chunk) in &self.chunk {
+            if owner_job == job {
                 found.push((*index, chunk.clone()));
             }
         }
         found
     }
 
-    /// Accepts a job once; a resend finds the one accepted before.
+    /// Accepts a job; a resend finds the job that was accepted before.
     pub fn accept(&mut self, row: &JobRow) {
         if self.job.contains_key(&row.job) {
             count("job resent");
--- a/crates/foxtailhold/tests/batch_sim/world.rs
+++ b/crates/foxtailhold/tests/batch_sim/world.rs
@@ -1,4 +1,4 @@
-//! All instances, the calls between them and the store, and the oracle on starts of items.
+//! The simulated instances, their calls to the store and the messages between them.
 
 use std::collections::BTreeMap;
 
@@ -13,25 +13,25 @@
 use foxtailhold::time::MonoMs;
 
 use super::count;
-use super::node::{Ask, Call, Node, Reply, Run, Waiter};
+use super::node::{Call, Node, RunningJob, StoreRequest, StoreResponse, Waiter};
 use super::store::Store;
 
 pub const NODES: usize = 3;
 pub const JOBS: usize = 3;
 const CHUNKS: u32 = 4;
-/// Windows of the jobs: few sequences reach the long ones.
+/// Completion windows of the jobs. Few sequences last long enough to reach the long ones.
 const WINDOWS_MS: [u64; JOBS] = [200_000, 200_000, 12_000];
 
-/// How far a cancel offered by a caller has come.
+/// Progress of a cancellation requested by a caller.
 #[derive(Debug)]
 pub enum CancelState {
     ReadJob,
     ReadOwner(Versioned<JobRow>),
-    Mark(CancelTransaction),
-    /// A message to the owner is on its way, to the node with this index.
+    SetCancelling(CancelTransaction),
+    /// A message to the owner, the node with this index, is in flight.
     Stop(CancellingJob, usize),
-    /// The owner said it stopped.
-    Count(CancellingJob),
+    /// The owner, if any, has stopped the job, and its chunks are being counted.
+    CountChunks(CancellingJob),
     Finish(FinishTransaction),
     Ended,
 }
@@ -41,19 +41,19 @@
     pub node: usize,
     pub job: JobId,
     pub state: CancelState,
-    /// Whether the owner waits for the end of its look.
-    pub held: bool,
+    /// Whether the response of the owner waits for the end of its scan.
+    pub waits_for_scan: bool,
 }
 
 #[derive(Debug)]
 pub struct World {
     pub now_ms: u64,
-    pub up: bool,
+    pub store_up: bool,
     pub store: Store,
     pub nodes: Vec<Node>,
     pub calls: Vec<Call>,
     pub cancels: Vec<CancelRequest>,
-    next: u64,
+    last_unique: u64,
 }
 
 pub fn job(index: usize) -> JobId {
@@ -65,28 +65,28 @@
         let node = |index| Node::new(format!("entry-{index}").try_into().unwrap(), 1);
         World {
             now_ms: 1,
-            up: true,
+            store_up: true,
             store: Store::default(),
             nodes: (0..NODES).map(node).collect(),
             calls: Vec::new(),
             cancels: Vec::new(),
-            next: 0,
+            last_unique: 0,
         }
     }
 }
 
 impl World {
     pub fn unique(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.last_unique += 1;
+        self.last_unique
     }
 
-    pub fn ask(&mut self, node: usize, waiter: Waiter, ask: Ask) {
+    pub fn send(&mut self, node: usize, waiter: Waiter, request: StoreRequest) {
         self.calls.push(Call {
-            token: self.nodes[node].token(),
+            process: self.nodes[node].process(),
             node,
             waiter,
-            ask,
+            request,
             applied: None,
             awaited: true,
         });
@@ -116,59 +116,68 @@
             node,
             job: job(index),
             state: CancelState::ReadJob,
-            held: false,
+            waits_for_scan: false,
         };
         self.cancels.push(request);
         let id = self.cancels.len() - 1;
-        self.ask(node, Waiter::Cancel(id), Ask::ReadJob(job(index)));
+        self.send(node, Waiter::Cancel(id), StoreRequest::ReadJob(job(index)));
     }
 
-    /// The call reaches the store.
+    /// Lets the call reach the store.
     pub fn apply(&mut self, index: usize) {
         if self.calls[index].applied.is_some() {
             return;
         }
-        let Call { token, ask, .. } = self.calls[index].clone();
+        let Call {
+            process, request, ..
+        } = self.calls[index].clone();
         let store = &mut self.store;
-        let reply = match &ask {
-            Ask::ReadLease(instance) => Reply::Lease(store.lease.get(instance).cloned()),
-            Ask::ScanOpen => Reply::Open(store.open.values().map(|o| o.row.clone()).collect()),
-            Ask::ReadJob(job) => Reply::Job(store.job.get(job).cloned()),
-            Ask::ReadOwner(job) => Reply::Owner(store.owner.get(job).cloned()),
-            Ask::ScanChunks(job) => Reply::Chunks(store.chunks(job)),
-            Ask::PutObject => Reply::Stored,
-            Ask::Transact(transaction) => Reply::Outcome(store.transact(&token, transaction)),
-            Ask::Renew(renewal) => {
-                let found = store.lease.get(&token.0);
+        let response = match &request {
+            StoreRequest::ReadLease(instance) => {
+                StoreResponse::Lease(store.lease.get(instance).cloned())
+            }
+            StoreRequest::ScanOpen => {
+                StoreResponse::Open(store.open.values().map(|o| o.row.clone()).collect())
+            }
+            StoreRequest::ReadJob(job) => StoreResponse::Job(store.job.get(job).cloned()),
+            StoreRequest::ReadOwner(job) => StoreResponse::Owner(store.owner.get(job).cloned()),
+            StoreRequest::ScanChunks(job) => StoreResponse::Chunks(store.chunks(job)),
+            StoreRequest::PutObject => StoreResponse::Stored,
+            StoreRequest::Transact(transaction) => {
+                StoreResponse::Outcome(store.transact(&process, transaction))
+            }
+            StoreRequest::Renew(renewal) => {
+                let found = store.lease.get(&process.0);
                 if Condition::unchanged(found) == renewal.condition {
-                    store.put_lease(&token.0, &renewal.row);
-                    Reply::Outcome(TransactionOutcome::Committed)
+                    store.put_lease(&process.0, &renewal.row);
+                    StoreResponse::Outcome(TransactionOutcome::Committed)
                 } else {
                     let found = ConflictingRow::Other;
-                    Reply::Outcome(TransactionOutcome::Conflict { step: 0, found })
+                    StoreResponse::Outcome(TransactionOutcome::Conflict { step: 0, found })
                 }
             }
         };
-        self.calls[index].applied = Some(reply);
+        self.calls[index].applied = Some(response);
     }
 
-    /// The answer reaches the caller; before that the call reaches the store, or is refused.
+    /// Delivers the response to the caller. A call that has not reached the store yet does so
+    /// before, or is refused while the store is not reachable.
     pub fn answer(&mut self, index: usize) {
         let call = &self.calls[index];
         if call.awaited && self.nodes[call.node].paused {
             return;
         }
-        let cut = !self.up || self.nodes[call.node].cut;
-        if call.applied.is_none() && cut {
+        let disconnected = !self.store_up || self.nodes[call.node].disconnected;
+        if call.applied.is_none() && disconnected {
             return self.refuse(index);
         }
         self.apply(index);
         let call = self.calls.remove(index);
-        let reply = call.applied.clone().unwrap();
-        self.deliver(call, reply);
+        let response = call.applied.clone().unwrap();
+        self.deliver(call, response);
     }
 
-    /// The store refuses the call without effect.
+    /// Lets the store refuse the call without effect.
     pub fn refuse(&mut self, index: usize) {
         let call = &self.calls[index];
         if call.applied.is_some() || self.nodes[call.node].paused {
@@ -176,12 +185,12 @@
         }
         count("call refused");
         let call = self.calls.remove(index);
-        let reply = failure(&call.ask, TransactionOutcome::Unavailable);
-        self.deliver(call, reply);
+        let response = failure(&call.request, TransactionOutcome::Unavailable);
+        self.deliver(call, response);
     }
 
-    /// The caller gives up; the call may have taken effect, or may still.
-    pub fn lose(&mut self, index: usize) {
+    /// Lets the caller give up on the call, which may have taken effect or may still.
+    pub fn time_out(&mut self, index: usize) {
         let call = &mut self.calls[index];
         if !call.awaited || self.nodes[call.node].paused {
             return;
@@ -195,11 +204,12 @@
         if call.applied.is_some() {
             self.calls.remove(index);
         }
-        let reply = failure(&lost.ask, TransactionOutcome::Unknown);
-        self.deliver(lost, reply);
+        let response = failure(&lost.request, TransactionOutcome::Unknown);
+        self.deliver(lost, response);
     }
 
-    /// The process dies and another one starts in its place. Its calls may still take effect.
+    /// Kills the process of an instance and starts another one. Calls in flight may still take
+    /// effect.
     pub fn kill(&mut self, index: usize) {
         count("instance killed");
         for call in &mut self.calls {
@@ -217,7 +227,7 @@
         self.nodes[index] = Node::new(node.id.clone(), node.incarnation + 1);
     }
 
-    /// A planned stop, after which the process starts anew.
+    /// Stops an instance as planned, which releases its jobs, and starts it again.
     pub fn stop(&mut self, index: usize) {
         if self.nodes[index].paused {
             return;
@@ -226,148 +236,152 @@
         let me = self.nodes[index].id.clone();
         let runs = std::mem::take(&mut self.nodes[index].runs);
         for (_, run) in runs {
-            let release = release(run.machine.owned(), &me);
-            self.ask(index, Waiter::None, Ask::Transact(release));
+            let release = release(run.execution.owned(), &me);
+            self.send(index, Waiter::None, StoreRequest::Transact(release));
         }
         self.kill(index);
     }
 
-    fn deliver(&mut self, call: Call, reply: Reply) {
-        if !call.awaited || call.token != self.nodes[call.node].token() {
+    fn deliver(&mut self, call: Call, response: StoreResponse) {
+        if !call.awaited || call.process != self.nodes[call.node].process() {
             return;
         }
         let node = call.node;
         match call.waiter {
-            Waiter::Renewal(renewal) => self.renewal(node, renewal, reply),
-            Waiter::Look => self.look(node, reply),
-            Waiter::Claim(claim) => self.claim(node, claim, &reply),
-            Waiter::Begin(owned) => self.begin(node, owned, reply),
+            Waiter::Renewal(renewal) => self.renewal(node, renewal, response),
+            Waiter::Scan => self.scan_step(node, response),
+            Waiter::Claim(claim) => self.claim(node, claim, &response),
+            Waiter::StartJob(owned) => self.start_job(node, owned, response),
             Waiter::Stored(job, run, index, chunk) => {
-                self.stored(node, &job, run, index, chunk, &reply);
+                self.stored(node, &job, run, index, chunk, &response);
             }
-            Waiter::Commit(job, run, commit) => self.commit(node, &job, run, commit, reply),
-            Waiter::Finish(job, run, finish) => self.finish(node, &job, run, finish, reply),
-            Waiter::Cancel(id) => self.cancel_step(id, reply),
+            Waiter::Commit(job, run, commit) => self.commit(node, &job, run, commit, response),
+            Waiter::Finish(job, run, finish) => self.finish(node, &job, run, finish, response),
+            Waiter::Cancel(id) => self.cancel_step(id, response),
             Waiter::None => {}
         }
     }
 
-    fn renewal(&mut self, index: usize, renewal: Option<Renewal>, reply: Reply) {
+    fn renewal(&mut self, index: usize, renewal: Option<Renewal>, response: StoreResponse) {
         let node = &mut self.nodes[index];
-        match (renewal, reply) {
-            (None, Reply::Lease(found)) => {
-                let renewal = node.keeper.renewal(found, MonoMs(self.now_ms));
+        match (renewal, response) {
+            (None, StoreResponse::Lease(found)) => {
+                let renewal = node.lease_renewer.renewal(found, MonoMs(self.now_ms));
                 let waiter = Waiter::Renewal(Some(renewal.clone()));
-                return self.ask(index, waiter, Ask::Renew(renewal));
+                return self.send(index, waiter, StoreRequest::Renew(renewal));
             }
-            (Some(renewal), Reply::Outcome(outcome)) => {
-                node.keeper.handle_outcome(renewal, &outcome)
+            (Some(renewal), StoreResponse::Outcome(outcome)) => {
+                node.lease_renewer.handle_outcome(renewal, &outcome)
             }
             _ => {}
         }
         node.renewing = false;
     }
 
-    fn look(&mut self, index: usize, reply: Reply) {
+    fn scan_step(&mut self, index: usize, response: StoreResponse) {
         let now = MonoMs(self.now_ms);
         let node = &mut self.nodes[index];
         let me = node.id.clone();
-        let look = node.look.as_mut().unwrap();
-        match reply {
-            Reply::Open(open) => {
+        let scan = node.scan.as_mut().unwrap();
+        match response {
+            StoreResponse::Open(open) => {
                 for row in open {
-                    if !look.running.contains(&row.job) {
-                        look.todo.push_back(row.job);
+                    if !scan.running.contains(&row.job) {
+                        scan.todo.push_back(row.job);
                     } else if row.cancelling {
-                        look.cancelling.push(row.job);
+                        scan.cancelling.push(row.job);
                     }
                 }
                 return self.next_job(index);
             }
-            Reply::Job(found) => {
-                look.view.job = found;
-                let job = look.todo[0].clone();
-                return self.ask(index, Waiter::Look, Ask::ReadOwner(job));
+            StoreResponse::Job(found) => {
+                scan.view.job = found;
+                let job = scan.todo[0].clone();
+                return self.send(index, Waiter::Scan, StoreRequest::ReadOwner(job));
             }
-            Reply::Owner(found) => {
-                look.view.owner = found;
-                if let Some(holder) = other_owner(&me, look.view.owner.as_ref()).cloned() {
-                    look.view.asked_at = now;
-                    return self.ask(index, Waiter::Look, Ask::ReadLease(holder));
+            StoreResponse::Owner(found) => {
+                scan.view.owner = found;
+                if let Some(holder) = other_owner(&me, scan.view.owner.as_ref()).cloned() {
+                    scan.view.asked_at = now;
+                    return self.send(index, Waiter::Scan, StoreRequest::ReadLease(holder));
                 }
             }
-            Reply::Lease(found) => {
-                look.view.owner_lease = found;
-                look.view.answered_at = now;
+            StoreResponse::Lease(found) => {
+                scan.view.owner_lease = found;
+                scan.view.answered_at = now;
             }
-            _ => return self.job_looked(index, None),
+            _ => return self.job_scanned(index, None),
         }
-        let view = std::mem::take(&mut look.view);
-        let claim = node.keeper.held().epoch_at(now);
+        let view = std::mem::take(&mut scan.view);
+        let claim = node.lease_renewer.held().epoch_at(now);
         let claim = claim.and_then(|epoch| Claim::plan(&me, epoch, view, &mut node.watched));
         let Some(claim) = claim else {
-            return self.job_looked(index, None);
+            return self.job_scanned(index, None);
         };
         let transaction = claim.transaction().clone();
-        self.ask(index, Waiter::Claim(claim), Ask::Transact(transaction));
+        self.send(
+            index,
+            Waiter::Claim(claim),
+            StoreRequest::Transact(transaction),
+        );
     }
 
-    fn claim(&mut self, index: usize, claim: Claim, reply: &Reply) {
-        let Reply::Outcome(outcome) = reply else {
+    fn claim(&mut self, index: usize, claim: Claim, response: &StoreResponse) {
+        let StoreResponse::Outcome(outcome) = response else {
             return;
         };
         let owned = claim.close(outcome);
-        self.job_looked(index, owned);
+        self.job_scanned(index, owned);
     }
 
-    fn job_looked(&mut self, index: usize, owned: Option<OwnedJob>) {
-        let look = self.nodes[index].look.as_mut().unwrap();
-        look.view = ClaimView::default();
-        look.todo.pop_front();
-        look.claimed.extend(owned);
+    fn job_scanned(&mut self, index: usize, owned: Option<OwnedJob>) {
+        let scan = self.nodes[index].scan.as_mut().unwrap();
+        scan.view = ClaimView::default();
+        scan.todo.pop_front();
+        scan.claimed.extend(owned);
         self.next_job(index);
     }
 
     fn next_job(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let look = node.look.as_ref().unwrap();
-        if let Some(job) = look.todo.front().cloned() {
-            return self.ask(index, Waiter::Look, Ask::ReadJob(job));
+        let scan = node.scan.as_ref().unwrap();
+        if let Some(job) = scan.todo.front().cloned() {
+            return self.send(index, Waiter::Scan, StoreRequest::ReadJob(job));
         }
-        let look = node.look.take().unwrap();
-        let started = node.registry.end_scan(&look.claimed);
+        let scan = node.scan.take().unwrap();
+        let started = node.registry.end_scan(&scan.claimed);
         let me = node.id.clone();
-        for owned in look.claimed {
+        for owned in scan.claimed {
             let job = owned.row.job.clone();
             if started.contains(&job) {
-                let ask = Ask::ScanChunks(job);
-                self.ask(index, Waiter::Begin(owned), ask);
+                let request = StoreRequest::ScanChunks(job);
+                self.send(index, Waiter::StartJob(owned), request);
                 continue;
             }
             let release = release(&owned, &me);
-            self.ask(index, Waiter::None, Ask::Transact(release));
+            self.send(index, Waiter::None, StoreRequest::Transact(release));
         }
-        for job in look.cancelling {
+        for job in scan.cancelling {
             if self.nodes[index].registry.must_stop(&job) {
                 self.end_run(index, &job);
             }
         }
-        let stops = std::mem::take(&mut self.nodes[index].stops);
+        let stops = std::mem::take(&mut self.nodes[index].pending_stops);
         for id in stops {
-            self.cancels[id].held = false;
+            self.cancels[id].waits_for_scan = false;
             self.owner_stopped(id);
         }
     }
 
-    fn begin(&mut self, index: usize, owned: OwnedJob, reply: Reply) {
+    fn start_job(&mut self, index: usize, owned: OwnedJob, response: StoreResponse) {
         let job = owned.row.job.clone();
-        let Reply::Chunks(finished) = reply else {
-            let ask = Ask::ScanChunks(job);
-            return self.ask(index, Waiter::Begin(owned), ask);
+        let StoreResponse::Chunks(finished) = response else {
+            let request = StoreRequest::ScanChunks(job);
+            return self.send(index, Waiter::StartJob(owned), request);
         };
-        let run = Run {
+        let run = RunningJob {
             number: self.unique(),
-            machine: JobExecution::new(owned, &finished),
+            execution: JobExecution::new(owned, &finished),
             items: BTreeMap::new(),
         };
         self.nodes[index].runs.insert(job, run);
@@ -377,8 +391,9 @@
         let node = &mut self.nodes[index];
         node.runs.remove(job);
         self.calls.retain_mut(|call| {
-            let begins = matches!(&call.waiter, Waiter::Begin(owned) if owned.row.job == *job);
-            if call.node == index && begins {
+            let starts_job =
+                matches!(&call.waiter, Waiter::StartJob(owned) if owned.row.job == *job);
+            if call.node == index && starts_job {
                 call.awaited = false;
             }
             true
@@ -387,9 +402,9 @@
     }
 }
 
-fn failure(ask: &Ask, outcome: TransactionOutcome) -> Reply {
-    match ask {
-        Ask::Transact(_) | Ask::Renew(_) => Reply::Outcome(outcome),
-        _ => Reply::Failed,
+fn failure(request: &StoreRequest, outcome: TransactionOutcome) -> StoreResponse {
+    match request {
+        StoreRequest::Transact(_) | StoreRequest::Renew(_) => StoreResponse::Outcome(outcome),
+        _ => StoreResponse::Failed,
     }
 }
