--- a/crates/foxtailhold/tests/batch_sim/drive.rs
+++ b/crates/foxtailhold/tests/batch_sim/drive.rs
@@ -52,7 +52,7 @@
         }
         let jobs: Vec<JobId> = self.nodes[index].runs.keys().cloned().collect();
         for job in jobs {
-            self.advance_run(index, &job);
+            self.advance_execution(index, &job);
         }
     }
 
@@ -64,7 +64,7 @@
             .lease_state(epoch, MonoMs(self.now_ms))
     }
 
-    fn advance_run(&mut self, index: usize, job: &JobId) {
+    fn advance_execution(&mut self, index: usize, job: &JobId) {
         let run = self.nodes[index].runs.get_mut(job).unwrap();
         for chunk in run.items.keys() {
             run.execution.all_items_started(*chunk);
@@ -73,11 +73,11 @@
             let lease_state = self.lease_state(index, job);
             let now = WallMs(self.now_ms);
             let run = self.nodes[index].runs.get_mut(job).unwrap();
-            let room = run.items.len() < MAX_STARTED_CHUNKS;
-            match run.execution.step(now, lease_state, room) {
+            let slot_available = run.items.len() < MAX_STARTED_CHUNKS;
+            match run.execution.step(now, lease_state, slot_available) {
                 ExecutionStep::StartChunk(chunk) => {
                     run.items.insert(chunk, false);
-                    self.item_started(index, job);
+                    self.check_item_start(index, job);
                 }
                 ExecutionStep::StopChunks(stopped) => run.items.retain(|c, _| !stopped.contains(c)),
                 ExecutionStep::Finish(finish) => {
@@ -86,13 +86,13 @@
                     self.send(index, Waiter::Finish(job.clone(), number, *finish), request);
                 }
                 ExecutionStep::Wait => return,
-                ExecutionStep::End(_) => return self.end_run(index, job),
+                ExecutionStep::End(_) => return self.end_execution(index, job),
             }
         }
     }
 
     /// Oracle: an instance that starts an item owns the job, and the job is not cancelled.
-    fn item_started(&self, index: usize, job: &JobId) {
+    fn check_item_start(&self, index: usize, job: &JobId) {
         count("item started");
         let status = self.store.job[job].row.status;
         assert_ne!(
@@ -127,7 +127,7 @@
             let Some((&chunk, _)) = first.filter(|_| may_start) else {
                 continue;
             };
-            self.item_started(index, &job);
+            self.check_item_start(index, &job);
             let row = ChunkRow {
                 object: format!("{job}/{chunk}/{}", self.unique()),
                 completed: 1,
@@ -311,7 +311,7 @@
         }
         match self.nodes[to].registry.stop(&job) {
             StopAction::Stopped => {}
-            StopAction::StopExecution => self.end_run(to, &job),
+            StopAction::StopExecution => self.end_execution(to, &job),
             StopAction::AwaitScan => {
                 self.cancels[id].waits_for_scan = true;
                 return self.nodes[to].pending_stops.push(id);
--- a/crates/foxtailhold/tests/batch_sim/node.rs
+++ b/crates/foxtailhold/tests/batch_sim/node.rs
@@ -74,7 +74,7 @@
 /// A scan of open jobs in progress.
 #[derive(Debug, Default)]
 pub struct JobScan {
-    pub todo: VecDeque<JobId>,
+    pub remaining_jobs: VecDeque<JobId>,
     pub view: ClaimView,
     pub claimed: Vec<OwnedJob>,
     pub cancelling: Vec<JobId>,
--- a/crates/foxtailhold/tests/batch_sim/world.rs
+++ b/crates/foxtailhold/tests/batch_sim/world.rs
@@ -287,7 +287,7 @@
             StoreResponse::Open(open) => {
                 for row in open {
                     if !scan.running.contains(&row.job) {
-                        scan.todo.push_back(row.job);
+                        scan.remaining_jobs.push_back(row.job);
                     } else if row.cancelling {
                         scan.cancelling.push(row.job);
                     }
@@ -296,7 +296,7 @@
             }
             StoreResponse::Job(found) => {
                 scan.view.job = found;
-                let job = scan.todo[0].clone();
+                let job = scan.remaining_jobs[0].clone();
                 return self.send(index, Waiter::Scan, StoreRequest::ReadOwner(job));
             }
             StoreResponse::Owner(found) => {
@@ -337,7 +337,7 @@
     fn job_scanned(&mut self, index: usize, owned: Option<OwnedJob>) {
         let scan = self.nodes[index].scan.as_mut().unwrap();
         scan.view = ClaimView::default();
-        scan.todo.pop_front();
+        scan.remaining_jobs.pop_front();
         scan.claimed.extend(owned);
         self.next_job(index);
     }
@@ -345,7 +345,7 @@
     fn next_job(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let scan = node.scan.as_ref().unwrap();
-        if let Some(job) = scan.todo.front().cloned() {
+        if let Some(job) = scan.remaining_jobs.front().cloned() {
             return self.send(index, Waiter::Scan, StoreRequest::ReadJob(job));
         }
         let scan = node.scan.take().unwrap();
@@ -363,7 +363,7 @@
         }
         for job in scan.cancelling {
             if self.nodes[index].registry.must_stop(&job) {
-                self.end_run(index, &job);
+                self.end_execution(index, &job);
             }
         }
         let stops = std::mem::take(&mut self.nodes[index].pending_stops);
@@ -387,7 +387,7 @@
         self.nodes[index].runs.insert(job, run);
     }
 
-    pub fn end_run(&mut self, index: usize, job: &JobId) {
+    pub fn end_execution(&mut self, index: usize, job: &JobId) {
         let node = &mut self.nodes[index];
         node.runs.remove(job);
         self.calls.retain_mut(|call| {
--- a/crates/foxtailhold/tests/common/gossip.rs
+++ b/crates/foxtailhold/tests/common/gossip.rs
@@ -1,4 +1,4 @@
-//! Many membership machines in one process, with messages that are lost.
+//! Simulation of many membership state machines in one process, with lost messages.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -11,17 +11,17 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// One instance of the simulation.
+/// One simulated instance.
 pub struct Node {
     pub membership: Membership,
     pub alive: bool,
     pub paused: bool,
-    /// Cut from all others.
+    /// Whether all messages from and to this instance are lost.
     pub cut: bool,
     started_ms: u64,
 }
 
-/// The instances, with what their messages weigh.
+/// The simulated instances, with the number and size of their messages.
 pub struct Nodes {
     pub nodes: Vec<Node>,
     pub now_ms: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Nodes {
-    /// `count` instances that know only the first one.
+    /// Creates `count` instances, each of which knows only the first one.
     pub fn new(count: usize, seed: u64) -> Self {
         let mut nodes = Nodes {
             nodes: Vec::new(),
@@ -66,7 +66,8 @@
         nodes
     }
 
-    /// Starts one more instance, which the fleet list tells of the first one that runs.
+    /// Starts another instance, which learns the address of the first running one from the fleet
+    /// list.
     pub fn join(&mut self, incarnation: u64) -> usize {
         let index = self.nodes.len();
         let membership = Membership::new(member(index, incarnation), self.rng.random());
@@ -80,7 +81,7 @@
         index
     }
 
-    /// Starts an instance anew under its name.
+    /// Restarts an instance with the same identifier.
     pub fn restart(&mut self, index: usize, incarnation: u64) {
         let membership = Membership::new(member(index, incarnation), self.rng.random());
         self.nodes[index] = Node {
@@ -117,21 +118,21 @@
         self.bytes += bytes.len() as u64;
     }
 
-    fn passes(&mut self, from: usize, to: usize) -> bool {
+    fn is_delivered(&mut self, from: usize, to: usize) -> bool {
         let cut = self.nodes[from].cut || self.nodes[to].cut;
         !cut && self.runs(to) && self.rng.random_range(0..100) >= self.lost_percent
     }
 
-    /// A message and its answer. Returns whether the answer came.
+    /// Delivers a message and its response. Returns whether the response arrived.
     fn exchange(&mut self, from: usize, to: usize, gossip: &Gossip) -> bool {
         self.count(gossip);
-        if !self.passes(from, to) {
+        if !self.is_delivered(from, to) {
             return false;
         }
         let (now, carried) = (self.clock(to), self.carried());
         let answer = self.nodes[to].membership.on_message(gossip, carried, now);
         self.count(&answer);
-        if !self.passes(to, from) {
+        if !self.is_delivered(to, from) {
             return false;
         }
         let now = self.clock(from);
@@ -153,7 +154,7 @@
             let gossip = node.probe(Some(&target.id), carried.clone());
             let to = self.index_of(&target.id);
             if !self.exchange(index, to, &gossip) {
-                self.ask_others(index, to);
+                self.probe_indirectly(index, to);
             }
         }
         if let Some(dead) = self.nodes[index].membership.dead_target() {
@@ -171,12 +172,15 @@
         }
     }
 
-    fn ask_others(&mut self, index: usize, target: usize) {
+    fn probe_indirectly(&mut self, index: usize, target: usize) {
         let mut answered = false;
         for helper in self.nodes[index].membership.indirect(&id(target)) {
             let helper = self.index_of(&helper.id);
-            let way = self.passes(index, helper) && self.passes(helper, target);
-            answered |= way && self.passes(target, helper) && self.passes(helper, index);
+            let request_delivered =
+                self.is_delivered(index, helper) && self.is_delivered(helper, target);
+            answered |= request_delivered
+                && self.is_delivered(target, helper)
+                && self.is_delivered(helper, index);
         }
         let now = self.clock(index);
         let node = &mut self.nodes[index].membership;
@@ -186,7 +190,7 @@
         }
     }
 
-    /// One probe period of all that run.
+    /// Simulates one probe period of all running instances.
     pub fn period(&mut self) {
         self.now_ms += PROBE_PERIOD_MS;
         for index in 0..self.nodes.len() {
@@ -196,7 +200,7 @@
         }
     }
 
-    /// How the running instances see one.
+    /// Counts the running instances by the state in which they see the instance `index`.
     pub fn seen(&self, index: usize) -> BTreeMap<Option<MemberState>, usize> {
         let mut seen = BTreeMap::new();
         for (other, node) in self.nodes.iter().enumerate() {
@@ -209,17 +213,17 @@
         seen
     }
 
-    /// Whether all that run see `index` in `state`.
+    /// Whether all running instances see `index` in `state`.
     pub fn agreed(&self, index: usize, state: MemberState) -> bool {
         self.seen(index).keys().all(|seen| *seen == Some(state))
     }
 
-    /// Whether no running instance knows `index` any more.
+    /// Whether no running instance has `index` in its membership list.
     pub fn agreed_absent(&self, index: usize) -> bool {
         self.seen(index).keys().all(Option::is_none)
     }
 
-    /// Brings those that run and do not know each other together, as the fleet list does.
+    /// Introduces running instances that do not know each other, as the fleet list does.
     pub fn reseed(&mut self) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
@@ -235,7 +239,8 @@
         }
     }
 
-    /// Periods until `done` holds, at most `limit`.
+    /// Runs probe periods until `done` holds and returns their number. Panics after `limit`
+    /// periods.
     pub fn periods_until(&mut self, limit: u64, mut done: impl FnMut(&Nodes) -> bool) -> u64 {
         for period in 0..limit {
             if done(self) {
--- a/crates/foxtailhold/tests/common/mod.rs
+++ b/crates/foxtailhold/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state machines share.
+//! Helpers shared by the tests of the state machines.
 #![allow(dead_code)]
 
 pub mod shares;
@@ -8,10 +8,11 @@
 use foxtailhold::contract_book::ContractChange;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Seed of the runs in CI.
+/// Seed that is used unless the number of cases is overridden.
 const SEED: u64 = 0x0F0C_7A11;
 
-/// `cases` with a fixed seed, or as many as `FOXTAILHOLD_FUZZ_CASES` says with a seed of their own.
+/// Runs `cases` cases with a fixed seed, or the number in `FOXTAILHOLD_FUZZ_CASES` with a random
+/// seed.
 pub fn fuzz_config(cases: u32) -> Config {
     let longer = std::env::var("FOXTAILHOLD_FUZZ_CASES");
     let longer = longer.ok().and_then(|text| text.parse().ok());
@@ -24,7 +25,7 @@
     }
 }
 
-/// A change that gives `customer` a contract with one key.
+/// A contract change that gives `customer` a contract with one API key.
 pub fn change(number: u64, customer: &str, version: u64, key: &str) -> ContractChange {
     let document =
         format!("customer = \"{customer}\"\napi_keys = [\"{key}\"]\nrequests_per_s = {number}.0\n");
--- a/crates/foxtailhold/tests/common/shares.rs
+++ b/crates/foxtailhold/tests/common/shares.rs
@@ -1,5 +1,5 @@
-//! Several instances that share one customer's limit, the messages between them, and an oracle of
-//! what they may admit together.
+//! Simulation of several instances that share the limit of one customer, with the messages between
+//! them and an oracle for the number of requests that they may admit together.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Node {
     views: Views,
-    pub home: LimitHome,
+    pub coordinator: LimitHome,
     holder: Holder,
     running: bool,
     waiting_since: Option<MonoMs>,
@@ -49,7 +49,7 @@
     message: Message,
 }
 
-/// Instances, the messages between them, and the account of what they admitted.
+/// The simulated instances, the messages between them, and the number of admitted requests.
 #[derive(Debug)]
 pub struct World {
     now: MonoMs,
@@ -59,14 +59,14 @@
     pub loss_percent: u64,
     pub delay_ms: u64,
     number: u64,
-    posted: u64,
-    homes: VecDeque<(MonoMs, f64)>,
+    posted_messages: u64,
+    coordinator_shares: VecDeque<(MonoMs, f64)>,
     changes: Vec<MonoMs>,
     pub admitted: f64,
-    /// Requests that were told to wait.
+    /// Number of requests that had to wait.
     pub held_back: u64,
     allowed: f64,
-    least: f64,
+    min_excess: f64,
     pub worst: f64,
 }
 
@@ -80,7 +80,7 @@
             views.set(all, INSTANCES as u32, MonoMs(1));
             let node = Node {
                 views,
-                home: LimitHome::default(),
+                coordinator: LimitHome::default(),
                 holder: Holder::new(now),
                 running: true,
                 waiting_since: None,
@@ -95,13 +95,13 @@
             loss_percent: 0,
             delay_ms: 2,
             number: 0,
-            posted: 0,
-            homes: VecDeque::new(),
+            posted_messages: 0,
+            coordinator_shares: VecDeque::new(),
             changes: Vec::new(),
             admitted: 0.0,
             held_back: 0,
             allowed: 0.0,
-            least: 0.0,
+            min_excess: 0.0,
             worst: 0.0,
         }
     }
@@ -110,16 +110,16 @@
         !self.cut.contains(&(a.min(b), a.max(b)))
     }
 
-    pub fn home_of(&self, index: usize) -> usize {
-        let home = self.nodes[index].views.home(&customer()).unwrap();
+    pub fn coordinator_of(&self, index: usize) -> usize {
+        let coordinator = self.nodes[index].views.home(&customer()).unwrap();
         (0..INSTANCES)
-            .find(|other| instance(*other) == *home)
+            .find(|other| instance(*other) == *coordinator)
             .unwrap()
     }
 
     fn post(&mut self, from: usize, to: usize, message: Message) {
-        self.posted += 1;
-        let draw = self.posted.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+        self.posted_messages += 1;
+        let draw = self.posted_messages.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         let lost = from != to && draw % 100 < self.loss_percent;
         if lost || !self.reaches(from, to) {
             return;
@@ -150,9 +150,9 @@
             }
             match message {
                 Message::Ask(ask) => {
-                    let grant = node
-                        .home
-                        .ask(&instance(from), &ask, &TERMS, &node.views, now);
+                    let grant =
+                        node.coordinator
+                            .ask(&instance(from), &ask, &TERMS, &node.views, now);
                     if let Some(grant) = grant {
                         self.post(to, from, Message::Grant(grant));
                     }
@@ -164,16 +164,18 @@
         }
     }
 
-    fn recall(&mut self, home: usize) {
-        let above = self.nodes[home].home.recall(&customer(), self.now);
+    fn recall(&mut self, coordinator: usize) {
+        let over_share = self.nodes[coordinator]
+            .coordinator
+            .recall(&customer(), self.now);
         for index in 0..INSTANCES {
-            if above.contains(&instance(index)) {
-                self.post(home, index, Message::Recall);
+            if over_share.contains(&instance(index)) {
+                self.post(coordinator, index, Message::Recall);
             }
         }
     }
 
-    fn send_asks(&mut self) {
+    fn send_requests(&mut self) {
         for index in 0..INSTANCES {
             self.number += 1;
             let (now, number) = (self.now, self.number);
@@ -182,8 +184,8 @@
                 continue;
             }
             if let Some(ask) = node.holder.ask(&customer(), &TERMS, number, now) {
-                let home = self.home_of(index);
-                self.post(index, home, Message::Ask(ask));
+                let coordinator = self.coordinator_of(index);
+                self.post(index, coordinator, Message::Ask(ask));
             }
             if self.nodes[index].holder.is_forgettable(now) {
                 self.nodes[index].holder = Holder::new(now);
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Sends `count` requests to an instance and returns how many it admitted.
+    /// Sends `count` requests to an instance and returns the number of admitted ones.
     pub fn request(&mut self, index: usize, count: u32) -> u32 {
         let mut admitted = 0;
         for _ in 0..count {
@@ -222,7 +224,7 @@
                 Verdict::Over { .. } => return false,
                 Verdict::Wait => self.held_back += 1,
             }
-            self.send_asks();
+            self.send_requests();
             self.deliver();
             let node = &mut self.nodes[index];
             let since = *node.waiting_since.get_or_insert(now);
@@ -243,34 +245,35 @@
         while self.now < end {
             self.now = self.now + STEP_MS.min(end.since_ms(self.now));
             self.deliver();
-            self.send_asks();
+            self.send_requests();
             self.deliver();
             self.allow();
             for node in &mut self.nodes {
-                node.home.sweep(self.now);
+                node.coordinator.sweep(self.now);
             }
         }
     }
 
-    /// Adds what may flow in during the step that just passed.
+    /// Adds the requests that may be admitted during the last step to the allowed number.
     fn allow(&mut self) {
-        let mut homes = 0.0;
+        let mut coordinator_shares = 0.0;
         for index in 0..INSTANCES {
             let node = &self.nodes[index];
-            let is_home = node.running && node.views.is_home(&customer());
-            if is_home {
-                homes += f64::from(node.views.live()) / f64::from(node.views.listed());
+            let is_coordinator = node.running && node.views.is_home(&customer());
+            if is_coordinator {
+                coordinator_shares += f64::from(node.views.live()) / f64::from(node.views.listed());
             }
         }
-        self.homes.push_back((self.now, homes));
+        self.coordinator_shares
+            .push_back((self.now, coordinator_shares));
         while self
-            .homes
+            .coordinator_shares
             .front()
             .is_some_and(|(at, _)| self.now.since_ms(*at) > LEASE_MS)
         {
-            self.homes.pop_front();
+            self.coordinator_shares.pop_front();
         }
-        let most = self.most_granted();
+        let granted = self.max_granted_share();
         let changing = self
             .changes
             .last()
@@ -284,16 +287,19 @@
                 0.0
             };
         }
-        let fraction = most + f64::from(u8::from(changing)) + fallback;
+        let fraction = granted + f64::from(u8::from(changing)) + fallback;
         self.allowed += fraction * TERMS.requests_per_s * STEP_MS as f64 / 1_000.0;
         self.check();
     }
 
-    /// The oracle: a bucket that all instances share. `worst` is how far it was overdrawn.
+    /// Oracle: a token bucket shared by all instances. `worst` is the largest number of requests
+    /// admitted beyond it.
     fn check(&mut self) {
-        let over = self.admitted - self.allowed;
-        self.least = self.least.min(over + self.held_beside_homes());
-        self.worst = self.worst.max(over - self.least - TERMS.burst_requests);
+        let excess = self.admitted - self.allowed;
+        self.min_excess = self.min_excess.min(excess + self.unaccounted_burst());
+        self.worst = self
+            .worst
+            .max(excess - self.min_excess - TERMS.burst_requests);
         let slack = INSTANCES as f64 + 2.0;
         assert!(
             self.worst <= slack,
@@ -303,17 +309,21 @@
         );
     }
 
-    /// The most that all homes together could grant at any time of the last lease.
-    fn most_granted(&self) -> f64 {
-        let homes = self.homes.iter().map(|(_, homes)| *homes);
-        homes.fold(1.0, f64::max)
+    /// Largest multiple of the limit that all coordinators together could grant at any time during
+    /// the last lease.
+    fn max_granted_share(&self) -> f64 {
+        let coordinator_shares = self
+            .coordinator_shares
+            .iter()
+            .map(|(_, coordinator_shares)| *coordinator_shares);
+        coordinator_shares.fold(1.0, f64::max)
     }
 
-    /// Bursts that may lie in buckets of which the present home knows nothing.
-    fn held_beside_homes(&self) -> f64 {
+    /// Number of requests in bursts that may be left in buckets unknown to the present coordinator.
+    fn unaccounted_burst(&self) -> f64 {
         let recent = |at: &&MonoMs| self.now.since_ms(**at) <= 2 * LEASE_MS;
         let mut bursts = self.changes.iter().filter(recent).count() as f64;
-        bursts += self.most_granted() - 1.0;
+        bursts += self.max_granted_share() - 1.0;
         for node in &self.nodes {
             let part = 1.0 / f64::from(node.views.listed());
             bursts += if node.holder.in_fallback(self.now) {
@@ -349,7 +359,7 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         node.running = true;
-        node.home = LimitHome::default();
+        node.coordinator = LimitHome::default();
         node.holder = Holder::new(now);
         node.waiting_since = None;
         let mut views = Views::new(instance(index), now);
@@ -362,8 +372,8 @@
         self.disturbed();
     }
 
-    /// Sends ten requests to each of `instances` every 20 ms for `ms`; returns how many were
-    /// admitted.
+    /// Sends ten requests to each of `instances` every 20 ms for `ms` milliseconds and returns the
+    /// number of admitted ones.
     pub fn flood(&mut self, instances: &[usize], ms: u64) -> f64 {
         let mut admitted = 0;
         for _ in 0..ms / STEP_MS {
--- a/crates/foxtailhold/tests/idempotency_fuzz/main.rs
+++ b/crates/foxtailhold/tests/idempotency_fuzz/main.rs
@@ -1,4 +1,6 @@
-//! Stateful fuzzing of requests that must not be repeated.
+//! Stateful fuzzing of requests with an idempotency key, with lost, delayed and refused writes and
+//! with attempts that are killed. It checks that a key runs at most once within the retention time
+//! and that a request answered with `not_run` was never sent.
 //!
 //! `FOXTAILHOLD_FUZZ_CASES` sets the number of cases; one case has up to 60 steps.
 
@@ -10,46 +12,46 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use world::{Fate, Reply, World};
+use world::{CallOutcome, ServiceResponse, World};
 
 const ATTEMPTS: usize = 5;
 const SEED: u64 = 0x0f0c_5eed;
 
-/// Steps and faults over all cases, for the figures.
+/// Counts of steps and faults over all cases.
 static TOTALS: Mutex<std::collections::BTreeMap<String, u64>> =
     Mutex::new(std::collections::BTreeMap::new());
 
 #[derive(Debug, Clone)]
 enum Transition {
     Start(u8),
-    Step(usize, Fate, Reply),
-    /// Several steps with one fate, such as a claim given up or a release.
-    Steps(usize, Fate, Reply, usize),
+    Step(usize, CallOutcome, ServiceResponse),
+    /// Several steps with the same outcome, enough for a claim to be given up or released.
+    Steps(usize, CallOutcome, ServiceResponse, usize),
     Kill(usize),
-    Land(usize),
-    /// One half of a sweep, or both.
-    Sweep(Fate, usize),
-    Pass(u64),
+    ApplyDelayedWrite(usize),
+    /// The read of a sweep, its delete, or both.
+    Sweep(CallOutcome, usize),
+    AdvanceTime(u64),
 }
 
 #[derive(Debug, Clone)]
 struct Reference;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::Lost),
-        2 => Just(Fate::Delayed),
-        1 => Just(Fate::Refused),
+        4 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::ResponseLost),
+        1 => Just(CallOutcome::RequestLost),
+        2 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Refused),
     ]
 }
 
-fn reply() -> impl Strategy<Value = Reply> {
+fn response() -> impl Strategy<Value = ServiceResponse> {
     prop_oneof![
-        2 => Just(Reply::Whole),
-        1 => Just(Reply::Cut),
-        2 => Just(Reply::ConnectionRefused),
+        2 => Just(ServiceResponse::Complete),
+        1 => Just(ServiceResponse::Truncated),
+        2 => Just(ServiceResponse::ConnectionRefused),
     ]
 }
 
@@ -63,7 +65,7 @@
 
     fn transitions((): &()) -> BoxedStrategy<Transition> {
         let body = prop_oneof![9 => Just(0u8), 1 => Just(1u8)];
-        let pass = prop_oneof![
+        let advance_time = prop_oneof![
             3 => Just(1_000u64),
             1 => Just(400_000),
             1 => Just(RETENTION_MS + 1),
@@ -71,13 +73,13 @@
         ];
         prop_oneof![
             9 => body.prop_map(Transition::Start),
-            40 => (0..ATTEMPTS, fate(), reply()).prop_map(|(a, f, r)| Transition::Step(a, f, r)),
-            40 => (0..ATTEMPTS, fate(), reply(), 2..5usize)
-                .prop_map(|(a, f, r, n)| Transition::Steps(a, f, r, n)),
+            40 => (0..ATTEMPTS, outcome(), response()).prop_map(|(attempt, outcome, response)| Transition::Step(attempt, outcome, response)),
+            40 => (0..ATTEMPTS, outcome(), response(), 2..5usize)
+                .prop_map(|(attempt, outcome, response, count)| Transition::Steps(attempt, outcome, response, count)),
             1 => (0..ATTEMPTS).prop_map(Transition::Kill),
-            8 => (0..4usize).prop_map(Transition::Land),
-            8 => (fate(), 1..3usize).prop_map(|(f, halves)| Transition::Sweep(f, halves)),
-            6 => pass.prop_map(Transition::Pass),
+            8 => (0..4usize).prop_map(Transition::ApplyDelayedWrite),
+            8 => (outcome(), 1..3usize).prop_map(|(outcome, halves)| Transition::Sweep(outcome, halves)),
+            6 => advance_time.prop_map(Transition::AdvanceTime),
         ]
         .boxed()
     }
@@ -89,13 +91,13 @@
 
 fn check(world: &World) {
     for attempt in &world.attempts {
-        assert!(attempt.runs <= 1, "one attempt sent twice");
+        assert!(attempt.sends <= 1, "one attempt sent twice");
         assert!(
-            !(attempt.not_run && attempt.runs > 0),
-            "an attempt that was answered `not_run` ran"
+            !(attempt.not_run && attempt.sends > 0),
+            "an attempt that was answered with `not_run` was sent"
         );
     }
-    for pair in world.ran_at.windows(2) {
+    for pair in world.executed_at_ms.windows(2) {
         assert!(
             pair[1] - pair[0] > RETENTION_MS,
             "the key ran twice, at {} and {} ms",
@@ -103,7 +105,10 @@
             pair[1]
         );
     }
-    assert!(!world.wrong_answer, "a resend got another request's answer");
+    assert!(
+        !world.wrong_response,
+        "a resend got the response to a different request"
+    );
 }
 
 impl StateMachineTest for Fuzz {
@@ -118,42 +123,43 @@
         match transition {
             Transition::Start(body) if world.attempts.len() < ATTEMPTS => world.start(body),
             Transition::Start(_) => {}
-            Transition::Step(attempt, fate, reply) => world.step(attempt, fate, reply),
-            Transition::Steps(attempt, fate, reply, count) => {
+            Transition::Step(attempt, outcome, response) => world.step(attempt, outcome, response),
+            Transition::Steps(attempt, outcome, response, count) => {
                 for _ in 0..count {
-                    world.step(attempt, fate, reply);
+                    world.step(attempt, outcome, response);
                 }
             }
             Transition::Kill(attempt) => world.kill(attempt),
-            Transition::Land(index) => world.table.land(index),
-            Transition::Sweep(fate, halves) => {
+            Transition::ApplyDelayedWrite(index) => world.table.apply_delayed(index),
+            Transition::Sweep(outcome, halves) => {
                 for _ in 0..halves {
-                    world.sweep(fate);
+                    world.sweep(outcome);
                 }
             }
-            Transition::Pass(ms) => world.pass(ms),
+            Transition::AdvanceTime(ms) => world.advance_time(ms),
         }
         check(&world);
         world
     }
 
     fn teardown(mut world: World) {
-        world.drain();
+        world.finish_without_faults();
         check(&world);
-        // Nothing ran and nobody was killed: every claim was released, so that a resend runs. A
+        // If nothing ran and no attempt was killed, every claim was released and a resend runs. A
         // write that was delayed past the sweep of an expired row may leave a claim, which is safe.
         let killed = world.attempts.iter().any(|attempt| attempt.killed);
         let faults = &world.table.faults;
-        let clean = !killed && !faults.contains_key("swept") && !faults.contains_key("left");
-        if clean && world.ran_at.is_empty() {
+        let clean =
+            !killed && !faults.contains_key("swept") && !faults.contains_key("release too late");
+        if clean && world.executed_at_ms.is_empty() {
             assert!(
-                world.probe_runs(0),
+                world.new_attempt_runs(0),
                 "a claim that never ran was not released"
             );
         }
         let mut totals = TOTALS.lock().unwrap();
         *totals.entry("attempt steps".into()).or_default() += world.steps;
-        *totals.entry("runs".into()).or_default() += world.ran_at.len() as u64;
+        *totals.entry("runs".into()).or_default() += world.executed_at_ms.len() as u64;
         for (fault, count) in &world.table.faults {
             *totals.entry(fault.clone()).or_default() += count;
         }
@@ -179,16 +185,16 @@
 }
 
 #[test]
-fn the_fuzz_causes_every_fault() {
+fn fuzz_causes_every_fault() {
     each_key_runs_at_most_once_and_not_run_stays_true();
     let totals = TOTALS.lock().unwrap().clone();
     println!("{totals:?}");
     for fault in [
-        "AnswerLost",
-        "Lost",
+        "ResponseLost",
+        "RequestLost",
         "Delayed",
         "Refused",
-        "landed late",
+        "applied late",
         "killed",
         "runs",
     ] {
@@ -196,49 +202,63 @@
     }
 }
 
-const WHOLE: (Fate, Reply) = (Fate::Answered, Reply::Whole);
+const COMPLETE: (CallOutcome, ServiceResponse) = (CallOutcome::Answered, ServiceResponse::Complete);
 
-fn steps(world: &mut World, attempt: usize, (fate, reply): (Fate, Reply), count: usize) {
+fn steps(
+    world: &mut World,
+    attempt: usize,
+    (outcome, response): (CallOutcome, ServiceResponse),
+    count: usize,
+) {
     for _ in 0..count {
-        world.step(attempt, fate, reply);
+        world.step(attempt, outcome, response);
         check(world);
     }
 }
 
-/// Too rare for the fuzz: a sweep lands after another sweep and a new claim of the same version.
+/// Guards against a key that runs twice because a delayed sweep deletes a new claim. The sweep is
+/// applied after another sweep and after a new claim with the same row version, which the fuzz
+/// seldom reaches.
 #[test]
-fn a_sweep_that_lands_late_does_not_remove_a_new_claim() {
+fn delayed_sweep_does_not_remove_a_new_claim() {
     let mut world = World::default();
     world.start(0);
-    steps(&mut world, 0, WHOLE, 1);
-    world.pass(8 * RETENTION_MS);
-    for fate in [
-        Fate::Answered,
-        Fate::Delayed,
-        Fate::Answered,
-        Fate::Answered,
+    steps(&mut world, 0, COMPLETE, 1);
+    world.advance_time(8 * RETENTION_MS);
+    for outcome in [
+        CallOutcome::Answered,
+        CallOutcome::Delayed,
+        CallOutcome::Answered,
+        CallOutcome::Answered,
     ] {
-        world.sweep(fate);
+        world.sweep(outcome);
     }
     world.start(0);
-    steps(&mut world, 1, (Fate::Answered, Reply::Cut), 3);
-    world.table.land(0);
+    steps(
+        &mut world,
+        1,
+        (CallOutcome::Answered, ServiceResponse::Truncated),
+        3,
+    );
+    world.table.apply_delayed(0);
     world.start(0);
-    steps(&mut world, 2, WHOLE, 3);
-    assert_eq!(world.ran_at.len(), 1);
+    steps(&mut world, 2, COMPLETE, 3);
+    assert_eq!(world.executed_at_ms.len(), 1);
 }
 
-/// Too rare for the fuzz: a send that was paused for days is answered, and its row must stay.
+/// Guards against a response that is swept too early. An attempt was paused for days before its
+/// send was answered, so the retention has to count from when the response was stored. The fuzz
+/// seldom reaches this.
 #[test]
-fn an_answer_is_kept_from_when_it_was_stored() {
+fn response_is_retained_from_when_it_was_stored() {
     let mut world = World::default();
     world.start(0);
-    steps(&mut world, 0, WHOLE, 2);
-    world.pass(2 * RETENTION_MS);
-    steps(&mut world, 0, WHOLE, 2);
-    world.sweep(Fate::Answered);
-    world.sweep(Fate::Answered);
+    steps(&mut world, 0, COMPLETE, 2);
+    world.advance_time(2 * RETENTION_MS);
+    steps(&mut world, 0, COMPLETE, 2);
+    world.sweep(CallOutcome::Answered);
+    world.sweep(CallOutcome::Answered);
     world.start(0);
-    steps(&mut world, 1, WHOLE, 3);
-    assert_eq!(world.ran_at.len(), 1);
+    steps(&mut world, 1, COMPLETE, 3);
+    assert_eq!(world.executed_at_ms.len(), 1);
 }
--- a/crates/foxtailhold/tests/idempotency_fuzz/world.rs
+++ b/crates/foxtailhold/tests/idempotency_fuzz/world.rs
@@ -1,5 +1,6 @@
-//! A small world for one key: a table that loses, delays and refuses writes, a service that counts
-//! what it ran, attempts that are killed and paused between any two steps, a sweeper.
+//! Simulation of one idempotency key: a table that loses, delays and refuses writes, a service that
+//! counts the requests it ran, attempts that are killed and paused between any two steps, and a
+//! sweeper.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +10,31 @@
 };
 use foxtailhold::time::{MonoMs, WallMs};
 
-const LONGEST_PAUSE_MS: u64 = 5 * RETENTION_MS;
+const MAX_PAUSE_MS: u64 = 5 * RETENTION_MS;
 
-/// What the store does with one call.
+/// What happens to one call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     Answered,
-    AnswerLost,
-    Lost,
+    ResponseLost,
+    RequestLost,
     Delayed,
     Refused,
 }
 
-/// How one send ends.
+/// Response of the service to one send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reply {
-    Whole,
-    Cut,
+pub enum ServiceResponse {
+    Complete,
+    Truncated,
     ConnectionRefused,
 }
 
 #[derive(Debug, Clone)]
 enum Write {
     Put(ExpectedVersion, ClaimRow),
-    /// Deletes this version, while no other sweep has been committed.
+    /// Deletes the row if it still has this version and no other sweep was committed since the
+    /// read.
     Sweep {
         fence: u64,
         version: u64,
@@ -41,12 +43,12 @@
 
 #[derive(Debug)]
 enum Stage {
-    Claim(ClaimAttempt),
+    Claiming(ClaimAttempt),
     Held(HeldClaim),
-    /// Checked at this time that it may send, and paused: the send itself comes later.
+    /// Has checked at this time that it may send. The attempt may be paused before the send.
     Sending(HeldClaim, u64),
-    Store(HeldClaim),
-    Release(ClaimRelease, ReleaseStep),
+    StoringResponse(HeldClaim),
+    Releasing(ClaimRelease, ReleaseStep),
     Ended,
 }
 
@@ -54,7 +56,7 @@
 pub struct Attempt {
     stage: Stage,
     body: u8,
-    pub runs: u32,
+    pub sends: u32,
     pub not_run: bool,
     pub killed: bool,
 }
@@ -74,7 +76,7 @@
                 let version = self.row.as_ref().map(|row| row.0);
                 let holds = match expected {
                     ExpectedVersion::Absent => version.is_none(),
-                    ExpectedVersion::Version(wanted) => version == Some(*wanted),
+                    ExpectedVersion::Version(required) => version == Some(*required),
                 };
                 if holds {
                     self.row = Some((version.unwrap_or(0) + 1, row.clone()));
@@ -82,8 +84,8 @@
                 holds
             }
             Write::Sweep { fence, version } => {
-                let seen = self.row.as_ref().map(|row| row.0);
-                let holds = *fence == self.fence && seen == Some(*version);
+                let current = self.row.as_ref().map(|row| row.0);
+                let holds = *fence == self.fence && current == Some(*version);
                 if holds {
                     self.row = None;
                     self.fence += 1;
@@ -94,36 +96,36 @@
         }
     }
 
-    pub fn found(&self) -> Option<FoundClaim> {
+    pub fn read(&self) -> Option<FoundClaim> {
         let (version, row) = self.row.clone()?;
         Some(FoundClaim { version, row })
     }
 
-    fn write(&mut self, write: Write, fate: Fate) -> WriteOutcome {
-        *self.faults.entry(format!("{fate:?}")).or_default() += 1;
-        match fate {
-            Fate::Refused => return WriteOutcome::NoEffect,
-            Fate::Lost => return WriteOutcome::Unknown,
-            Fate::Delayed => {
+    fn write(&mut self, write: Write, outcome: CallOutcome) -> WriteOutcome {
+        *self.faults.entry(format!("{outcome:?}")).or_default() += 1;
+        match outcome {
+            CallOutcome::Refused => return WriteOutcome::NoEffect,
+            CallOutcome::RequestLost => return WriteOutcome::Unknown,
+            CallOutcome::Delayed => {
                 self.delayed.push(write);
                 return WriteOutcome::Unknown;
             }
-            Fate::Answered | Fate::AnswerLost => {}
+            CallOutcome::Answered | CallOutcome::ResponseLost => {}
         }
         let applied = self.apply(&write);
-        match (fate, applied) {
-            (Fate::AnswerLost, _) => WriteOutcome::Unknown,
+        match (outcome, applied) {
+            (CallOutcome::ResponseLost, _) => WriteOutcome::Unknown,
             (_, true) => WriteOutcome::Committed,
-            (_, false) => WriteOutcome::Conflict(self.found()),
+            (_, false) => WriteOutcome::Conflict(self.read()),
         }
     }
 
-    pub fn land(&mut self, index: usize) {
+    pub fn apply_delayed(&mut self, index: usize) {
         if self.delayed.is_empty() {
             return;
         }
         let write = self.delayed.remove(index % self.delayed.len());
-        *self.faults.entry("landed late".into()).or_default() += 1;
+        *self.faults.entry("applied late".into()).or_default() += 1;
         self.apply(&write);
     }
 }
@@ -133,9 +135,9 @@
     pub table: Table,
     pub attempts: Vec<Attempt>,
     now_ms: u64,
-    /// When the key was run, and by which attempt.
-    pub ran_at: Vec<u64>,
-    pub wrong_answer: bool,
+    /// Times at which the service ran the request.
+    pub executed_at_ms: Vec<u64>,
+    pub wrong_response: bool,
     sweep: Option<Write>,
     pub steps: u64,
 }
@@ -144,8 +146,8 @@
     format!("digest-{body}")
 }
 
-fn answer_of(index: usize) -> StoredBody {
-    StoredBody::Text(format!("answer of attempt {index}"))
+fn response_of_attempt(index: usize) -> StoredBody {
+    StoredBody::Text(format!("response of attempt {index}"))
 }
 
 impl World {
@@ -155,11 +157,11 @@
 
     pub fn start(&mut self, body: u8) {
         let id = format!("claim-{}", self.attempts.len());
-        let claimer = ClaimAttempt::new(id, digest(body));
+        let attempt_claim = ClaimAttempt::new(id, digest(body));
         self.attempts.push(Attempt {
-            stage: Stage::Claim(claimer),
+            stage: Stage::Claiming(attempt_claim),
             body,
-            runs: 0,
+            sends: 0,
             not_run: false,
             killed: false,
         });
@@ -177,32 +179,32 @@
         *self.table.faults.entry("killed".into()).or_default() += 1;
     }
 
-    /// Time passes. Assumed of the world: late writes land within hours, and an attempt is not
-    /// paused for more than five days between its last check and its send.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the time. The simulation assumes that delayed writes are applied within hours and
+    /// that an attempt is paused for at most five days between its last check and its send.
+    pub fn advance_time(&mut self, ms: u64) {
         for index in 0..self.attempts.len() {
             let Stage::Sending(_, checked_at) = self.attempts[index].stage else {
                 continue;
             };
-            if self.now_ms + ms > checked_at + LONGEST_PAUSE_MS {
-                self.step(index, Fate::Answered, Reply::Cut);
+            if self.now_ms + ms > checked_at + MAX_PAUSE_MS {
+                self.step(index, CallOutcome::Answered, ServiceResponse::Truncated);
             }
         }
         if ms > 3_600_000 {
             while !self.table.delayed.is_empty() {
-                self.table.land(0);
+                self.table.apply_delayed(0);
             }
         }
         self.now_ms += ms;
     }
 
-    /// One half of a sweep: read, or delete what was read before.
-    pub fn sweep(&mut self, fate: Fate) {
+    /// Runs the next half of a sweep, which is the read or the delete of the row read before.
+    pub fn sweep(&mut self, outcome: CallOutcome) {
         if let Some(write) = self.sweep.take() {
-            self.table.write(write, fate);
+            self.table.write(write, outcome);
             return;
         }
-        let Some(FoundClaim { version, row }) = self.table.found() else {
+        let Some(FoundClaim { version, row }) = self.table.read() else {
             return;
         };
         if is_expired(&row, self.clocks().1) {
@@ -211,55 +213,63 @@
         }
     }
 
-    /// One step of one attempt.
-    pub fn step(&mut self, index: usize, fate: Fate, reply: Reply) {
+    /// Runs the next step of one attempt.
+    pub fn step(&mut self, index: usize, outcome: CallOutcome, response: ServiceResponse) {
         self.steps += 1;
         let Some(attempt) = self.attempts.get_mut(index) else {
             return;
         };
         let stage = std::mem::replace(&mut attempt.stage, Stage::Ended);
         let next = match stage {
-            Stage::Claim(claimer) => self.claim(index, claimer, fate),
+            Stage::Claiming(attempt_claim) => self.claim(index, attempt_claim, outcome),
             Stage::Held(held) => self.check_send(index, held),
-            Stage::Sending(held, _) => self.send(index, held, reply),
-            Stage::Store(held) => {
+            Stage::Sending(held, _) => self.send(index, held, response),
+            Stage::StoringResponse(held) => {
                 let answer = StoredAnswer {
                     status: 200,
                     content_type: None,
-                    body: answer_of(index),
+                    body: response_of_attempt(index),
                 };
                 let (row, expected) = held.answered(answer, WallMs(self.now_ms));
-                self.table.write(Write::Put(expected, row), fate);
+                self.table.write(Write::Put(expected, row), outcome);
                 Stage::Ended
             }
-            Stage::Release(release, step) => self.release(release, &step, fate),
+            Stage::Releasing(release, step) => self.release(release, &step, outcome),
             Stage::Ended => Stage::Ended,
         };
         self.attempts[index].stage = next;
     }
 
-    fn claim(&mut self, index: usize, mut claimer: ClaimAttempt, fate: Fate) -> Stage {
+    fn claim(
+        &mut self,
+        index: usize,
+        mut attempt_claim: ClaimAttempt,
+        outcome: CallOutcome,
+    ) -> Stage {
         let (now, wall) = self.clocks();
-        let write = Write::Put(claimer.expected(), claimer.row(now, wall).clone());
-        match claimer.handle_write(self.table.write(write, fate)) {
-            ClaimStep::Write(claimer) => Stage::Claim(claimer),
+        let write = Write::Put(
+            attempt_claim.expected(),
+            attempt_claim.row(now, wall).clone(),
+        );
+        match attempt_claim.handle_write(self.table.write(write, outcome)) {
+            ClaimStep::Write(attempt_claim) => Stage::Claiming(attempt_claim),
             ClaimStep::Held(held) => Stage::Held(held),
             ClaimStep::Answer(row, answer) => {
                 let body = self.attempts[index].body;
                 let mut from = (0..self.attempts.len()).filter(|other| {
                     let other_body = self.attempts[*other].body;
-                    answer.body == answer_of(*other) && other_body == body
+                    answer.body == response_of_attempt(*other) && other_body == body
                 });
-                let runs = from.next().map_or(0, |other| self.attempts[other].runs);
-                self.wrong_answer |= runs != 1 || row.digest != digest(body);
+                let sends = from.next().map_or(0, |other| self.attempts[other].sends);
+                self.wrong_response |= sends != 1 || row.digest != digest(body);
                 Stage::Ended
             }
-            ClaimStep::Refuse(why, release) => {
-                self.attempts[index].not_run = why != ClaimRefusal::MayHaveRun;
+            ClaimStep::Refuse(refusal, release) => {
+                self.attempts[index].not_run = refusal != ClaimRefusal::MayHaveRun;
                 match release {
                     Some(release) => {
                         let step = release.start();
-                        Stage::Release(release, step)
+                        Stage::Releasing(release, step)
                     }
                     None => Stage::Ended,
                 }
@@ -272,71 +282,84 @@
         if held.may_send(now, wall) {
             return Stage::Sending(held, self.now_ms);
         }
-        self.not_sent(index, held)
+        self.release_unsent(index, held)
     }
 
-    fn not_sent(&mut self, index: usize, held: HeldClaim) -> Stage {
+    fn release_unsent(&mut self, index: usize, held: HeldClaim) -> Stage {
         self.attempts[index].not_run = true;
         let release = held.into_release();
         let step = release.start();
-        Stage::Release(release, step)
+        Stage::Releasing(release, step)
     }
 
-    fn send(&mut self, index: usize, held: HeldClaim, reply: Reply) -> Stage {
-        if reply == Reply::ConnectionRefused {
-            return self.not_sent(index, held);
+    fn send(&mut self, index: usize, held: HeldClaim, response: ServiceResponse) -> Stage {
+        if response == ServiceResponse::ConnectionRefused {
+            return self.release_unsent(index, held);
         }
-        self.attempts[index].runs += 1;
-        self.ran_at.push(self.now_ms);
-        if reply == Reply::Cut {
+        self.attempts[index].sends += 1;
+        self.executed_at_ms.push(self.now_ms);
+        if response == ServiceResponse::Truncated {
             return Stage::Ended;
         }
-        Stage::Store(held)
+        Stage::StoringResponse(held)
     }
 
-    fn release(&mut self, release: ClaimRelease, step: &ReleaseStep, fate: Fate) -> Stage {
+    fn release(
+        &mut self,
+        release: ClaimRelease,
+        step: &ReleaseStep,
+        outcome: CallOutcome,
+    ) -> Stage {
         let next = match step {
             ReleaseStep::Done => return Stage::Ended,
-            ReleaseStep::Read if fate == Fate::Answered => {
-                release.handle_read(self.table.found().as_ref())
+            ReleaseStep::Read if outcome == CallOutcome::Answered => {
+                release.handle_read(self.table.read().as_ref())
             }
             ReleaseStep::Read => release.start(),
             ReleaseStep::Write(expected) => {
                 let (now, wall) = self.clocks();
                 let Some(row) = release.row(now, wall) else {
-                    *self.table.faults.entry("left".into()).or_default() += 1;
+                    *self
+                        .table
+                        .faults
+                        .entry("release too late".into())
+                        .or_default() += 1;
                     return Stage::Ended;
                 };
                 let write = Write::Put(*expected, row);
-                release.handle_write(self.table.write(write, fate))
+                release.handle_write(self.table.write(write, outcome))
             }
         };
         if next == ReleaseStep::Done {
             return Stage::Ended;
         }
-        Stage::Release(release, next)
+        Stage::Releasing(release, next)
     }
 
-    /// Lets everything finish without further faults.
-    pub fn drain(&mut self) {
+    /// Lets all attempts and delayed writes finish without further faults.
+    pub fn finish_without_faults(&mut self) {
         for index in 0..self.attempts.len() {
             for _ in 0..8 {
-                self.step(index, Fate::Answered, Reply::ConnectionRefused);
+                self.step(
+                    index,
+                    CallOutcome::Answered,
+                    ServiceResponse::ConnectionRefused,
+                );
             }
         }
         while !self.table.delayed.is_empty() {
-            self.table.land(0);
+            self.table.apply_delayed(0);
         }
     }
 
-    /// Whether a new attempt with `body` would run now.
-    pub fn probe_runs(&mut self, body: u8) -> bool {
+    /// Starts a new attempt with `body` and returns whether it runs.
+    pub fn new_attempt_runs(&mut self, body: u8) -> bool {
         self.start(body);
         let index = self.attempts.len() - 1;
-        let before = self.ran_at.len();
+        let before = self.executed_at_ms.len();
         for _ in 0..4 {
-            self.step(index, Fate::Answered, Reply::Whole);
+            self.step(index, CallOutcome::Answered, ServiceResponse::Complete);
         }
-        self.ran_at.len() > before
+        self.executed_at_ms.len() > before
     }
 }
--- a/crates/foxtailhold/tests/limits.rs
+++ b/crates/foxtailhold/tests/limits.rs
@@ -41,7 +41,7 @@
     let mut world = World::new();
     let all = [0, 1, 2, 3];
     world.flood(&all, 3_000);
-    let home = world.home_of(0);
+    let home = world.coordinator_of(0);
     let others: Vec<usize> = all.into_iter().filter(|index| *index != home).collect();
     world.kill(home);
     let admitted = world.flood(&others, 10_000);
@@ -77,14 +77,18 @@
         world
             .nodes
             .iter()
-            .map(|node| node.home.len())
+            .map(|node| node.coordinator.len())
             .sum::<usize>()
     };
     assert_eq!(homes(&world), 1);
     world.advance(10_000);
     println!(
         "{:#?}",
-        world.nodes.iter().map(|n| &n.home).collect::<Vec<_>>()
+        world
+            .nodes
+            .iter()
+            .map(|n| &n.coordinator)
+            .collect::<Vec<_>>()
     );
     assert_eq!(homes(&world), 0);
 }
@@ -92,7 +96,7 @@
 #[test]
 fn a_lost_home_costs_at_most_the_parts_of_newcomers() {
     let mut world = World::new();
-    let home = world.home_of(0);
+    let home = world.coordinator_of(0);
     let others: Vec<usize> = (0..INSTANCES).filter(|index| *index != home).collect();
     world.flood(&others[..1], 3_000);
     world.kill(home);
@@ -110,7 +114,7 @@
 #[test]
 fn a_first_request_is_admitted_where_all_is_granted_elsewhere() {
     let mut world = World::new();
-    let home = world.home_of(0);
+    let home = world.coordinator_of(0);
     let others: Vec<usize> = (0..INSTANCES).filter(|index| *index != home).collect();
     world.flood(&others[..2], 3_000);
     world.set_view(home, &others[..2]);
--- a/crates/foxtailhold/tests/orders_fuzz/main.rs
+++ b/crates/foxtailhold/tests/orders_fuzz/main.rs
@@ -1,4 +1,6 @@
-//! Stateful fuzzing of the orders to engines, with and without a fencing check.
+//! Stateful fuzzing of the orders to engines that check fencing numbers and to engines that ignore
+//! them. It checks that no engine accepts an order for an older desired setup after one for a newer
+//! one, and that the last desired setup takes effect.
 //!
 //! `FOXTAILHOLD_FUZZ_CASES` sets the number of cases; one case has up to 80 steps.
 
@@ -12,38 +14,38 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use world::{Fate, World};
+use world::{CallOutcome, World};
 
 const SEED: u64 = 0x0dde_55ee;
 
-/// Steps and faults over all cases, for the figures.
+/// Counts of steps and faults over all cases.
 static TOTALS: Mutex<BTreeMap<String, u64>> = Mutex::new(BTreeMap::new());
 
 #[derive(Debug, Clone)]
 enum Transition {
-    Step(usize, Fate, bool),
-    /// Several steps of a giver; only its orders get this fate.
-    Steps(usize, Fate, usize),
-    /// The giver's reads of the wanted state fail, or not any more.
-    Blind(usize, bool),
+    Step(usize, CallOutcome, bool),
+    /// Several steps of an issuer; only its orders get this outcome.
+    Steps(usize, CallOutcome, usize),
+    /// The issuer's reads of the desired setup start to fail, or succeed again.
+    FailDesiredReads(usize, bool),
     Restart(usize),
-    Want(u8),
-    Load,
-    LandWrite(usize),
-    LandOrder(usize),
-    Pass(u64),
+    ChangeDesired(u8),
+    FinishLoading,
+    ApplyDelayedWrite(usize),
+    DeliverDelayedOrder(usize),
+    AdvanceTime(u64),
 }
 
 #[derive(Debug, Clone)]
 struct Reference;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        6 => Just(Fate::Answered),
-        1 => Just(Fate::AnswerLost),
-        1 => Just(Fate::Lost),
-        2 => Just(Fate::Delayed),
-        1 => Just(Fate::Refused),
+        6 => Just(CallOutcome::Answered),
+        1 => Just(CallOutcome::ResponseLost),
+        1 => Just(CallOutcome::RequestLost),
+        2 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Refused),
     ]
 }
 
@@ -57,17 +59,17 @@
 
     fn transitions((): &()) -> BoxedStrategy<Transition> {
         prop_oneof![
-            8 => (0..2usize, fate(), prop::bool::weighted(0.9))
-                .prop_map(|(g, f, home)| Transition::Step(g, f, home)),
-            8 => (0..2usize, fate(), 4..16usize).prop_map(|(g, f, n)| Transition::Steps(g, f, n)),
-            1 => (0..2usize, any::<bool>()).prop_map(|(g, blind)| Transition::Blind(g, blind)),
+            8 => (0..2usize, outcome(), prop::bool::weighted(0.9))
+                .prop_map(|(issuer, outcome, may_issue)| Transition::Step(issuer, outcome, may_issue)),
+            8 => (0..2usize, outcome(), 4..16usize).prop_map(|(issuer, outcome, count)| Transition::Steps(issuer, outcome, count)),
+            1 => (0..2usize, any::<bool>()).prop_map(|(issuer, desired_reads_fail)| Transition::FailDesiredReads(issuer, desired_reads_fail)),
             1 => (0..2usize).prop_map(Transition::Restart),
-            3 => (0..3u8).prop_map(Transition::Want),
-            2 => Just(Transition::Load),
-            1 => (0..4usize).prop_map(Transition::LandWrite),
-            2 => (0..4usize).prop_map(Transition::LandOrder),
+            3 => (0..3u8).prop_map(Transition::ChangeDesired),
+            2 => Just(Transition::FinishLoading),
+            1 => (0..4usize).prop_map(Transition::ApplyDelayedWrite),
+            2 => (0..4usize).prop_map(Transition::DeliverDelayedOrder),
             6 => prop_oneof![Just(200u64), Just(1_100), Just(2_500), Just(4_900), Just(6_200)]
-                .prop_map(Transition::Pass),
+                .prop_map(Transition::AdvanceTime),
         ]
         .boxed()
     }
@@ -75,35 +77,35 @@
     fn apply((): (), _: &Transition) {}
 }
 
-trait Kind {
+trait EngineKind {
     const FENCING: FencingCheck;
 }
 
-struct Checked;
+struct Enforced;
 struct Ignored;
 
-impl Kind for Checked {
+impl EngineKind for Enforced {
     const FENCING: FencingCheck = FencingCheck::Enforced;
 }
 
-impl Kind for Ignored {
+impl EngineKind for Ignored {
     const FENCING: FencingCheck = FencingCheck::Ignored;
 }
 
 struct Fuzz<K>(PhantomData<K>);
 
 fn check(world: &World) {
-    for pair in world.taken.windows(2) {
+    for pair in world.accepted_versions.windows(2) {
         assert!(
             pair[0] <= pair[1],
-            "an order for wanted version {} was taken after one for {}",
+            "an order for version {} of the desired setup was accepted after one for {}",
             pair[1],
             pair[0]
         );
     }
 }
 
-impl<K: Kind> StateMachineTest for Fuzz<K> {
+impl<K: EngineKind> StateMachineTest for Fuzz<K> {
     type SystemUnderTest = World;
     type Reference = Reference;
 
@@ -113,35 +115,38 @@
 
     fn apply(mut world: World, (): &(), transition: Transition) -> World {
         match transition {
-            Transition::Step(giver, fate, home) => world.step(giver, fate, home),
-            Transition::Steps(giver, fate, count) => {
+            Transition::Step(issuer, outcome, may_issue) => world.step(issuer, outcome, may_issue),
+            Transition::Steps(issuer, outcome, count) => {
                 for _ in 0..count {
-                    world.step_ordering(giver, fate);
+                    world.step_with_order_outcome(issuer, outcome);
                 }
             }
-            Transition::Blind(giver, blind) => world.blind(giver, blind),
-            Transition::Restart(giver) => world.restart(giver),
-            Transition::Want(variant) => world.want(variant),
-            Transition::Load => world.load(),
-            Transition::LandWrite(index) => world.land_write(index),
-            Transition::LandOrder(index) => world.land_order(index),
-            Transition::Pass(ms) => world.pass(ms),
+            Transition::FailDesiredReads(issuer, desired_reads_fail) => {
+                world.set_desired_reads_fail(issuer, desired_reads_fail)
+            }
+            Transition::Restart(issuer) => world.restart(issuer),
+            Transition::ChangeDesired(variant) => world.change_desired(variant),
+            Transition::FinishLoading => world.finish_loading(),
+            Transition::ApplyDelayedWrite(index) => world.apply_delayed_write(index),
+            Transition::DeliverDelayedOrder(index) => world.deliver_delayed_order(index),
+            Transition::AdvanceTime(ms) => world.advance_time(ms),
         }
         check(&world);
         world
     }
 
     fn teardown(mut world: World) {
-        world.drain();
+        world.finish_without_faults();
         check(&world);
         assert!(
-            world.is_as_wanted(),
-            "the last wanted state is not in effect"
+            world.has_desired_setup(),
+            "the last desired setup is not in effect"
         );
         let mut totals = TOTALS.lock().unwrap();
         let kind = format!("{:?}", K::FENCING);
         *totals.entry(format!("{kind} steps")).or_default() += world.steps;
-        *totals.entry(format!("{kind} orders taken")).or_default() += world.taken.len() as u64;
+        *totals.entry(format!("{kind} orders accepted")).or_default() +=
+            world.accepted_versions.len() as u64;
         for (fault, count) in &world.faults {
             *totals.entry(format!("{kind} {fault}")).or_default() += count;
         }
@@ -165,52 +170,60 @@
     #![proptest_config(config())]
 
     #[test]
-    fn checking_engine_takes_no_old_order_and_ends_as_wanted(sequential 1..80 => Fuzz<Checked>);
+    fn engine_with_fencing_accepts_no_stale_order_and_reaches_the_desired_setup(sequential 1..80 => Fuzz<Enforced>);
 }
 
 prop_state_machine! {
     #![proptest_config(config())]
 
     #[test]
-    fn ignoring_engine_takes_no_old_order_within_the_longest_flight(sequential 1..80 => Fuzz<Ignored>);
+    fn engine_without_fencing_accepts_no_stale_order_within_the_order_delay(sequential 1..80 => Fuzz<Ignored>);
 }
 
 #[test]
-#[ignore = "prints the figures: run with --ignored --nocapture"]
-fn figures() {
-    checking_engine_takes_no_old_order_and_ends_as_wanted();
-    ignoring_engine_takes_no_old_order_within_the_longest_flight();
+#[ignore = "prints counts of steps and faults: run with --ignored --nocapture"]
+fn print_counts() {
+    engine_with_fencing_accepts_no_stale_order_and_reaches_the_desired_setup();
+    engine_without_fencing_accepts_no_stale_order_within_the_order_delay();
     println!("{:#?}", TOTALS.lock().unwrap());
 }
 
-/// Too narrow for the fuzz: an order sent just before its giver's next renewal, on its way for the
-/// longest flight, while another giver takes over as soon as the term has passed.
+/// Guards against an old order that overtakes a new issuer at an engine that ignores fencing
+/// numbers. The order is sent just before the next renewal of its issuer and delayed for
+/// `MAX_ORDER_DELAY_MS`, while another issuer takes over as soon as the term has passed. The fuzz
+/// seldom hits this window.
 #[test]
-fn a_new_giver_waits_out_the_orders_of_the_one_before() {
+fn new_issuer_waits_until_orders_of_the_previous_one_have_arrived() {
     let mut world = World::new(FencingCheck::Ignored);
     let mut taken_over = false;
-    // Look, read the lease, take it: each is decided and done. The other giver looks and reads.
+    // The first issuer reads the engine, reads the lease and acquires it; each action takes one
+    // step to decide and one to execute. The second issuer only reads the engine and the lease.
     for _ in 0..6 {
-        world.step_ordering(0, Fate::Answered);
+        world.step_with_order_outcome(0, CallOutcome::Answered);
     }
     for _ in 0..4 {
-        world.step_ordering(1, Fate::Answered);
+        world.step_with_order_outcome(1, CallOutcome::Answered);
     }
-    world.pass(1_200);
+    world.advance_time(1_200);
     for _ in 0..4 {
-        world.step_ordering(0, Fate::Delayed);
+        world.step_with_order_outcome(0, CallOutcome::Delayed);
     }
-    world.want(1);
+    world.change_desired(1);
     for _ in 0..150 {
         for _ in 0..8 {
-            world.step_ordering(1, Fate::Answered);
+            world.step_with_order_outcome(1, CallOutcome::Answered);
         }
-        world.load();
-        world.pass(110);
+        world.finish_loading();
+        world.advance_time(110);
         check(&world);
         taken_over |= world.faults.contains_key("taken over");
     }
     assert!(taken_over);
-    assert_eq!(world.taken.first(), Some(&1), "{:?}", world.taken);
-    assert!(world.is_as_wanted());
+    assert_eq!(
+        world.accepted_versions.first(),
+        Some(&1),
+        "{:?}",
+        world.accepted_versions
+    );
+    assert!(world.has_desired_setup());
 }
--- a/crates/foxtailhold/tests/orders_fuzz/world.rs
+++ b/crates/foxtailhold/tests/orders_fuzz/world.rs
@@ -1,5 +1,6 @@
-//! A small world for one engine: two givers that are paused and restarted between any two steps, a
-//! table that loses and delays writes, orders that fly, an operator who changes their mind.
+//! Simulation of one engine: two issuers that are paused and restarted between any two steps, a
+//! table that loses and delays writes, delayed orders, and an operator who changes the desired
+//! setup.
 
 use std::collections::BTreeMap;
 
@@ -12,31 +13,30 @@
 };
 use foxtailhold::time::MonoMs;
 
-/// What becomes of one call.
+/// What happens to one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     Answered,
-    AnswerLost,
-    Lost,
+    ResponseLost,
+    RequestLost,
     Delayed,
     Refused,
 }
 
-/// An order on its way.
 #[derive(Debug, Clone)]
-struct Flight {
+struct OrderInFlight {
     order: Order,
-    wanted: u64,
+    desired: u64,
     sent_at: u64,
 }
 
 #[derive(Debug)]
-struct Seat {
-    giver: OrderIssuer,
-    wanted: Option<DesiredSetup>,
-    /// Its reads of the wanted state fail.
-    blind: bool,
-    /// What it is about to do; it may be paused here.
+struct IssuerProcess {
+    issuer: OrderIssuer,
+    desired: Option<DesiredSetup>,
+    /// Whether its reads of the desired setup fail.
+    desired_reads_fail: bool,
+    /// The decided action and the time of the decision. The issuer may be paused before it acts.
     pending: Option<(IssuerAction, u64)>,
 }
 
@@ -46,12 +46,12 @@
     now_ms: u64,
     lease: Option<(LeaseRow, u64)>,
     delayed: Vec<LeaseWrite>,
-    wanted: DesiredSetup,
+    desired: DesiredSetup,
     engine: EngineState,
-    flights: Vec<Flight>,
-    seats: Vec<Seat>,
-    /// Wanted versions in the order in which the engine took their orders.
-    pub taken: Vec<u64>,
+    orders_in_flight: Vec<OrderInFlight>,
+    issuers: Vec<IssuerProcess>,
+    /// Versions of the desired setup, in the order in which the engine accepted their orders.
+    pub accepted_versions: Vec<u64>,
     pub steps: u64,
     pub faults: BTreeMap<String, u64>,
 }
@@ -65,17 +65,17 @@
     }
 }
 
-fn giver(index: usize, fencing: FencingCheck) -> OrderIssuer {
+fn issuer(index: usize, fencing: FencingCheck) -> OrderIssuer {
     let me = format!("entry-{index}").as_str().try_into().unwrap();
     OrderIssuer::new(me, fencing)
 }
 
 impl World {
     pub fn new(fencing: FencingCheck) -> Self {
-        let seat = |index| Seat {
-            giver: giver(index, fencing),
-            wanted: None,
-            blind: false,
+        let process = |index| IssuerProcess {
+            issuer: issuer(index, fencing),
+            desired: None,
+            desired_reads_fail: false,
             pending: None,
         };
         World {
@@ -83,105 +83,117 @@
             now_ms: 100_000,
             lease: None,
             delayed: Vec::new(),
-            wanted: DesiredSetup {
+            desired: DesiredSetup {
                 version: 1,
                 setup: setup(0),
             },
             engine: EngineState::default(),
-            flights: Vec::new(),
-            seats: vec![seat(0), seat(1)],
-            taken: Vec::new(),
+            orders_in_flight: Vec::new(),
+            issuers: vec![process(0), process(1)],
+            accepted_versions: Vec::new(),
             steps: 0,
             faults: BTreeMap::new(),
         }
     }
 
-    fn count(&mut self, what: &str) {
-        *self.faults.entry(what.to_owned()).or_default() += 1;
+    fn count(&mut self, event: &str) {
+        *self.faults.entry(event.to_owned()).or_default() += 1;
     }
 
-    pub fn want(&mut self, variant: u8) {
-        self.wanted = DesiredSetup {
-            version: self.wanted.version + 1,
+    pub fn change_desired(&mut self, variant: u8) {
+        self.desired = DesiredSetup {
+            version: self.desired.version + 1,
             setup: setup(variant),
         };
     }
 
-    pub fn blind(&mut self, index: usize, blind: bool) {
-        self.seats[index].blind = blind;
+    pub fn set_desired_reads_fail(&mut self, index: usize, desired_reads_fail: bool) {
+        self.issuers[index].desired_reads_fail = desired_reads_fail;
     }
 
     pub fn restart(&mut self, index: usize) {
         self.count("restart");
-        self.seats[index] = Seat {
-            giver: giver(index, self.fencing),
-            wanted: None,
-            blind: false,
+        self.issuers[index] = IssuerProcess {
+            issuer: issuer(index, self.fencing),
+            desired: None,
+            desired_reads_fail: false,
             pending: None,
         };
     }
 
-    /// The engine finishes what it loads.
-    pub fn load(&mut self) {
+    /// Lets the engine finish loading.
+    pub fn finish_loading(&mut self) {
         if let Some(setup) = self.engine.loading.take() {
             self.engine.in_effect = Some(setup);
         }
     }
 
-    /// Time passes. With an engine that ignores fencing numbers an order lands, or is sent by a
-    /// paused giver, within the longest flight: that is the assumption.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the time. The simulation assumes that an order to an engine that ignores fencing
+    /// numbers is sent, even by a paused issuer, and delivered within [`MAX_ORDER_DELAY_MS`].
+    pub fn advance_time(&mut self, ms: u64) {
         self.now_ms += ms;
         if self.fencing == FencingCheck::Enforced {
             return;
         }
         let due = |sent_at: u64| sent_at + MAX_ORDER_DELAY_MS <= self.now_ms;
         let mut index = 0;
-        while index < self.flights.len() {
-            if due(self.flights[index].sent_at) {
-                let flight = self.flights.remove(index);
-                take(&mut self.engine, self.fencing, &mut self.taken, &flight);
+        while index < self.orders_in_flight.len() {
+            if due(self.orders_in_flight[index].sent_at) {
+                let order_in_flight = self.orders_in_flight.remove(index);
+                deliver_order(
+                    &mut self.engine,
+                    self.fencing,
+                    &mut self.accepted_versions,
+                    &order_in_flight,
+                );
             } else {
                 index += 1;
             }
         }
-        for index in 0..self.seats.len() {
-            let Some((IssuerAction::SendOrder(_), sent_at)) = self.seats[index].pending else {
+        for index in 0..self.issuers.len() {
+            let Some((IssuerAction::SendOrder(_), sent_at)) = self.issuers[index].pending else {
                 continue;
             };
             if sent_at + MAX_ORDER_DELAY_MS <= self.now_ms {
-                self.step(index, Fate::AnswerLost, true);
+                self.step(index, CallOutcome::ResponseLost, true);
             }
         }
     }
 
-    pub fn land_write(&mut self, index: usize) {
+    pub fn apply_delayed_write(&mut self, index: usize) {
         if self.delayed.is_empty() {
             return;
         }
         let write = self.delayed.remove(index % self.delayed.len());
-        self.count("write landed late");
+        self.count("write applied late");
         self.apply(&write);
     }
 
-    pub fn land_order(&mut self, index: usize) {
-        if self.flights.is_empty() {
+    pub fn deliver_delayed_order(&mut self, index: usize) {
+        if self.orders_in_flight.is_empty() {
             return;
         }
-        let flight = self.flights.remove(index % self.flights.len());
-        self.count("order landed late");
-        take(&mut self.engine, self.fencing, &mut self.taken, &flight);
+        let order_in_flight = self
+            .orders_in_flight
+            .remove(index % self.orders_in_flight.len());
+        self.count("order delivered late");
+        deliver_order(
+            &mut self.engine,
+            self.fencing,
+            &mut self.accepted_versions,
+            &order_in_flight,
+        );
     }
 
     fn apply(&mut self, write: &LeaseWrite) -> bool {
         let version = self.lease.as_ref().map(|(_, version)| *version);
         let expected = match write.expected {
             ExpectedVersion::Absent => version.is_none(),
-            ExpectedVersion::Version(wanted) => version == Some(wanted),
+            ExpectedVersion::Version(required) => version == Some(required),
         };
         let current = write
             .desired_version
-            .is_none_or(|version| version == self.wanted.version);
+            .is_none_or(|version| version == self.desired.version);
         if !expected || !current {
             return false;
         }
@@ -196,133 +208,152 @@
         true
     }
 
-    fn write(&mut self, write: LeaseWrite, fate: Fate) -> LeaseWriteOutcome {
-        match fate {
-            Fate::Refused => LeaseWriteOutcome::Failed,
-            Fate::Lost => LeaseWriteOutcome::Unknown,
-            Fate::Delayed => {
+    fn write(&mut self, write: LeaseWrite, outcome: CallOutcome) -> LeaseWriteOutcome {
+        match outcome {
+            CallOutcome::Refused => LeaseWriteOutcome::Failed,
+            CallOutcome::RequestLost => LeaseWriteOutcome::Unknown,
+            CallOutcome::Delayed => {
                 self.delayed.push(write);
                 LeaseWriteOutcome::Unknown
             }
-            Fate::AnswerLost => {
+            CallOutcome::ResponseLost => {
                 self.apply(&write);
                 LeaseWriteOutcome::Unknown
             }
-            Fate::Answered if self.apply(&write) => LeaseWriteOutcome::Committed,
-            Fate::Answered => LeaseWriteOutcome::Failed,
+            CallOutcome::Answered if self.apply(&write) => LeaseWriteOutcome::Committed,
+            CallOutcome::Answered => LeaseWriteOutcome::Failed,
         }
     }
 
-    fn send(&mut self, flight: Flight, fate: Fate) -> OrderOutcome {
-        match fate {
-            Fate::Refused => OrderOutcome::NotSent,
-            Fate::Lost => OrderOutcome::Unknown,
-            Fate::Delayed => {
-                self.flights.push(flight);
+    fn send(&mut self, order_in_flight: OrderInFlight, outcome: CallOutcome) -> OrderOutcome {
+        match outcome {
+            CallOutcome::Refused => OrderOutcome::NotSent,
+            CallOutcome::RequestLost => OrderOutcome::Unknown,
+            CallOutcome::Delayed => {
+                self.orders_in_flight.push(order_in_flight);
                 OrderOutcome::Unknown
             }
-            Fate::AnswerLost => {
-                take(&mut self.engine, self.fencing, &mut self.taken, &flight);
+            CallOutcome::ResponseLost => {
+                deliver_order(
+                    &mut self.engine,
+                    self.fencing,
+                    &mut self.accepted_versions,
+                    &order_in_flight,
+                );
                 OrderOutcome::Unknown
             }
-            Fate::Answered => take(&mut self.engine, self.fencing, &mut self.taken, &flight),
+            CallOutcome::Answered => deliver_order(
+                &mut self.engine,
+                self.fencing,
+                &mut self.accepted_versions,
+                &order_in_flight,
+            ),
         }
     }
 
-    /// One step of one giver: it decides, or it does what it decided before.
-    pub fn step(&mut self, index: usize, fate: Fate, home: bool) {
+    /// Runs one step of an issuer, which decides on an action or executes the decided one.
+    pub fn step(&mut self, index: usize, outcome: CallOutcome, may_issue: bool) {
         self.steps += 1;
         let now = MonoMs(self.now_ms);
-        let Some((action, decided_at)) = self.seats[index].pending.take() else {
-            let seat = &mut self.seats[index];
-            if !seat.blind || seat.wanted.is_none() {
-                seat.wanted = Some(self.wanted.clone());
+        let Some((action, decided_at)) = self.issuers[index].pending.take() else {
+            let process = &mut self.issuers[index];
+            if !process.desired_reads_fail || process.desired.is_none() {
+                process.desired = Some(self.desired.clone());
             }
-            let wanted = seat.wanted.clone().filter(|_| home);
-            let action = seat.giver.next(now, wanted.as_ref());
+            let desired = process.desired.clone().filter(|_| may_issue);
+            let action = process.issuer.next(now, desired.as_ref());
             if action != IssuerAction::Wait {
-                seat.pending = Some((action, self.now_ms));
+                process.pending = Some((action, self.now_ms));
             }
             return;
         };
-        self.count(&format!("{fate:?}"));
+        self.count(&format!("{outcome:?}"));
         match action {
             IssuerAction::Wait => {}
             IssuerAction::ReadLease => {
-                if fate == Fate::Answered {
+                if outcome == CallOutcome::Answered {
                     let found = self.lease.clone();
-                    self.seats[index].giver.lease_read(now, found);
+                    self.issuers[index].issuer.lease_read(now, found);
                 }
             }
             IssuerAction::WriteLease(write) => {
-                let written = self.write(write, fate);
-                self.seats[index].giver.lease_written(now, written);
+                let written = self.write(write, outcome);
+                self.issuers[index].issuer.lease_written(now, written);
             }
             IssuerAction::ReadEngine => {
-                let state = (fate == Fate::Answered).then(|| self.engine.clone());
+                let state = (outcome == CallOutcome::Answered).then(|| self.engine.clone());
                 let asked_at = MonoMs(decided_at);
-                self.seats[index].giver.engine_read(asked_at, now, state);
+                self.issuers[index].issuer.engine_read(asked_at, now, state);
             }
             IssuerAction::SendOrder(order) => {
-                let wanted = self.seats[index].wanted.as_ref().unwrap().version;
-                let flight = Flight {
+                let desired = self.issuers[index].desired.as_ref().unwrap().version;
+                let order_in_flight = OrderInFlight {
                     order,
-                    wanted,
+                    desired,
                     sent_at: decided_at,
                 };
-                let ordered = self.send(flight, fate);
+                let ordered = self.send(order_in_flight, outcome);
                 let sent_at = MonoMs(decided_at);
-                let giver = &mut self.seats[index].giver;
-                giver.order_sent(sent_at, now, wanted, ordered);
+                let issuer = &mut self.issuers[index].issuer;
+                issuer.order_sent(sent_at, now, desired, ordered);
             }
         }
     }
 
-    /// One step without faults, but for what becomes of an order.
-    pub fn step_ordering(&mut self, index: usize, fate: Fate) {
+    /// Runs one step in which only an order may get an outcome other than success.
+    pub fn step_with_order_outcome(&mut self, index: usize, outcome: CallOutcome) {
         let orders = matches!(
-            self.seats[index].pending,
+            self.issuers[index].pending,
             Some((IssuerAction::SendOrder(_), _))
         );
-        self.step(index, if orders { fate } else { Fate::Answered }, true);
+        self.step(
+            index,
+            if orders {
+                outcome
+            } else {
+                CallOutcome::Answered
+            },
+            true,
+        );
     }
 
-    /// Everything lands; then one giver works without faults, and the other is idle.
-    pub fn drain(&mut self) {
-        while !self.flights.is_empty() {
-            self.land_order(0);
+    /// Delivers all delayed orders and writes. Then one issuer works without faults while the other
+    /// is idle.
+    pub fn finish_without_faults(&mut self) {
+        while !self.orders_in_flight.is_empty() {
+            self.deliver_delayed_order(0);
         }
         while !self.delayed.is_empty() {
-            self.land_write(0);
+            self.apply_delayed_write(0);
         }
-        self.seats[0].blind = false;
+        self.issuers[0].desired_reads_fail = false;
         for _ in 0..200 {
-            self.step(0, Fate::Answered, true);
-            self.step(1, Fate::Answered, false);
-            self.load();
-            self.pass(250);
+            self.step(0, CallOutcome::Answered, true);
+            self.step(1, CallOutcome::Answered, false);
+            self.finish_loading();
+            self.advance_time(250);
         }
     }
 
-    pub fn is_as_wanted(&self) -> bool {
-        self.engine.in_effect.as_ref() == Some(&self.wanted.setup)
+    pub fn has_desired_setup(&self) -> bool {
+        self.engine.in_effect.as_ref() == Some(&self.desired.setup)
     }
 }
 
-/// The engine takes an order or refuses it.
-fn take(
+/// Lets the engine accept or refuse an order.
+fn deliver_order(
     engine: &mut EngineState,
     fencing: FencingCheck,
-    taken: &mut Vec<u64>,
-    flight: &Flight,
+    accepted_versions: &mut Vec<u64>,
+    order_in_flight: &OrderInFlight,
 ) -> OrderOutcome {
     if fencing == FencingCheck::Enforced {
-        if flight.order.fencing < engine.fencing {
+        if order_in_flight.order.fencing < engine.fencing {
             return OrderOutcome::Refused;
         }
-        engine.fencing = flight.order.fencing;
+        engine.fencing = order_in_flight.order.fencing;
     }
-    engine.loading = Some(flight.order.setup.clone());
-    taken.push(flight.wanted);
+    engine.loading = Some(order_in_flight.order.setup.clone());
+    accepted_versions.push(order_in_flight.desired);
     OrderOutcome::Taken
 }
