--- a/crates/foxtailhold/src/attempt_counts.rs
+++ b/crates/foxtailhold/src/attempt_counts.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of attempts with an unknown outcome after which an item backs off. Any of them may have
-/// been answered with an error that repeats at every attempt.
+/// been answered with a permanent error.
 pub const MAX_PENDING_ATTEMPTS: u32 = 3;
 
 /// Counts of the attempts at one item, stored as JSON.
@@ -72,8 +72,8 @@
         self.failed += 1;
     }
 
-    /// Records that the item received events, which shows that no attempt was answered with an
-    /// error that repeats at every attempt.
+    /// Records that the item received events, which shows that no attempt was answered with a
+    /// permanent error.
     pub fn record_events(&mut self) {
         self.pending = 0;
     }
