--- a/crates/foxtailhold/tests/idempotency_fuzz/world.rs
+++ b/crates/foxtailhold/tests/idempotency_fuzz/world.rs
@@ -157,9 +157,9 @@
 
     pub fn start(&mut self, body: u8) {
         let id = format!("claim-{}", self.attempts.len());
-        let attempt_claim = ClaimAttempt::new(id, digest(body));
+        let claim_attempt = ClaimAttempt::new(id, digest(body));
         self.attempts.push(Attempt {
-            stage: Stage::Claiming(attempt_claim),
+            stage: Stage::Claiming(claim_attempt),
             body,
             sends: 0,
             not_run: false,
@@ -221,7 +221,7 @@
         };
         let stage = std::mem::replace(&mut attempt.stage, Stage::Ended);
         let next = match stage {
-            Stage::Claiming(attempt_claim) => self.claim(index, attempt_claim, outcome),
+            Stage::Claiming(claim_attempt) => self.claim(index, claim_attempt, outcome),
             Stage::Held(held) => self.check_send(index, held),
             Stage::Sending(held, _) => self.send(index, held, response),
             Stage::StoringResponse(held) => {
@@ -243,16 +243,16 @@
     fn claim(
         &mut self,
         index: usize,
-        mut attempt_claim: ClaimAttempt,
+        mut claim_attempt: ClaimAttempt,
         outcome: CallOutcome,
     ) -> Stage {
         let (now, wall) = self.clocks();
         let write = Write::Put(
-            attempt_claim.expected(),
-            attempt_claim.row(now, wall).clone(),
+            claim_attempt.expected(),
+            claim_attempt.row(now, wall).clone(),
         );
-        match attempt_claim.handle_write(self.table.write(write, outcome)) {
-            ClaimStep::Write(attempt_claim) => Stage::Claiming(attempt_claim),
+        match claim_attempt.handle_write(self.table.write(write, outcome)) {
+            ClaimStep::Write(claim_attempt) => Stage::Claiming(claim_attempt),
             ClaimStep::Held(held) => Stage::Held(held),
             ClaimStep::Answer(row, answer) => {
                 let body = self.attempts[index].body;
