--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -181,7 +181,7 @@
 
     async fn pause(&self, error: &foxtailhold_platform::PlatformError) {
         log::warn!("the lease on {} could not be read: {error}", self.backend);
-        tokio::time::sleep(Duration::from_millis(foxtailhold::orders::RETRY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(foxtailhold::orders::RETRY_DELAY_MS)).await;
     }
 
     async fn write_lease(&self, write: &LeaseWrite) -> LeaseWriteOutcome {
