--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -9,20 +9,17 @@
 use foxtailhold::idempotency::ExpectedVersion;
 use foxtailhold::ids::BackendId;
 use foxtailhold::lease_row::LeaseRow;
-use foxtailhold::orders::{
-    DesiredSetup, EngineSetup, IssuerAction, LeaseWrite, LeaseWriteOutcome, Order, OrderIssuer,
-    OrderOutcome,
-};
+use foxtailhold::orders::{DesiredSetup, EngineSetup, IssuerAction, LeaseWrite, LeaseWriteOutcome, Order, OrderIssuer, OrderOutcome};
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::orders::OrderClient;
 use foxtailhold_platform::{Expect, Operation, Platform, Result, Transacted};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::watch;
 
+use crate::tables;
 use crate::actors::tick;
 use crate::jobs::owner::scan_all;
 use crate::shared::Shared;
-use crate::tables;
 
 /// Wanted states are read this often.
 pub const WANTED_PERIOD_MS: u64 = 1_000;
@@ -181,7 +178,7 @@
 
     async fn pause(&self, error: &foxtailhold_platform::PlatformError) {
         log::warn!("the lease on {} could not be read: {error}", self.backend);
-        tokio::time::sleep(Duration::from_millis(foxtailhold::orders::RETRY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(foxtailhold::orders::RETRY_DELAY_MS)).await;
     }
 
     async fn write_lease(&self, write: &LeaseWrite) -> LeaseWriteOutcome {
--- a/crates/foxtailhold/tests/limits.rs
+++ b/crates/foxtailhold/tests/limits.rs
@@ -43,7 +43,7 @@
     let mut world = World::new();
     let all = [0, 1, 2, 3];
     world.flood(&all, 3_000);
-    let coordinator = world.home_of(0);
+    let coordinator = world.coordinator_of(0);
     let others: Vec<usize> = all
         .into_iter()
         .filter(|index| *index != coordinator)
@@ -85,14 +85,18 @@
         world
             .nodes
             .iter()
-            .map(|node| node.home.len())
+            .map(|node| node.coordinator.len())
             .sum::<usize>()
     };
     assert_eq!(customers_in_memory(&world), 1);
     world.advance(10_000);
     println!(
         "{:#?}",
-        world.nodes.iter().map(|n| &n.home).collect::<Vec<_>>()
+        world
+            .nodes
+            .iter()
+            .map(|n| &n.coordinator)
+            .collect::<Vec<_>>()
     );
     assert_eq!(customers_in_memory(&world), 0);
 }
@@ -100,7 +104,7 @@
 #[test]
 fn a_lost_coordinator_costs_at_most_the_parts_of_newcomers() {
     let mut world = World::new();
-    let coordinator = world.home_of(0);
+    let coordinator = world.coordinator_of(0);
     let others: Vec<usize> = (0..INSTANCES)
         .filter(|index| *index != coordinator)
         .collect();
@@ -120,7 +124,7 @@
 #[test]
 fn a_first_request_is_admitted_where_all_is_granted_elsewhere() {
     let mut world = World::new();
-    let coordinator = world.home_of(0);
+    let coordinator = world.coordinator_of(0);
     let others: Vec<usize> = (0..INSTANCES)
         .filter(|index| *index != coordinator)
         .collect();
