--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -9,17 +9,20 @@
 use foxtailhold::idempotency::ExpectedVersion;
 use foxtailhold::ids::BackendId;
 use foxtailhold::lease_row::LeaseRow;
-use foxtailhold::orders::{DesiredSetup, EngineSetup, IssuerAction, LeaseWrite, LeaseWriteOutcome, Order, OrderIssuer, OrderOutcome};
+use foxtailhold::orders::{
+    DesiredSetup, EngineSetup, IssuerAction, LeaseWrite, LeaseWriteOutcome, Order, OrderIssuer,
+    OrderOutcome,
+};
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::orders::OrderClient;
 use foxtailhold_platform::{Expect, Operation, Platform, Result, Transacted};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::watch;
 
-use crate::tables;
 use crate::actors::tick;
 use crate::jobs::owner::scan_all;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Wanted states are read this often.
 pub const WANTED_PERIOD_MS: u64 = 1_000;
--- a/crates/foxtailhold/tests/common/gossip.rs
+++ b/crates/foxtailhold/tests/common/gossip.rs
@@ -6,10 +6,12 @@
 
 use foxtailhold::contract_sync::{ContractStatus, ListingState};
 use foxtailhold::ids::InstanceId;
-use foxtailhold::membership::{Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS};
+use foxtailhold::membership::{
+    Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS,
+};
 use foxtailhold::time::MonoMs;
-use rand::{Rng, SeedableRng};
 use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
 
 /// One simulated instance.
 pub struct Node {
--- a/crates/foxtailhold/tests/common/shares.rs
+++ b/crates/foxtailhold/tests/common/shares.rs
@@ -4,7 +4,10 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use foxtailhold::ids::{CustomerId, InstanceId};
-use foxtailhold::limits::{CustomerLimits, LEASE_MS, LimitCoordinator, LimitDecision, MembershipViews, ShareGrant, ShareHolder, ShareRequest};
+use foxtailhold::limits::{
+    CustomerLimits, LEASE_MS, LimitCoordinator, LimitDecision, MembershipViews, ShareGrant,
+    ShareHolder, ShareRequest,
+};
 use foxtailhold::time::MonoMs;
 
 pub const STEP_MS: u64 = 20;
