--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -1,5 +1,6 @@
-//! Steers batch at the engines whose steward this instance is, and gives the items of jobs owned
-//! here their places. The decisions are those of [`foxtailhold::steward`].
+//! Controls the batch work at the engines whose batch controller is this instance, and schedules
+//! the items of jobs owned here to slots. The state machines of the core crate make the decisions;
+//! this actor carries the messages.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,32 +26,33 @@
 use crate::shared::Shared;
 use crate::stewards::{StewardEntry, Stewards};
 
-/// Marks, grants and questions are looked at this often.
+/// Period at which congestion windows, slot grants and due slot requests are checked.
 pub const TICK_MS: u64 = 20;
-/// The load report of an engine with batch is read this often by its steward.
+/// Period at which a batch controller reads the load report of an engine that has batch work.
 pub const POLL_MS: u64 = 100;
-/// Limit for a question to a steward and for telling an owner.
-const ASK_TIMEOUT_MS: u64 = 500;
-/// Attempts to tell an owner of a grant; after that its next question does.
-const PUSH_TRIES: u32 = 3;
+/// Maximum wait for the answer to a slot request, and for an owner to confirm a grant.
+const SLOT_REQUEST_TIMEOUT_MS: u64 = 500;
+/// Attempts to push a grant to an owner. After that the owner learns of it by its next slot
+/// request.
+const PUSH_ATTEMPTS: u32 = 3;
 
-/// The actor.
+/// The actor that controls batch work at engines and schedules the items of jobs owned here.
 #[derive(Debug)]
 pub struct BatchControllerActor<P>(pub Shared<P>);
 
 #[derive(Debug)]
-struct Stewarded {
-    machine: ReplicaSteward,
+struct ControlledEngine {
+    controller: ReplicaSteward,
     polled_at: MonoMs,
 }
 
-/// Its state.
+/// State of the batch controller actor, rebuilt after a restart.
 #[derive(Debug)]
 pub struct StewardState {
     term: u64,
-    desk: Desk,
+    scheduler: Desk,
     signals: HashMap<ItemKey, UnboundedSender<PlaceSignal>>,
-    replicas: HashMap<BackendId, Stewarded>,
+    controlled: HashMap<BackendId, ControlledEngine>,
     members: Option<Arc<Vec<Member>>>,
     backends: Option<Arc<BackendTable>>,
 }
@@ -68,9 +70,9 @@
         tick(&myself, || StewardMessage::Tick, TICK_MS);
         Ok(StewardState {
             term: self.0.clock.wall().0,
-            desk: Desk::new(self.0.settings.instance.clone()),
+            scheduler: Desk::new(self.0.settings.instance.clone()),
             signals: HashMap::new(),
-            replicas: HashMap::new(),
+            controlled: HashMap::new(),
             members: None,
             backends: None,
         })
@@ -85,45 +87,45 @@
         let now = self.0.clock.mono();
         match message {
             StewardMessage::Tick => self.tick(&myself, state, now),
-            StewardMessage::Asked(ask, reply) => {
-                let grant = self.asked(&myself, state, ask, now);
+            StewardMessage::Asked(slot_request, reply) => {
+                let grant = self.handle_slot_request(&myself, state, slot_request, now);
                 let _ = reply.send(grant);
             }
             StewardMessage::Granted(grant, reply) => {
-                let _ = reply.send(self.granted(state, &grant, now));
+                let _ = reply.send(self.apply_grant(state, &grant, now));
             }
-            StewardMessage::Told(ask) => {
-                if let Some(stewarded) = state.replicas.get_mut(&ask.backend) {
-                    stewarded.machine.told(ask, now);
+            StewardMessage::Told(slot_request) => {
+                if let Some(engine) = state.controlled.get_mut(&slot_request.backend) {
+                    engine.controller.told(slot_request, now);
                 }
             }
             StewardMessage::Answered(grant, asked_at) => {
-                let actions = state.desk.answered(&grant, asked_at, now);
+                let actions = state.scheduler.answered(&grant, asked_at, now);
                 self.perform(state, actions);
             }
             StewardMessage::Noticed(notice, reply) => {
-                let stewarded = state.replicas.get_mut(&notice.backend);
-                let _ = reply.send(stewarded.is_some());
-                if let Some(stewarded) = stewarded {
-                    let grants = stewarded.machine.noticed(&notice, now);
-                    self.push(&myself, state, grants, now);
+                let engine = state.controlled.get_mut(&notice.backend);
+                let _ = reply.send(engine.is_some());
+                if let Some(engine) = engine {
+                    let grants = engine.controller.noticed(&notice, now);
+                    self.push_grants(&myself, state, grants, now);
                 }
             }
             StewardMessage::Reported(backend, report) => {
-                if let Some(stewarded) = state.replicas.get_mut(&backend) {
-                    let grants = stewarded.machine.reported(&report, now);
-                    self.push(&myself, state, grants, now);
+                if let Some(engine) = state.controlled.get_mut(&backend) {
+                    let grants = engine.controller.reported(&report, now);
+                    self.push_grants(&myself, state, grants, now);
                 }
             }
             StewardMessage::Wait(item, waiting, signals) => {
                 state.signals.insert(item, signals);
-                let actions = state.desk.wait(item, waiting, now);
+                let actions = state.scheduler.wait(item, waiting, now);
                 self.perform(state, actions);
-                self.ask(&myself, state, now);
+                self.send_slot_requests(&myself, state, now);
             }
             StewardMessage::Leave(item) => {
                 state.signals.remove(&item);
-                let actions = state.desk.leave(item, now);
+                let actions = state.scheduler.leave(item, now);
                 self.perform(state, actions);
             }
         }
@@ -133,35 +135,35 @@
 
 impl<P: Platform> BatchControllerActor<P> {
     fn tick(&self, myself: &ActorRef<StewardMessage>, state: &mut StewardState, now: MonoMs) {
-        self.refresh(state, now);
+        self.assign_controllers(state, now);
         online::look(&self.0);
-        let actions = state.desk.act(now);
+        let actions = state.scheduler.act(now);
         self.perform(state, actions);
-        self.ask(myself, state, now);
-        let backends: Vec<BackendId> = state.replicas.keys().cloned().collect();
+        self.send_slot_requests(myself, state, now);
+        let backends: Vec<BackendId> = state.controlled.keys().cloned().collect();
         for backend in backends {
-            let Some(stewarded) = state.replicas.get_mut(&backend) else {
+            let Some(engine) = state.controlled.get_mut(&backend) else {
                 continue;
             };
-            let grants = stewarded.machine.tick(now);
-            if stewarded.machine.is_idle() {
-                state.replicas.remove(&backend);
+            let grants = engine.controller.tick(now);
+            if engine.controller.is_idle() {
+                state.controlled.remove(&backend);
                 continue;
             }
-            if now.since_ms(stewarded.polled_at) >= POLL_MS {
-                stewarded.polled_at = now;
+            if now.since_ms(engine.polled_at) >= POLL_MS {
+                engine.polled_at = now;
                 self.poll(myself, &backend);
             }
-            self.push(myself, state, grants, now);
+            self.push_grants(myself, state, grants, now);
         }
         self.0
             .metrics
             .batch_in_flight
-            .set(state.desk.running() as i64);
+            .set(state.scheduler.running() as i64);
     }
 
-    /// Names the stewards anew where members or engines have changed.
-    fn refresh(&self, state: &mut StewardState, now: MonoMs) {
+    /// Assigns the batch controllers again if the members or the engines have changed.
+    fn assign_controllers(&self, state: &mut StewardState, now: MonoMs) {
         let members = self.0.members.load_full();
         let backends = self.0.backends.load_full();
         let same_members = state
@@ -184,19 +186,19 @@
                 continue;
             }
             let backend = &cell.backend.id;
-            let steward = steward_of(&live, backend);
+            let controller = controller_of(&live, backend);
             replicas.push(DeskReplica {
                 backend: backend.clone(),
                 targets: cell.backend.targets.clone(),
-                steward: steward.map(|member| member.id.clone()),
+                steward: controller.map(|member| member.id.clone()),
             });
-            let Some(steward) = steward else {
+            let Some(controller) = controller else {
                 continue;
             };
             let gauge = before.0.get(backend).map(|entry| entry.gauge.clone());
             let entry = StewardEntry {
-                steward: steward.id.clone(),
-                address: steward.peer_address,
+                steward: controller.id.clone(),
+                address: controller.peer_address,
                 gauge: gauge.unwrap_or_default(),
             };
             stewards.0.insert(backend.clone(), entry);
@@ -204,7 +206,7 @@
         self.0.stewards.store(Arc::new(stewards));
         state.members = Some(members);
         state.backends = Some(backends);
-        let actions = state.desk.set_replicas(replicas, now);
+        let actions = state.scheduler.set_replicas(replicas, now);
         self.perform(state, actions);
     }
 
@@ -231,37 +233,37 @@
         });
     }
 
-    fn asked(
+    fn handle_slot_request(
         &self,
         myself: &ActorRef<StewardMessage>,
         state: &mut StewardState,
-        ask: PlaceAsk,
+        slot_request: PlaceAsk,
         now: MonoMs,
     ) -> PlaceGrant {
-        let backend = ask.backend.clone();
+        let backend = slot_request.backend.clone();
         let (me, term) = (self.0.settings.instance.clone(), state.term);
         let share = self.0.settings.batch_share_percent;
-        let entry = state.replicas.entry(backend.clone());
-        let stewarded = entry.or_insert_with(|| {
+        let entry = state.controlled.entry(backend.clone());
+        let engine = entry.or_insert_with(|| {
             self.poll(myself, &backend);
-            Stewarded {
-                machine: ReplicaSteward::new(me, backend, term, share),
+            ControlledEngine {
+                controller: ReplicaSteward::new(me, backend, term, share),
                 polled_at: now,
             }
         });
-        let (grant, others) = stewarded.machine.asked(ask, now);
-        self.push(myself, state, others, now);
+        let (grant, others) = engine.controller.asked(slot_request, now);
+        self.push_grants(myself, state, others, now);
         grant
     }
 
-    fn granted(&self, state: &mut StewardState, grant: &PlaceGrant, now: MonoMs) -> PlaceAsk {
-        let actions = state.desk.pushed(grant, now);
+    fn apply_grant(&self, state: &mut StewardState, grant: &PlaceGrant, now: MonoMs) -> PlaceAsk {
+        let actions = state.scheduler.pushed(grant, now);
         self.perform(state, actions);
-        state.desk.ask(&grant.backend, self.0.clock.wall())
+        state.scheduler.ask(&grant.backend, self.0.clock.wall())
     }
 
-    /// Tells owners of their grants; the one of this instance at once.
-    fn push(
+    /// Pushes grants to their owners. A grant to this instance is applied without a message.
+    fn push_grants(
         &self,
         myself: &ActorRef<StewardMessage>,
         state: &mut StewardState,
@@ -270,9 +272,9 @@
     ) {
         for (owner, grant) in grants {
             if owner == self.0.settings.instance {
-                let ask = self.granted(state, &grant, now);
-                if let Some(stewarded) = state.replicas.get_mut(&grant.backend) {
-                    stewarded.machine.told(ask, now);
+                let slot_request = self.apply_grant(state, &grant, now);
+                if let Some(engine) = state.controlled.get_mut(&grant.backend) {
+                    engine.controller.told(slot_request, now);
                 }
                 continue;
             }
@@ -282,47 +284,64 @@
             let (shared, myself) = (self.0.clone(), myself.clone());
             tokio::spawn(async move {
                 let request = PeerRequest::PlacesGranted(grant);
-                for _ in 0..PUSH_TRIES {
+                for _ in 0..PUSH_ATTEMPTS {
                     let address = member.peer_address;
-                    let answer = shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await;
-                    if let Ok(PeerAnswer::PlacesInUse(ask)) = answer {
-                        let message = StewardMessage::Told(ask);
+                    let answer = shared
+                        .peers
+                        .ask(address, &request, SLOT_REQUEST_TIMEOUT_MS)
+                        .await;
+                    if let Ok(PeerAnswer::PlacesInUse(slot_request)) = answer {
+                        let message = StewardMessage::Told(slot_request);
                         log_undelivered(myself.send_message(message));
                         return;
                     }
                 }
-                log::debug!("{} was not told of its places", member.id);
+                log::debug!(
+                    "slot grant could not be delivered to {}; its next slot request corrects this",
+                    member.id
+                );
             });
         }
     }
 
-    /// Sends the questions that are due.
-    fn ask(&self, myself: &ActorRef<StewardMessage>, state: &mut StewardState, now: MonoMs) {
-        for (steward, ask) in state.desk.asks(now, self.0.clock.wall()) {
-            if steward == self.0.settings.instance {
-                let grant = self.asked(myself, state, ask, now);
-                let actions = state.desk.answered(&grant, now, now);
+    /// Sends the slot requests that are due.
+    fn send_slot_requests(
+        &self,
+        myself: &ActorRef<StewardMessage>,
+        state: &mut StewardState,
+        now: MonoMs,
+    ) {
+        for (controller, slot_request) in state.scheduler.asks(now, self.0.clock.wall()) {
+            if controller == self.0.settings.instance {
+                let grant = self.handle_slot_request(myself, state, slot_request, now);
+                let actions = state.scheduler.answered(&grant, now, now);
                 self.perform(state, actions);
-                let ask = state.desk.ask(&grant.backend, self.0.clock.wall());
-                if let Some(stewarded) = state.replicas.get_mut(&grant.backend) {
-                    stewarded.machine.told(ask, now);
+                let slot_request = state.scheduler.ask(&grant.backend, self.0.clock.wall());
+                if let Some(engine) = state.controlled.get_mut(&grant.backend) {
+                    engine.controller.told(slot_request, now);
                 }
                 continue;
             }
-            let Some(member) = self.0.member(&steward) else {
+            let Some(member) = self.0.member(&controller) else {
                 continue;
             };
             let (shared, myself) = (self.0.clone(), myself.clone());
             tokio::spawn(async move {
-                let request = PeerRequest::PlacesAsked(ask);
+                let request = PeerRequest::PlacesAsked(slot_request);
                 let address = member.peer_address;
-                match shared.peers.ask(address, &request, ASK_TIMEOUT_MS).await {
+                match shared
+                    .peers
+                    .ask(address, &request, SLOT_REQUEST_TIMEOUT_MS)
+                    .await
+                {
                     Ok(PeerAnswer::Places(grant)) => {
                         let message = StewardMessage::Answered(grant, now);
                         log_undelivered(myself.send_message(message));
                     }
-                    Ok(_) => log::debug!("steward {steward} gave no places"),
-                    Err(error) => log::debug!("steward {steward} gave no answer: {error}"),
+                    Ok(_) => log::debug!("batch controller {controller} sent no slot grant"),
+                    Err(error) => log::debug!(
+                        "batch controller {controller} did not answer a slot request: {error}"
+                    ),
                 }
             });
         }
@@ -349,9 +368,9 @@
     }
 }
 
-/// The steward of an engine among the live members.
-fn steward_of<'a>(live: &'a [Member], backend: &BackendId) -> Option<&'a Member> {
+/// The batch controller of an engine among the live members, chosen by rendezvous hashing.
+fn controller_of<'a>(live: &'a [Member], backend: &BackendId) -> Option<&'a Member> {
     let key = format!("steward/{backend}");
-    let home = rendezvous::home(live.iter().map(|member| &member.id), key.as_bytes())?;
-    live.iter().find(|member| member.id == *home)
+    let assigned = rendezvous::home(live.iter().map(|member| &member.id), key.as_bytes())?;
+    live.iter().find(|member| member.id == *assigned)
 }
--- a/crates/foxtailhold-entry/src/actors/contracts.rs
+++ b/crates/foxtailhold-entry/src/actors/contracts.rs
@@ -1,8 +1,8 @@
-//! Keeps the contracts in force and publishes them.
+//! Keeps this instance's contracts up to date and publishes them.
 //!
-//! A change reaches an instance by a push from the one that accepted it, by gossip that names a
-//! higher number, or by a read of the platform's head row. What to do next is decided by
-//! [`ContractSync`].
+//! An instance learns of a change by a push from the instance that accepted it, by gossip with a
+//! higher number, or by a read of the head row in the platform's table service. [`ContractSync`]
+//! decides what to read next; this actor does the reading.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,22 +20,22 @@
 use crate::messages::{ContractsMessage, Found};
 use crate::shared::Shared;
 
-/// What is due is looked at this often.
+/// Period at which due steps are checked.
 pub const TICK_PERIOD_MS: u64 = 250;
-/// Limit for a peer's answer with changes.
+/// Maximum wait for a peer's answer with changes.
 pub const PULL_TIMEOUT_MS: u64 = 1_000;
-/// Limit for a peer's answer with the whole book.
+/// Maximum wait for a peer's answer with all contracts.
 pub const SNAPSHOT_TIMEOUT_MS: u64 = 10_000;
 
-/// The actor.
+/// The actor that owns the contracts.
 #[derive(Debug)]
 pub struct ContractsActor<P>(pub Shared<P>);
 
-/// Its state.
+/// State of the actor: the contracts, and a peer known to have newer ones.
 #[derive(Debug, Default)]
 pub struct ContractsState {
     sync: ContractSync,
-    ahead: Option<SocketAddr>,
+    newer_peer: Option<SocketAddr>,
 }
 
 impl<P: Platform> Actor for ContractsActor<P> {
@@ -62,7 +62,7 @@
         let sync = &mut state.sync;
         match message {
             ContractsMessage::Pushed(catchup, reply) => {
-                sync.on_catchup(&catchup, now);
+                sync.on_data(&catchup, now);
                 if let Some(reply) = reply {
                     let _ = reply.send(());
                 }
@@ -73,23 +73,23 @@
                 address,
             } => {
                 if advert.number > sync.registry().number() {
-                    state.ahead = Some(address);
+                    state.newer_peer = Some(address);
                 }
                 sync.on_peer_status(advert, sent_at, now);
             }
             ContractsMessage::Ended(step, None) => sync.on_failed(step, rand::random(), now),
-            ContractsMessage::Ended(_, Some(found)) => take(sync, found, now),
+            ContractsMessage::Ended(_, Some(found)) => apply_result(sync, found, now),
             ContractsMessage::Tick => {}
         }
         self.publish(&state.sync);
         if let Some(step) = state.sync.next_step(rand::random(), now) {
-            self.start(&myself, state, step, now);
+            self.start_step(&myself, state, step, now);
         }
         Ok(())
     }
 }
 
-fn take(sync: &mut ContractSync, found: Found, now: MonoMs) {
+fn apply_result(sync: &mut ContractSync, found: Found, now: MonoMs) {
     match found {
         Found::Head {
             number,
@@ -121,27 +121,27 @@
         self.0.timeline.note(Event::ContractApplied { number });
     }
 
-    fn start(
+    fn start_step(
         &self,
         myself: &ActorRef<ContractsMessage>,
         state: &mut ContractsState,
         step: SyncStep,
         sent_at: MonoMs,
     ) {
-        let peer = state.ahead.take().or_else(|| self.any_peer());
+        let peer = state.newer_peer.take().or_else(|| self.any_peer());
         let stood_at = state.sync.registry().number();
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
             let found = match step {
-                SyncStep::AskPeer { after } => ask(&shared, peer, after).await,
-                SyncStep::ReadHead => head(&shared, sent_at, stood_at).await,
+                SyncStep::AskPeer { after } => ask_peer(&shared, peer, after).await,
+                SyncStep::ReadHead => read_head(&shared, sent_at, stood_at).await,
                 SyncStep::ReadLog { after } => {
                     let read = contract_store::read_after(&shared.platform, after).await;
-                    read_found("log", read.map(Found::Log))
+                    read_result("log", read.map(Found::Log))
                 }
                 SyncStep::ReadSnapshot => {
                     let read = contract_store::read_snapshot(&shared.platform).await;
-                    read_found("rows", read.map(Found::Snapshot))
+                    read_result("rows", read.map(Found::Snapshot))
                 }
             };
             log_undelivered(myself.send_message(ContractsMessage::Ended(step, found)));
@@ -156,27 +156,31 @@
     }
 }
 
-async fn head<P: Platform>(shared: &Shared<P>, sent_at: MonoMs, stood_at: u64) -> Option<Found> {
+async fn read_head<P: Platform>(
+    shared: &Shared<P>,
+    sent_at: MonoMs,
+    stood_at: u64,
+) -> Option<Found> {
     let read = contract_store::read_head(&shared.platform).await;
     let found = read.map(|number| Found::Head {
         number,
         sent_at,
         stood_at,
     });
-    read_found("head", found)
+    read_result("head", found)
 }
 
-fn read_found(what: &str, read: foxtailhold_platform::Result<Found>) -> Option<Found> {
+fn read_result(source: &str, read: foxtailhold_platform::Result<Found>) -> Option<Found> {
     match read {
         Ok(found) => Some(found),
         Err(error) => {
-            log::warn!("the contract {what} could not be read: {error}");
+            log::warn!("the contract {source} could not be read: {error}");
             None
         }
     }
 }
 
-async fn ask<P: Platform>(
+async fn ask_peer<P: Platform>(
     shared: &Shared<P>,
     peer: Option<SocketAddr>,
     number: u64,
@@ -191,7 +195,7 @@
         Ok(PeerAnswer::Contracts(catchup)) => Some(Found::Peer(catchup)),
         Ok(_) => None,
         Err(error) => {
-            log::debug!("contract changes could not be pulled: {error}");
+            log::debug!("contract changes could not be read from a peer: {error}");
             None
         }
     }
--- a/crates/foxtailhold-entry/src/actors/crashes.rs
+++ b/crates/foxtailhold-entry/src/actors/crashes.rs
@@ -1,4 +1,4 @@
-//! Keeps the table of requests that crash backend servers and publishes it.
+//! Keeps the quarantine, the table of requests that crash backend servers, and publishes it.
 
 use foxtailhold::breaker::Availability;
 use foxtailhold::membership::MemberState;
@@ -14,18 +14,18 @@
 use crate::messages::CrashesMessage;
 use crate::shared::Shared;
 
-/// Verdicts and expiry are looked at this often.
+/// Period at which convictions and expired entries are checked.
 pub const TICK_MS: u64 = 100;
-/// Limit for a peer to take a notice.
+/// Maximum wait for a peer to accept a notice, or to answer with its table.
 pub const NOTICE_TIMEOUT_MS: u64 = 500;
-/// A notice is offered to each peer this often.
-const NOTICE_TRIES: u32 = 4;
+/// Attempts to deliver a notice to each peer.
+const NOTICE_ATTEMPTS: u32 = 4;
 
-/// The actor.
+/// The actor that owns the quarantine.
 #[derive(Debug)]
 pub struct CrashesActor<P>(pub Shared<P>);
 
-/// Its state.
+/// State of the actor.
 #[derive(Debug, Default)]
 pub struct CrashesState {
     quarantine: Quarantine,
@@ -57,15 +57,15 @@
         match message {
             CrashesMessage::Tick => {
                 if !state.caught_up {
-                    self.catch_up(&myself);
+                    self.request_snapshot(&myself);
                 }
                 for notice in state.quarantine.tick(now) {
-                    self.tell(notice);
+                    self.broadcast(notice);
                 }
             }
             CrashesMessage::Own(notice, reply) => {
                 if quarantine.on_notice(&notice, now) {
-                    self.tell(notice);
+                    self.broadcast(notice);
                 }
                 self.publish(quarantine, now);
                 let _ = reply.send(());
@@ -73,13 +73,13 @@
             CrashesMessage::Told(notices) => {
                 for notice in &notices {
                     quarantine.on_notice(notice, now);
-                    self.set_aside(notice, now);
+                    self.open_breaker(notice, now);
                 }
             }
             CrashesMessage::Ask(fingerprint, backends, reply) => {
                 let answer = quarantine.ask(fingerprint, &backends, now);
                 if let TrialAnswer::Granted { backend, .. } = &answer {
-                    self.tell(Notice::Trial {
+                    self.broadcast(Notice::Trial {
                         fingerprint,
                         backend: backend.clone(),
                     });
@@ -88,7 +88,7 @@
             }
             CrashesMessage::Ended(fingerprint, backend, end) => {
                 if let Some(notice) = quarantine.trial_ended(fingerprint, &backend, end, now) {
-                    self.tell(notice);
+                    self.broadcast(notice);
                 }
             }
             CrashesMessage::Snapshot(reply) => {
@@ -107,9 +107,9 @@
 }
 
 impl<P: Platform> CrashesActor<P> {
-    /// Tells all peers, each in a task of its own with a few tries.
-    fn tell(&self, notice: Notice) {
-        log::info!("told to all: {notice:?}");
+    /// Broadcasts a notice to all peers, each in its own task with [`NOTICE_ATTEMPTS`] attempts.
+    fn broadcast(&self, notice: Notice) {
+        log::info!("broadcasting crash notice: {notice:?}");
         if let Notice::Convicted { fingerprint, .. } = &notice {
             self.0.timeline.note(Event::Convicted {
                 fingerprint: format!("{:032x}", fingerprint.0),
@@ -122,20 +122,21 @@
             let (shared, notice) = (self.0.clone(), notice.clone());
             tokio::spawn(async move {
                 let request = PeerRequest::Crashes(vec![notice]);
-                for _ in 0..NOTICE_TRIES {
+                for _ in 0..NOTICE_ATTEMPTS {
                     let address = member.peer_address;
-                    let told = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS);
-                    if told.await.is_ok() {
+                    let delivery = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS);
+                    if delivery.await.is_ok() {
                         return;
                     }
                 }
-                log::warn!("a notice on a crash did not reach {}", member.id);
+                log::warn!("crash notice could not be delivered to {}", member.id);
             });
         }
     }
 
-    /// A backend server that crashed under another instance's requests gets nothing from here.
-    fn set_aside(&self, notice: &Notice, now: MonoMs) {
+    /// Opens the breaker of a backend server that crashed under another instance's requests, so
+    /// that this instance sends it nothing.
+    fn open_breaker(&self, notice: &Notice, now: MonoMs) {
         let Notice::Crashed { crash, .. } = notice else {
             return;
         };
@@ -147,8 +148,8 @@
         }
     }
 
-    /// Asks any peer for its table.
-    fn catch_up(&self, myself: &ActorRef<CrashesMessage>) {
+    /// Requests the table of a random live peer.
+    fn request_snapshot(&self, myself: &ActorRef<CrashesMessage>) {
         let members = self.0.live_members();
         let is_peer = |member: &&foxtailhold::membership::Member| {
             member.state == MemberState::Alive && member.id != self.0.settings.instance
--- a/crates/foxtailhold-entry/src/actors/fleet.rs
+++ b/crates/foxtailhold-entry/src/actors/fleet.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's fleet list and the backend servers' load reports, and publishes both.
+//! Reads the platform's fleet list and the load reports of the backend servers, and publishes both.
 
 use std::sync::Arc;
 
@@ -16,17 +16,17 @@
 use crate::messages::{FleetMessage, LimitsMessage, MembershipMessage};
 use crate::shared::Shared;
 
-/// The list is read this often.
+/// Period at which the fleet list is read.
 pub const LIST_PERIOD_MS: u64 = 1_000;
-/// Load reports are read this often.
+/// Period at which load reports are read.
 pub const LOAD_PERIOD_MS: u64 = 500;
 
-/// Instances told at once that a backend server is leaving.
-const SPREAD_TO: usize = 4;
-/// Limit for telling one of them.
-const SPREAD_TIMEOUT_MS: u64 = 1_000;
+/// Number of instances that are notified directly that a backend server is leaving.
+const ANNOUNCE_FANOUT: usize = 4;
+/// Maximum wait for one of them to confirm.
+const ANNOUNCE_TIMEOUT_MS: u64 = 1_000;
 
-/// The actor.
+/// The actor that reads the fleet.
 #[derive(Debug)]
 pub struct FleetActor<P>(pub Shared<P>);
 
@@ -63,11 +63,11 @@
             }
             FleetMessage::Marks(told) => {
                 if marks.hear(&told, now) {
-                    self.spread(marks, now);
+                    self.announce_leaving(marks, now);
                 }
             }
         }
-        self.mark(marks, now);
+        self.publish_leaving(marks, now);
         Ok(())
     }
 }
@@ -78,7 +78,9 @@
         tokio::spawn(async move {
             match shared.platform.fleet().await {
                 Ok(fleet) => log_undelivered(myself.send_message(FleetMessage::List(fleet))),
-                Err(error) => log::warn!("the fleet list could not be read: {error}"),
+                Err(error) => {
+                    log::warn!("fleet list could not be read, keeping the last one: {error}")
+                }
             }
         });
     }
@@ -103,38 +105,46 @@
         }
     }
 
-    /// Marks what this instance sees first-hand, and publishes all marks.
-    fn mark(&self, marks: &mut LeavingMarks, now: MonoMs) {
+    /// Adds a notice for each backend server that reported to this instance that it is leaving, and
+    /// publishes all leaving backend servers.
+    fn publish_leaving(&self, marks: &mut LeavingMarks, now: MonoMs) {
         let (backends, wall) = (self.0.backends.load(), self.0.clock.wall());
-        let mut news = false;
+        let mut changed = false;
         for cell in &backends.cells {
             if cell.seen_leaving() {
-                news |= marks.witness(&cell.backend.id, wall, now);
+                changed |= marks.witness(&cell.backend.id, wall, now);
             }
         }
         for cell in &backends.cells {
             cell.set_marked_leaving(marks.is_marked(&cell.backend.id, now));
         }
         self.0.leaving.store(Arc::new(marks.clone()));
-        if news {
-            self.spread(marks, now);
+        if changed {
+            self.announce_leaving(marks, now);
         }
     }
 
-    /// Tells some instances at once; they tell others, and gossip brings the rest.
-    fn spread(&self, marks: &LeavingMarks, now: MonoMs) {
+    /// Sends the leaving notices to [`ANNOUNCE_FANOUT`] random instances. They forward what is new
+    /// to them; gossip reaches the rest.
+    fn announce_leaving(&self, marks: &LeavingMarks, now: MonoMs) {
         let mut peers = self.0.live_members();
         peers.retain(|member| member.id != self.0.settings.instance);
         peers.shuffle(&mut rand::rng());
-        peers.truncate(SPREAD_TO);
+        peers.truncate(ANNOUNCE_FANOUT);
         for peer in peers {
             let shared = self.0.clone();
             let request = PeerRequest::BackendsLeaving(marks.told(now));
             tokio::spawn(async move {
                 let address = peer.peer_address;
-                let told = shared.peers.ask(address, &request, SPREAD_TIMEOUT_MS).await;
-                if let Err(error) = told {
-                    log::debug!("{} was not told of leaving servers: {error}", peer.id);
+                let delivery = shared
+                    .peers
+                    .ask(address, &request, ANNOUNCE_TIMEOUT_MS)
+                    .await;
+                if let Err(error) = delivery {
+                    log::debug!(
+                        "leaving notices could not be delivered to {}: {error}",
+                        peer.id
+                    );
                 }
             });
         }
--- a/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
@@ -1,8 +1,9 @@
-//! Deletes expired claims of requests that must not be repeated, a bounded page at a time.
+//! Deletes expired claims of idempotency keys, a bounded page at a time.
 //!
-//! Every sweep raises the fence row in its own transaction, so that a sweep that the store applies
-//! late finds another fence and deletes nothing. Otherwise it could delete a row that was written
-//! anew after another sweep, since versions start again at 1 where a row was deleted.
+//! Every sweep writes the fence row in the transaction that deletes the claims, on condition that
+//! the fence has not changed. A sweep that the store applies late therefore fails and deletes
+//! nothing. Otherwise it could delete a row that was written again after another sweep, since
+//! versions start again at 1 after a row was deleted.
 
 use foxtailhold::once::{ClaimRow, ClaimState, StoredBody, is_expired};
 use foxtailhold_platform::{Expect, KeyedRow, Operation, Platform, Result};
@@ -12,28 +13,28 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// A page is read this often while this instance is the sweep's home.
+/// Period at which the instance that is assigned the sweep reads a page.
 pub const SWEEP_PERIOD_MS: u64 = 5_000;
-/// Rows in a page.
+/// Rows read, and deleted at most, per sweep.
 const PAGE_ROWS: usize = 500;
-/// What the sweep's home is found by.
+/// Rendezvous key that assigns the sweep to one instance.
 const HOME_KEY: &[u8] = b"once-sweep";
 
-/// Messages to the actor.
+/// Messages to the sweep actor.
 #[derive(Debug)]
 pub enum IdempotencySweepMessage {
-    /// Time to read a page.
+    /// Periodic: read a page and delete its expired claims.
     Sweep,
 }
 
-/// The actor.
+/// The actor that sweeps expired claims.
 #[derive(Debug)]
 pub struct IdempotencySweepActor<P>(pub Shared<P>);
 
-/// Its state.
+/// Progress of the sweep through the table.
 #[derive(Debug, Default)]
 pub struct OnceSweepState {
-    /// The last key of the page before.
+    /// Last key of the previous page; empty at the start of the table.
     after: String,
 }
 
@@ -61,7 +62,7 @@
             return Ok(());
         }
         if let Err(error) = self.sweep(state).await {
-            log::warn!("expired claims could not be swept: {error}");
+            log::warn!("expired claims could not be swept, retrying at the next period: {error}");
         }
         Ok(())
     }
@@ -98,7 +99,8 @@
         Ok(())
     }
 
-    /// The body goes before its row, so that none is left without a row that names it.
+    /// Deletes the stored answer body of a claim. This comes before the deletion of the row, so
+    /// that no body is left without a row that refers to it.
     async fn delete_body(&self, key: &str, row: &ClaimRow) -> Result<()> {
         let may_have_body = match &row.state {
             ClaimState::Answered(answer) => answer.body == StoredBody::Object,
@@ -113,7 +115,7 @@
     }
 }
 
-/// Where the next page begins; from the start after the last page.
+/// The key after which the next page begins; empty after the last page, to start again.
 fn next_after(page: &[KeyedRow]) -> String {
     match page.last() {
         Some(last) if page.len() == PAGE_ROWS => last.key.clone(),
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -1,4 +1,4 @@
-//! Finds the jobs this instance should own and runs them.
+//! Finds the batch jobs that this instance should own, claims them and runs them.
 
 use std::collections::HashMap;
 
@@ -14,25 +14,25 @@
 
 use crate::actors::{log_undelivered, tick};
 use crate::jobs::owner::{self, scan_all};
-use crate::jobs::runner::{self, RunStop};
+use crate::jobs::runner::{self, JobRunOutcome};
 use crate::jobs::sweep;
 use crate::messages::{JobsMessage, Look};
 use crate::shared::Shared;
 use crate::tables;
 
-/// Open jobs are looked through this often, unless there are more than [`FLEET_LOOKS_PER_S`]
-/// instances.
+/// Period at which an instance scans the open jobs. Where there are more than
+/// [`MAX_FLEET_SCANS_PER_S`] instances, each skips a random part of its scans.
 pub const SCAN_PERIOD_MS: u64 = 1_000;
-/// Periodic looks of all instances together at most, on average.
-const FLEET_LOOKS_PER_S: f64 = 40.0;
-/// Orphaned result objects are looked for at least this often.
+/// Most periodic scans per second of all instances together, on average.
+const MAX_FLEET_SCANS_PER_S: f64 = 40.0;
+/// Longest period between two sweeps for orphaned result objects.
 const MAX_SWEEP_PERIOD_MS: u64 = 60_000;
 
-/// The actor.
+/// The actor that owns the runs of batch jobs on this instance.
 #[derive(Debug)]
 pub struct JobsActor<P>(pub Shared<P>);
 
-/// Its state.
+/// Which jobs run here, and who waits for them to stop.
 #[derive(Debug, Default)]
 pub struct JobsState {
     registry: Registry,
@@ -65,10 +65,10 @@
         state: &mut JobsState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            JobsMessage::Tick if !self.is_drawn() => {}
-            JobsMessage::Tick | JobsMessage::Scan => self.look(&myself, state),
+            JobsMessage::Tick if !self.draws_scan() => {}
+            JobsMessage::Tick | JobsMessage::Scan => self.start_scan(&myself, state),
             JobsMessage::Sweep => self.sweep(),
-            JobsMessage::Scanned(look) => self.looked(&myself, state, look),
+            JobsMessage::Scanned(scan) => self.scan_ended(&myself, state, scan),
             JobsMessage::Ended(job) => {
                 state.runs.remove(&job);
                 state.registry.ended(&job);
@@ -103,8 +103,9 @@
         self.waiting.entry(job.clone()).or_default().push(reply);
     }
 
-    /// Answers the stops that waited for a look.
-    fn settle(&mut self) {
+    /// Answers the requests to stop a job that a scan may have been about to start and that does
+    /// not run here after all.
+    fn answer_settled_stops(&mut self) {
         let runs = &self.runs;
         let settled = self.waiting.extract_if(|job, _| !runs.contains_key(job));
         for (_, replies) in settled {
@@ -120,14 +121,15 @@
 }
 
 impl<P: Platform> JobsActor<P> {
-    /// Whether this instance is among those that look this time.
-    fn is_drawn(&self) -> bool {
+    /// Draws whether this instance scans this time, so that all instances together make at most
+    /// [`MAX_FLEET_SCANS_PER_S`] scans a second on average.
+    fn draws_scan(&self) -> bool {
         let instances = self.0.live_members().len() as f64;
-        rand::random::<f64>() * instances < FLEET_LOOKS_PER_S
+        rand::random::<f64>() * instances < MAX_FLEET_SCANS_PER_S
     }
 
-    /// Looks through open jobs in the background, one look at a time.
-    fn look(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState) {
+    /// Starts a scan of the open jobs in the background, unless one is running.
+    fn start_scan(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState) {
         if self.0.is_stopping() || self.0.lease_epoch().is_none() {
             return;
         }
@@ -137,12 +139,12 @@
         let watched = std::mem::take(&mut state.watched);
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
-            let look = look_through(&shared, &running, watched).await;
-            log_undelivered(myself.send_message(JobsMessage::Scanned(look)));
+            let scan = scan_open_jobs(&shared, &running, watched).await;
+            log_undelivered(myself.send_message(JobsMessage::Scanned(scan)));
         });
     }
 
-    /// Sweeps in the background. A sweep beside another one only deletes what is gone already.
+    /// Starts a sweep in the background. Two sweeps at once are harmless: deletion is idempotent.
     fn sweep(&self) {
         if self.0.is_stopping() {
             return;
@@ -150,15 +152,17 @@
         let shared = self.0.clone();
         tokio::spawn(async move {
             if let Err(error) = sweep::run(&shared).await {
-                log::warn!("orphaned objects could not be deleted: {error}");
+                log::warn!(
+                    "sweep of orphaned result objects failed, retrying at the next period: {error}"
+                );
             }
         });
     }
 
-    fn looked(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, look: Look) {
-        state.watched = look.watched;
-        let started = state.registry.end_look(&look.claimed);
-        for owned in look.claimed {
+    fn scan_ended(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, scan: Look) {
+        state.watched = scan.watched;
+        let started = state.registry.end_look(&scan.claimed);
+        for owned in scan.claimed {
             if started.contains(&owned.row.job) {
                 self.start(myself, state, owned);
                 continue;
@@ -166,14 +170,14 @@
             let shared = self.0.clone();
             tokio::spawn(async move { owner::release(&shared, &owned).await });
         }
-        for job in look.cancelling {
+        for job in scan.cancelling {
             if let Some(stop) = state.runs.get(&job)
                 && state.registry.must_stop(&job)
             {
                 stop.cancel();
             }
         }
-        state.settle();
+        state.answer_settled_stops();
     }
 
     fn start(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, owned: OwnedJob) {
@@ -183,8 +187,8 @@
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
             let end = runner::run(&shared, owned.clone(), &stop).await;
-            log::info!("the run of job {job} ended: {end:?}");
-            if end == RunStop::Stopped && shared.is_stopping() {
+            log::info!("run of job {job} ended: {end:?}");
+            if end == JobRunOutcome::Stopped && shared.is_stopping() {
                 owner::release(&shared, &owned).await;
             }
             log_undelivered(myself.send_message(JobsMessage::Ended(job)));
@@ -192,20 +196,20 @@
     }
 }
 
-async fn look_through<P: Platform>(
+async fn scan_open_jobs<P: Platform>(
     shared: &Shared<P>,
     running: &[JobId],
     watched: WatchedLeases,
 ) -> Look {
-    let mut look = Look {
+    let mut scan = Look {
         watched,
         ..Look::default()
     };
     let open = match scan_all(&shared.platform, tables::JOB_OPEN, "").await {
         Ok(open) => open,
         Err(error) => {
-            log::warn!("open jobs could not be read: {error}");
-            return look;
+            log::warn!("open jobs could not be read, retrying at the next scan: {error}");
+            return scan;
         }
     };
     for keyed in open {
@@ -214,25 +218,28 @@
         };
         if running.contains(&open.job) {
             if open.cancelling {
-                look.cancelling.push(open.job);
+                scan.cancelling.push(open.job);
             }
             continue;
         }
         if !may_claim(shared, &open.job) {
             continue;
         }
-        match owner::claim(shared, &keyed.key, &open.job, &mut look.watched).await {
-            Ok(Some(owned)) => look.claimed.push(owned),
+        match owner::claim(shared, &keyed.key, &open.job, &mut scan.watched).await {
+            Ok(Some(owned)) => scan.claimed.push(owned),
             Ok(None) => {}
-            Err(error) => log::warn!("job {} could not be taken: {error}", open.job),
+            Err(error) => log::warn!(
+                "job {} could not be claimed, retrying at the next scan: {error}",
+                open.job
+            ),
         }
     }
-    look
+    scan
 }
 
-/// Whether this instance is the job's home, or would be without the members under suspicion: it
-/// then starts to watch the owner's lease before the suspicion is confirmed. Several instances may
-/// say so at once; the claim's transaction lets one win.
+/// Whether rendezvous hashing assigns the job to this instance, among all members or among those
+/// not suspected: it then starts to watch the owner's lease before the suspicion is confirmed.
+/// Several instances may try at once; the transaction of the claim lets one of them win.
 fn may_claim<P: Platform>(shared: &Shared<P>, job: &JobId) -> bool {
     let members = shared.members.load();
     let mut alive = Vec::new();
--- a/crates/foxtailhold-entry/src/actors/lease.rs
+++ b/crates/foxtailhold-entry/src/actors/lease.rs
@@ -1,4 +1,4 @@
-//! Renews this instance's lease in the table service.
+//! Renews this instance's lease in the platform's table service.
 
 use std::sync::Arc;
 
@@ -14,16 +14,16 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Messages to the actor.
+/// Messages to the lease actor.
 #[derive(Debug)]
 pub enum LeaseMessage {
-    /// Time to renew.
+    /// Periodic: renew the lease.
     Renew,
-    /// The instance stops: others may take over at once. No renewal follows.
+    /// The instance stops: end the lease, so that others may take over at once. No renewal follows.
     End(RpcReplyPort<()>),
 }
 
-/// The actor.
+/// The actor that owns the lease.
 #[derive(Debug)]
 pub struct LeaseActor<P>(pub Shared<P>);
 
@@ -50,7 +50,7 @@
         match message {
             LeaseMessage::Renew => {
                 if let Err(error) = self.renew(keeper).await {
-                    log::warn!("the lease could not be renewed: {error}");
+                    log::warn!("lease could not be renewed, retrying at the next period: {error}");
                 }
                 self.0.lease.store(Arc::new(keeper.held().clone()));
             }
@@ -84,7 +84,7 @@
         sent.map(drop)
     }
 
-    /// A lease whose end cannot be written runs out by itself.
+    /// Writes the end of the lease, without retries: a lease whose end is not written expires.
     async fn end(&self, ended: Option<(Condition, LeaseRow)>) {
         let Some((condition, row)) = ended else {
             return;
@@ -92,7 +92,9 @@
         let key = tables::lease_key(&self.0.settings.instance);
         let operation = Operation::put(tables::LEASE, key, store::expect(condition), &row);
         if let Err(error) = self.0.platform.transact(&[operation]).await {
-            log::warn!("the end of the lease could not be written: {error}");
+            log::warn!(
+                "end of the lease could not be written; others wait until it expires: {error}"
+            );
         }
     }
 
--- a/crates/foxtailhold-entry/src/actors/limits.rs
+++ b/crates/foxtailhold-entry/src/actors/limits.rs
@@ -1,4 +1,4 @@
-//! Exchanges shares of limits with their homes.
+//! Exchanges shares of customers' limits with the customers' limit coordinators.
 
 use std::collections::BTreeSet;
 
@@ -13,49 +13,50 @@
 use crate::messages::LimitsMessage;
 use crate::shared::Shared;
 
-/// Limit for a home's answer.
+/// Maximum wait for a limit coordinator's answer.
 pub const ANSWER_TIMEOUT_MS: u64 = 500;
 
-/// The instances there are, in reach or not.
+/// The instances of the fleet, whether this instance can reach them or not.
 #[derive(Debug, Default)]
-pub struct ReachableInstances {
+pub struct KnownInstances {
     listed: Vec<InstanceId>,
-    /// Those that left by a planned stop: they are not out of reach, though the list lags.
-    left: BTreeSet<InstanceId>,
+    /// Instances that left by a planned stop. The fleet list still names them for a while; they
+    /// must not be taken for unreachable ones.
+    departed: BTreeSet<InstanceId>,
 }
 
-impl ReachableInstances {
-    fn note_left(&mut self, members: &[Member]) {
+impl KnownInstances {
+    fn record_departed(&mut self, members: &[Member]) {
         for member in members {
             match member.state {
                 MemberState::Leaving => {
-                    self.left.insert(member.id.clone());
+                    self.departed.insert(member.id.clone());
                 }
                 MemberState::Alive => {
-                    self.left.remove(&member.id);
+                    self.departed.remove(&member.id);
                 }
                 MemberState::Suspect | MemberState::Dead => {}
             }
         }
         let listed = &self.listed;
         let known = |id: &InstanceId| members.iter().any(|member| member.id == *id);
-        self.left.retain(|id| listed.contains(id) || known(id));
+        self.departed.retain(|id| listed.contains(id) || known(id));
     }
 
     fn count(&self, live: &[InstanceId]) -> u32 {
-        let here = self.listed.iter().filter(|id| !self.left.contains(*id));
-        let all: BTreeSet<&InstanceId> = live.iter().chain(here).collect();
+        let listed = self.listed.iter().filter(|id| !self.departed.contains(*id));
+        let all: BTreeSet<&InstanceId> = live.iter().chain(listed).collect();
         all.len() as u32
     }
 }
 
-/// The actor.
+/// The actor that requests shares of limits and updates the admission.
 #[derive(Debug)]
 pub struct LimitsActor<P>(pub Shared<P>);
 
 impl<P: Platform> Actor for LimitsActor<P> {
     type Msg = LimitsMessage;
-    type State = ReachableInstances;
+    type State = KnownInstances;
     type Arguments = ();
 
     async fn pre_start(
@@ -64,7 +65,7 @@
         (): (),
     ) -> Result<Self::State, ActorProcessingErr> {
         tick(&myself, || LimitsMessage::Tick, HURRY_MS);
-        Ok(ReachableInstances::default())
+        Ok(KnownInstances::default())
     }
 
     async fn handle(
@@ -82,12 +83,12 @@
 }
 
 impl<P: Platform> LimitsActor<P> {
-    fn tick(&self, instances: &mut ReachableInstances) {
+    fn tick(&self, instances: &mut KnownInstances) {
         let shared = &self.0;
         let now = shared.clock.mono();
         let members = shared.live_members();
         let live: Vec<InstanceId> = members.iter().map(|member| member.id.clone()).collect();
-        instances.note_left(&shared.members.load());
+        instances.record_departed(&shared.members.load());
         let count = instances.count(&live);
         shared.limits.set_view(live, count, now);
         shared.limits.sweep(now);
@@ -98,25 +99,27 @@
         shared.metrics.waiting_requests.set(waiting);
         let customers = shared.limits.customers() as i64;
         shared.metrics.limited_customers.set(customers);
-        send(shared, asks);
+        send_requests(shared, asks);
     }
 }
 
-/// Asks the home of one customer at once, where no ask is on its way.
+/// Requests one customer's share from its coordinator now, unless a request is already in flight.
 pub fn request_shares_now<P: Platform>(shared: &Shared<P>, customer: &CustomerId) {
     let due = shared.limits.due_ask(customer, shared.clock.mono());
-    send(shared, due.into_iter().collect());
+    send_requests(shared, due.into_iter().collect());
 }
 
-/// Gives room that another instance lacks: asks the homes of these customers at once.
+/// Gives back unused shares that another instance needs, by contacting the coordinators of these
+/// customers now.
 pub fn release_unused_shares<P: Platform>(shared: &Shared<P>, customers: &[CustomerId]) {
-    send(
+    send_requests(
         shared,
         shared.limits.recalled(customers, shared.clock.mono()),
     );
 }
 
-/// Answers asks as the home of the customers, and tells holders where another one lacks room.
+/// Answers share requests as the customers' coordinator, and recalls unused shares from holders
+/// where another instance needs them.
 pub fn grant_shares<P: Platform>(shared: &Shared<P>, asks: &ShareAsks) -> Vec<Grant> {
     let (contracts, now) = (shared.contracts.load(), shared.clock.mono());
     let shares = shared.limits.answer(asks, &contracts, now);
@@ -137,37 +140,48 @@
     };
     let request = PeerRequest::SharesRecalled(customers);
     let peers = &shared.peers;
-    let told = peers.ask(holder.peer_address, &request, ANSWER_TIMEOUT_MS);
-    if let Err(error) = told.await {
-        log::debug!("holder {} was not told to give room: {error}", holder.id);
+    let delivery = peers.ask(holder.peer_address, &request, ANSWER_TIMEOUT_MS);
+    if let Err(error) = delivery.await {
+        log::debug!(
+            "recall of unused shares did not reach holder {}: {error}",
+            holder.id
+        );
     }
 }
 
-/// Sends asks, in one message to each home, and takes the answers in when they come. Asks to
-/// this instance are answered before it returns.
-fn send<P: Platform>(shared: &Shared<P>, asks: Vec<Ask>) {
-    for (home, asks) in shared.limits.by_home(asks) {
-        if home != shared.settings.instance {
+/// Sends share requests, in one message to each coordinator, and applies the answers when they
+/// arrive. Requests to this instance are answered before this returns.
+fn send_requests<P: Platform>(shared: &Shared<P>, asks: Vec<Ask>) {
+    for (coordinator, asks) in shared.limits.by_home(asks) {
+        if coordinator != shared.settings.instance {
             let shared = shared.clone();
-            tokio::spawn(async move { exchange(&shared, &home, asks).await });
+            tokio::spawn(async move { exchange_shares(&shared, &coordinator, asks).await });
             continue;
         }
-        let asks = ShareAsks { from: home, asks };
+        let asks = ShareAsks {
+            from: coordinator,
+            asks,
+        };
         let grants = grant_shares(shared, &asks);
-        take_in(shared, &asks.asks, &grants);
+        apply_grants(shared, &asks.asks, &grants);
     }
 }
 
-/// Takes answers in. A share that shrank is confirmed at once, so that its room can be used.
-fn take_in<P: Platform>(shared: &Shared<P>, asks: &[Ask], grants: &[Grant]) {
+/// Applies grants. A share that shrank is confirmed at once, so that the coordinator can grant the
+/// difference to others.
+fn apply_grants<P: Platform>(shared: &Shared<P>, asks: &[Ask], grants: &[Grant]) {
     let due = shared.limits.granted(asks, grants, shared.clock.mono());
     if !due.is_empty() {
-        send(shared, due);
+        send_requests(shared, due);
     }
 }
 
-async fn exchange<P: Platform>(shared: &Shared<P>, home: &InstanceId, asks: Vec<Ask>) {
-    let Some(home) = shared.member(home) else {
+async fn exchange_shares<P: Platform>(
+    shared: &Shared<P>,
+    coordinator: &InstanceId,
+    asks: Vec<Ask>,
+) {
+    let Some(coordinator) = shared.member(coordinator) else {
         return;
     };
     let from = shared.settings.instance.clone();
@@ -175,7 +189,7 @@
     let request = PeerRequest::Shares(asks.clone());
     let answer = shared
         .peers
-        .ask(home.peer_address, &request, ANSWER_TIMEOUT_MS)
+        .ask(coordinator.peer_address, &request, ANSWER_TIMEOUT_MS)
         .await;
     shared.metrics.limit_exchanges.inc();
     let grants = match answer {
@@ -183,9 +197,12 @@
         Ok(_) => Vec::new(),
         Err(error) => {
             shared.metrics.limit_exchanges_failed.inc();
-            log::debug!("home {} did not answer: {error}", home.id);
+            log::debug!(
+                "limit coordinator {} did not answer a share request: {error}",
+                coordinator.id
+            );
             Vec::new()
         }
     };
-    take_in(shared, &asks.asks, &grants);
+    apply_grants(shared, &asks.asks, &grants);
 }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -1,4 +1,4 @@
-//! Keeps the view of instances by gossip and publishes it.
+//! Keeps this instance's view of the other instances by gossip and publishes it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,16 +18,16 @@
 use crate::messages::{Answer, ContractsMessage, FleetMessage, MembershipMessage};
 use crate::shared::Shared;
 
-/// Limit for the answer to a probe.
+/// Maximum wait for the answer to a probe.
 pub const PROBE_TIMEOUT_MS: u64 = 400;
-/// Limit for the answer to an indirect probe.
+/// Maximum wait for the answer to an indirect probe, which includes the helper's own probe.
 pub const INDIRECT_TIMEOUT_MS: u64 = 2 * PROBE_TIMEOUT_MS;
 
-/// The actor.
+/// The actor that owns the membership.
 #[derive(Debug)]
 pub struct MembershipActor<P>(pub Shared<P>);
 
-/// Its state.
+/// State of the actor: the membership, and the instances of the fleet list as seeds.
 #[derive(Debug)]
 pub struct MembershipState {
     membership: Membership,
@@ -64,25 +64,29 @@
                 self.probe(&myself, state, now);
             }
             MembershipMessage::Gossip(gossip, reply) => {
-                let carried = self.carried(now);
-                let answer = state.membership.on_message(&gossip, carried, now);
-                self.contracts_seen(state, &gossip);
-                self.leaving_seen(gossip.leaving);
+                let payload = self.gossip_payload(now);
+                let answer = state.membership.on_message(&gossip, payload, now);
+                self.forward_sender_status(state, &gossip);
+                self.forward_leaving(gossip.leaving);
                 let _ = reply.send(answer);
             }
             MembershipMessage::Answer(answer) => {
                 let (gossip, all) = (&answer.gossip, answer.asked_all);
                 state.membership.on_answer(gossip, all, now);
-                self.advert_seen(gossip.contracts, Some(answer.sent_at), answer.address);
-                self.leaving_seen(answer.gossip.leaving);
+                self.forward_contract_status(
+                    gossip.contracts,
+                    Some(answer.sent_at),
+                    answer.address,
+                );
+                self.forward_leaving(answer.gossip.leaving);
             }
-            MembershipMessage::NoAnswer(id) => self.ask_others(&myself, state, id),
+            MembershipMessage::NoAnswer(id) => self.probe_indirectly(&myself, state, id),
             MembershipMessage::Indirect(_, true) => state.membership.on_indirect_answer(),
             MembershipMessage::Indirect(id, false) => state.membership.on_no_answer(&id, now),
             MembershipMessage::Seeds(seeds) => state.seeds = seeds,
             MembershipMessage::Leave(reply) => {
                 state.membership.leave();
-                self.tell_all(state, now, reply);
+                self.announce_stop(state, now, reply);
             }
         }
         let sync = self.0.contract_sync.load();
@@ -94,7 +98,7 @@
 }
 
 impl<P: Platform> MembershipActor<P> {
-    fn carried(&self, now: MonoMs) -> Carried {
+    fn gossip_payload(&self, now: MonoMs) -> Carried {
         Carried {
             contracts: self.0.contract_sync.load().status(now),
             leaving: self.0.leaving.load().told(now),
@@ -108,38 +112,42 @@
         now: MonoMs,
     ) {
         if let Some(target) = state.membership.probe_target() {
-            let gossip = state.membership.probe(Some(&target.id), self.carried(now));
+            let gossip = state
+                .membership
+                .probe(Some(&target.id), self.gossip_payload(now));
             self.send(myself, Some(target.id), target.peer_address, gossip);
         }
         if let Some(target) = state.membership.dead_target() {
-            let gossip = state.membership.probe(Some(&target.id), self.carried(now));
+            let gossip = state
+                .membership
+                .probe(Some(&target.id), self.gossip_payload(now));
             self.send(myself, None, target.peer_address, gossip);
         }
         if let Some(address) = unknown_seed(state) {
-            let gossip = state.membership.probe(None, self.carried(now));
+            let gossip = state.membership.probe(None, self.gossip_payload(now));
             self.send(myself, None, address, gossip);
         }
     }
 
-    /// Tells all instances at once of the own state, as gossip takes some rounds.
-    fn tell_all(&self, state: &mut MembershipState, now: MonoMs, reply: RpcReplyPort<()>) {
-        let gossip = state.membership.probe(None, self.carried(now));
-        let mut told = JoinSet::new();
+    /// Sends this instance's own state to all instances directly, as gossip would take some rounds.
+    fn announce_stop(&self, state: &mut MembershipState, now: MonoMs, reply: RpcReplyPort<()>) {
+        let gossip = state.membership.probe(None, self.gossip_payload(now));
+        let mut announcements = JoinSet::new();
         for member in state.membership.members() {
             if member.id == self.0.settings.instance || member.state == MemberState::Dead {
                 continue;
             }
             let (shared, address) = (self.0.clone(), member.peer_address);
             let request = PeerRequest::Gossip(gossip.clone());
-            told.spawn(async move {
+            announcements.spawn(async move {
                 let answer = shared.peers.ask(address, &request, PROBE_TIMEOUT_MS).await;
                 if let Err(error) = answer {
-                    log::debug!("{address} was not told of the stop: {error}");
+                    log::debug!("planned stop could not be announced to {address}: {error}");
                 }
             });
         }
         tokio::spawn(async move {
-            while told.join_next().await.is_some() {}
+            while announcements.join_next().await.is_some() {}
             let _ = reply.send(());
         });
     }
@@ -170,8 +178,9 @@
         });
     }
 
-    /// Asks other members to probe one that did not answer; the way to it may be broken only here.
-    fn ask_others(
+    /// Asks other members to probe one that did not answer: the connection may be broken only
+    /// between it and this instance.
+    fn probe_indirectly(
         &self,
         myself: &ActorRef<MembershipMessage>,
         state: &mut MembershipState,
@@ -181,10 +190,10 @@
         let Some(address) = target.map(|target| target.peer_address) else {
             return;
         };
-        let mut asked = JoinSet::new();
+        let mut probes = JoinSet::new();
         for helper in state.membership.indirect(&id) {
             let shared = self.0.clone();
-            asked.spawn(async move {
+            probes.spawn(async move {
                 let request = PeerRequest::ProbeFor { address };
                 let to = helper.peer_address;
                 let answer = shared.peers.ask(to, &request, INDIRECT_TIMEOUT_MS).await;
@@ -194,7 +203,7 @@
         let myself = myself.clone();
         tokio::spawn(async move {
             let mut answered = false;
-            while let Some(outcome) = asked.join_next().await {
+            while let Some(outcome) = probes.join_next().await {
                 answered |= outcome.unwrap_or(false);
                 if answered {
                     break;
@@ -205,14 +214,14 @@
         });
     }
 
-    fn contracts_seen(&self, state: &MembershipState, gossip: &Gossip) {
+    fn forward_sender_status(&self, state: &MembershipState, gossip: &Gossip) {
         let sender = state.membership.members().find(|m| m.id == gossip.from);
         if let Some(sender) = sender {
-            self.advert_seen(gossip.contracts, None, sender.peer_address);
+            self.forward_contract_status(gossip.contracts, None, sender.peer_address);
         }
     }
 
-    fn leaving_seen(&self, marks: Vec<LeavingMark>) {
+    fn forward_leaving(&self, marks: Vec<LeavingMark>) {
         if marks.is_empty() {
             return;
         }
@@ -221,7 +230,12 @@
         }
     }
 
-    fn advert_seen(&self, advert: ContractStatus, sent_at: Option<MonoMs>, address: SocketAddr) {
+    fn forward_contract_status(
+        &self,
+        advert: ContractStatus,
+        sent_at: Option<MonoMs>,
+        address: SocketAddr,
+    ) {
         if let Some(actors) = self.0.actors() {
             let message = ContractsMessage::Advert {
                 advert,
@@ -255,7 +269,7 @@
     }
 }
 
-/// The address of an instance that the fleet list names and gossip has not brought yet.
+/// The address of a random instance that the fleet list names and gossip has not reported yet.
 fn unknown_seed(state: &MembershipState) -> Option<SocketAddr> {
     let mut unknown = Vec::new();
     for seed in &state.seeds {
--- a/crates/foxtailhold-entry/src/actors/mod.rs
+++ b/crates/foxtailhold-entry/src/actors/mod.rs
@@ -1,4 +1,5 @@
-//! Actors that own the slow state of an instance and publish snapshots of it.
+//! Actors that own the background state of an instance and publish snapshots of it for the request
+//! path.
 
 pub mod batch_controller;
 pub mod contracts;
@@ -16,8 +17,8 @@
 use ractor::{ActorRef, Message};
 use rand::Rng;
 
-/// Sends a message to an actor now and then every `period_ms` until it stops, with a jitter of a
-/// tenth, so that instances started together drift apart.
+/// Sends `message` to an actor at once and then every `period_ms` until the actor stops. A jitter
+/// of up to a tenth of the period keeps instances that started together from acting in step.
 pub(crate) fn tick<M: Message>(actor: &ActorRef<M>, message: fn() -> M, period_ms: u64) {
     let actor = actor.clone();
     tokio::spawn(async move {
@@ -28,9 +29,9 @@
     });
 }
 
-/// Notes that a message could not be delivered because the actor has stopped.
+/// Logs a message that could not be delivered because its actor has stopped.
 pub(crate) fn log_undelivered<M>(sent: std::result::Result<(), ractor::MessagingErr<M>>) {
     if sent.is_err() {
-        log::debug!("a message came after its actor had stopped");
+        log::debug!("message dropped: its actor has stopped");
     }
 }
--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -1,7 +1,8 @@
-//! Gives orders to the engines whose home this instance is.
+//! Issues orders to the engines that are assigned to this instance.
 //!
-//! Each engine with a wanted state has a worker that drives one [`Giver`]; the actor reads the
-//! wanted states and tells the workers whether they are to give orders.
+//! Each engine with a desired setup has a worker that drives one order issuer. The actor reads the
+//! desired setups from the table service and passes them to the workers; a worker whose engine is
+//! no longer assigned to this instance gets `None`.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,23 +24,23 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Wanted states are read this often.
-pub const WANTED_PERIOD_MS: u64 = 1_000;
-/// A worker with nothing to do looks again after this time.
+/// Period at which the desired setups are read.
+pub const DESIRED_PERIOD_MS: u64 = 1_000;
+/// Time after which a worker with nothing to do checks again.
 const IDLE_MS: u64 = 100;
 
-/// Messages to the actor.
+/// Messages to the orders actor.
 #[derive(Debug)]
 pub enum OrdersMessage {
-    /// Time to read the wanted states.
+    /// Periodic: read the desired setups.
     Read,
 }
 
-/// The actor.
+/// The actor that reads the desired setups and runs the workers.
 #[derive(Debug)]
 pub struct OrdersActor<P>(pub Shared<P>);
 
-/// Its state: a worker for each engine, told what is wanted.
+/// The workers by engine, each with the channel of its desired setup.
 #[derive(Debug, Default)]
 pub struct OrdersState {
     workers: HashMap<BackendId, watch::Sender<Option<Wanted>>>,
@@ -56,7 +57,7 @@
         myself: ActorRef<Self::Msg>,
         (): (),
     ) -> std::result::Result<OrdersState, ActorProcessingErr> {
-        tick(&myself, || OrdersMessage::Read, WANTED_PERIOD_MS);
+        tick(&myself, || OrdersMessage::Read, DESIRED_PERIOD_MS);
         Ok(OrdersState::default())
     }
 
@@ -66,40 +67,45 @@
         OrdersMessage::Read: Self::Msg,
         state: &mut OrdersState,
     ) -> std::result::Result<(), ActorProcessingErr> {
-        match self.wanted().await {
-            Ok(wanted) => self.tell(state, wanted),
-            Err(error) => log::warn!("the wanted states could not be read: {error}"),
+        match self.read_desired().await {
+            Ok(desired) => self.update_workers(state, desired),
+            Err(error) => log::warn!(
+                "desired engine setups could not be read, retrying at the next period: {error}"
+            ),
         }
         Ok(())
     }
 }
 
 impl<P: Platform> OrdersActor<P> {
-    async fn wanted(&self) -> Result<Vec<(BackendId, Wanted)>> {
+    async fn read_desired(&self) -> Result<Vec<(BackendId, Wanted)>> {
         let table = tables::ORDER_WANTED;
-        let mut wanted = Vec::new();
+        let mut desired = Vec::new();
         for keyed in scan_all(&self.0.platform, table, "").await? {
             let setup = keyed.row.read::<EngineSetup>();
             let (Ok(id), Ok(setup)) = (BackendId::try_from(keyed.key.as_str()), setup) else {
-                log::error!("row {} of table {table} cannot be read", keyed.key);
+                log::error!(
+                    "row {} of table {table} is malformed and ignored",
+                    keyed.key
+                );
                 continue;
             };
             let version = keyed.row.version;
-            wanted.push((id, Wanted { version, setup }));
+            desired.push((id, Wanted { version, setup }));
         }
-        Ok(wanted)
+        Ok(desired)
     }
 
-    fn tell(&self, state: &mut OrdersState, wanted: Vec<(BackendId, Wanted)>) {
+    fn update_workers(&self, state: &mut OrdersState, desired: Vec<(BackendId, Wanted)>) {
         state.workers.retain(|_, worker| !worker.is_closed());
-        for (id, wanted) in wanted {
-            let home = !self.0.is_stopping() && self.0.is_home(id.as_str().as_bytes());
+        for (id, desired) in desired {
+            let assigned = !self.0.is_stopping() && self.0.is_home(id.as_str().as_bytes());
             match state.workers.get(&id) {
                 Some(worker) => {
-                    worker.send_replace(home.then_some(wanted));
+                    worker.send_replace(assigned.then_some(desired));
                 }
-                None if home => {
-                    let (sender, receiver) = watch::channel(Some(wanted));
+                None if assigned => {
+                    let (sender, receiver) = watch::channel(Some(desired));
                     let worker = Worker::new(&self.0, &id, state.client.clone());
                     tokio::spawn(worker.run(receiver));
                     state.workers.insert(id, sender);
@@ -110,12 +116,12 @@
     }
 }
 
-/// Drives the giver of one engine.
+/// Executes the actions of one engine's order issuer.
 struct Worker<P> {
     shared: Shared<P>,
     client: OrderClient,
     backend: BackendId,
-    giver: Giver,
+    issuer: Giver,
 }
 
 impl<P: Platform> Worker<P> {
@@ -125,40 +131,40 @@
             shared: shared.clone(),
             client,
             backend: backend.clone(),
-            giver: Giver::new(shared.settings.instance.clone(), fencing),
+            issuer: Giver::new(shared.settings.instance.clone(), fencing),
         }
     }
 
-    /// Runs until the actor is gone, or this instance is not the engine's home any more and holds
-    /// no lease on it.
-    async fn run(mut self, wanted: watch::Receiver<Option<Wanted>>) {
-        while wanted.has_changed().is_ok() {
-            let wanted = wanted.borrow().clone();
+    /// Runs until the actor has stopped, or until the engine is no longer assigned to this instance
+    /// and the lease on it is no longer held.
+    async fn run(mut self, desired: watch::Receiver<Option<Wanted>>) {
+        while desired.has_changed().is_ok() {
+            let desired = desired.borrow().clone();
             let now = self.shared.clock.mono();
-            let action = self.giver.next(now, wanted.as_ref());
+            let action = self.issuer.next(now, desired.as_ref());
             if action != Action::Wait {
-                let version = wanted.map_or(0, |wanted| wanted.version);
+                let version = desired.map_or(0, |desired| desired.version);
                 self.act(action, version).await;
                 continue;
             }
-            if wanted.is_none() && !self.giver.holds(now) {
+            if desired.is_none() && !self.issuer.holds(now) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(IDLE_MS)).await;
         }
     }
 
-    async fn act(&mut self, action: Action, wanted: u64) {
+    async fn act(&mut self, action: Action, desired_version: u64) {
         match action {
             Action::Wait => {}
             Action::ReadLease => self.read_lease().await,
             Action::WriteLease(write) => {
                 let written = self.write_lease(&write).await;
                 let now = self.shared.clock.mono();
-                self.giver.lease_written(now, written);
+                self.issuer.lease_written(now, written);
             }
-            Action::Look => self.look().await,
-            Action::Order(order) => self.order(&order, wanted).await,
+            Action::Look => self.read_engine().await,
+            Action::Order(order) => self.send_order(&order, desired_version).await,
         }
     }
 
@@ -166,20 +172,23 @@
         let platform = &self.shared.platform;
         let found = platform.get(tables::ORDER_LEASE, self.backend.as_str());
         match found.await {
-            Ok(None) => self.giver.lease_read(self.shared.clock.mono(), None),
+            Ok(None) => self.issuer.lease_read(self.shared.clock.mono(), None),
             Ok(Some(row)) => match row.read::<LeaseRow>() {
                 Ok(lease) => {
                     let now = self.shared.clock.mono();
-                    self.giver.lease_read(now, Some((lease, row.version)));
+                    self.issuer.lease_read(now, Some((lease, row.version)));
                 }
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.log_and_pause(&error).await,
             },
-            Err(error) => self.pause(&error).await,
+            Err(error) => self.log_and_pause(&error).await,
         }
     }
 
-    async fn pause(&self, error: &foxtailhold_platform::PlatformError) {
-        log::warn!("the lease on {} could not be read: {error}", self.backend);
+    async fn log_and_pause(&self, error: &foxtailhold_platform::PlatformError) {
+        log::warn!(
+            "order lease on {} could not be read, retrying: {error}",
+            self.backend
+        );
         tokio::time::sleep(Duration::from_millis(foxtailhold::orders::RETRY_MS)).await;
     }
 
@@ -202,20 +211,20 @@
         }
     }
 
-    async fn look(&mut self) {
+    async fn read_engine(&mut self) {
         let asked_at = self.shared.clock.mono();
         let state = match self.address() {
             Some(address) => self.client.state(address).await.ok(),
             None => None,
         };
         let now = self.shared.clock.mono();
-        self.giver.looked(asked_at, now, state);
+        self.issuer.looked(asked_at, now, state);
     }
 
-    async fn order(&mut self, order: &Order, wanted: u64) {
+    async fn send_order(&mut self, order: &Order, desired_version: u64) {
         let sent_at = self.shared.clock.mono();
         let ordered = match self.address() {
-            Some(address) if self.giver.holds(sent_at) => self.client.order(address, order).await,
+            Some(address) if self.issuer.holds(sent_at) => self.client.order(address, order).await,
             _ => Ordered::NotSent,
         };
         self.shared.timeline.note(Event::EngineOrdered {
@@ -224,7 +233,7 @@
             outcome: ordered,
         });
         let now = self.shared.clock.mono();
-        self.giver.ordered(sent_at, now, wanted, ordered);
+        self.issuer.ordered(sent_at, now, desired_version, ordered);
     }
 
     fn address(&self) -> Option<std::net::SocketAddr> {
--- a/crates/foxtailhold-entry/src/jobs/chunk.rs
+++ b/crates/foxtailhold-entry/src/jobs/chunk.rs
@@ -1,4 +1,4 @@
-//! One attempt at a chunk: its items, its result object, its commit.
+//! One attempt at a chunk: runs its items, stores the result object, commits it.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -12,14 +12,14 @@
 use futures_util::stream;
 use tokio::sync::watch;
 
-use crate::jobs::item::{EndedItem, ItemRun};
+use crate::jobs::item::{FinishedItem, ItemTask};
 use crate::jobs::policy;
 use crate::jobs::store::{self, Backoff};
 use crate::shared::Shared;
 use crate::tables;
 
-/// The path of a job's items, as a constant.
-fn path(endpoint: &str) -> &'static str {
+/// Maps a job's endpoint to the static path of its requests.
+fn request_path(endpoint: &str) -> &'static str {
     use foxtailhold_caller::handler::{CHAT_PATH, COMPLETIONS_PATH};
     if endpoint == COMPLETIONS_PATH {
         return COMPLETIONS_PATH;
@@ -27,27 +27,28 @@
     CHAT_PATH
 }
 
-/// Runs the items of a chunk and stores their results under a name of their own, sending again
-/// until the store takes them; calls `drained` when all were started. `None` where the job is lost.
+/// Runs the items of a chunk and stores their results in an object with a name unique to this
+/// attempt, retrying until the store accepts it. Calls `all_started` once every item has been
+/// started. Returns `None` if ownership of the job is lost.
 pub async fn run<P: Platform>(
     shared: &Shared<P>,
     owned: &OwnedJob,
     index: u32,
-    standing: watch::Receiver<Standing>,
-    drained: impl Fn() + Send + Sync,
+    lease_state: watch::Receiver<Standing>,
+    all_started: impl Fn() + Send + Sync,
 ) -> Option<ChunkRow> {
     let items = read_items(shared, owned, index).await;
-    let path = path(&owned.row.endpoint);
+    let path = request_path(&owned.row.endpoint);
     let order = shared.item_key();
-    let waiting = AtomicUsize::new(items.len());
+    let not_started = AtomicUsize::new(items.len());
     let started = || {
-        if waiting.fetch_sub(1, Ordering::Relaxed) == 1 {
-            drained();
+        if not_started.fetch_sub(1, Ordering::Relaxed) == 1 {
+            all_started();
         }
     };
-    let mut runs = Vec::with_capacity(items.len());
+    let mut tasks = Vec::with_capacity(items.len());
     for item in &items {
-        let run = ItemRun {
+        let task = ItemTask {
             item,
             customer: &owned.row.customer,
             path,
@@ -55,9 +56,9 @@
             order,
             epoch: owned.epoch,
         };
-        runs.push(run_item(shared, run, standing.clone(), &started));
+        tasks.push(run_item(shared, task, lease_state.clone(), &started));
     }
-    let mut running = stream::iter(runs).buffered(items.len().max(1));
+    let mut running = stream::iter(tasks).buffered(items.len().max(1));
     let mut lines = Vec::new();
     let mut chunk = ChunkRow {
         object: tables::result_object(&owned.row.job, index, &shared.unique()),
@@ -70,25 +71,35 @@
         chunk.completed += u64::from(ended.completed);
         chunk.failed += u64::from(!ended.completed);
         if let Err(error) = serde_json::to_writer(&mut lines, &ended.result) {
-            log::error!("a result of job {} is not JSON: {error}", owned.row.job);
+            log::error!(
+                "a result of job {} could not be serialized: {error}",
+                owned.row.job
+            );
         }
         lines.push(b'\n');
     }
     chunk.bytes = lines.len() as u64;
     let lines = bytes::Bytes::from(lines);
     let mut pause = Backoff::default();
-    while let Err(error) = put(shared, &chunk.object, lines.clone()).await {
-        log::warn!("results of job {} wait in memory: {error}", owned.row.job);
+    while let Err(error) = store_results(shared, &chunk.object, lines.clone()).await {
+        log::warn!(
+            "results of job {} could not be stored and stay in memory, retrying: {error}",
+            owned.row.job
+        );
         pause.pause().await;
     }
     Some(chunk)
 }
 
-async fn put<P: Platform>(shared: &Shared<P>, object: &str, lines: bytes::Bytes) -> Result<()> {
+async fn store_results<P: Platform>(
+    shared: &Shared<P>,
+    object: &str,
+    lines: bytes::Bytes,
+) -> Result<()> {
     shared.platform.put_object(object, lines).await
 }
 
-/// Makes the stored results the chunk's, sending until the fate is known.
+/// Commits the stored results as the chunk's results, retrying until the outcome is known.
 pub async fn commit<P: Platform>(shared: &Shared<P>, commit: &ChunkCommit) -> CommitStep {
     let mut pause = Backoff::default();
     loop {
@@ -101,39 +112,39 @@
     }
 }
 
-/// Runs an item while the lease is held. A lapse stops it, and it begins anew once the lease is
-/// back; `None` once the job is lost.
+/// Runs an item while the lease is held. If the lease lapses, the item is cancelled and starts
+/// again once the lease is held again. Returns `None` if ownership of the job is lost.
 async fn run_item<P: Platform>(
     shared: &Shared<P>,
-    run: ItemRun<'_>,
-    mut standing: watch::Receiver<Standing>,
+    task: ItemTask<'_>,
+    mut lease_state: watch::Receiver<Standing>,
     started: &(impl Fn() + Sync),
-) -> Option<EndedItem> {
+) -> Option<FinishedItem> {
     let mut first = true;
     loop {
-        let seen = *standing
-            .wait_for(|seen| *seen != Standing::Lapsed)
+        let state = *lease_state
+            .wait_for(|state| *state != Standing::Lapsed)
             .await
             .ok()?;
-        if seen == Standing::Lost {
+        if state == Standing::Lost {
             return None;
         }
-        let place = shared.batch_places.acquire().await.ok()?;
-        if !run.is_owned(shared) {
-            drop(place);
-            standing.changed().await.ok()?;
+        let slot = shared.batch_places.acquire().await.ok()?;
+        if !task.is_owned(shared) {
+            drop(slot);
+            lease_state.changed().await.ok()?;
             continue;
         }
         if std::mem::take(&mut first) {
             started();
         }
         tokio::select! {
-            ended = policy::run(shared, &run) => {
+            ended = policy::run(shared, &task) => {
                 shared.metrics.batch_items.inc();
-                shared.chunk_places.landing().items_ended(1);
+                shared.chunk_places.estimator().items_ended(1);
                 return Some(ended);
             }
-            lapsed = standing.wait_for(|seen| *seen != Standing::Held) => {
+            lapsed = lease_state.wait_for(|state| *state != Standing::Held) => {
                 lapsed.ok()?;
             }
         }
@@ -150,7 +161,10 @@
     loop {
         match parse_items(shared.platform.get_object(&name).await) {
             Ok(items) => return items,
-            Err(error) => log::warn!("input of job {} waits: {error}", owned.row.job),
+            Err(error) => log::warn!(
+                "input of job {} could not be read, retrying: {error}",
+                owned.row.job
+            ),
         }
         pause.pause().await;
     }
--- a/crates/foxtailhold-entry/src/jobs/chunk_slots.rs
+++ b/crates/foxtailhold-entry/src/jobs/chunk_slots.rs
@@ -1,4 +1,5 @@
-//! The chunk places of one instance, shared by its runs.
+//! The chunk slots of one instance, shared by the runs of all its jobs. A slot is the right to have
+//! one chunk in progress.
 
 use std::sync::Arc;
 
@@ -6,48 +7,48 @@
 use foxtailhold::batch::places::ChunkPlaces;
 use parking_lot::{Mutex, MutexGuard};
 
-/// Chunks of one instance started and not committed at most. With chunks of 200 items this bounds
-/// the results that wait in memory while the store is down.
-pub const CHUNK_PLACES: usize = 8;
+/// Most chunks of one instance that are started and not yet committed. With chunks of 200 items
+/// this bounds the results held in memory while the store is down.
+pub const CHUNK_SLOTS: usize = 8;
 
-/// A handle of the places and of the work that waits for them.
+/// Shared handle of the chunk slots and of the backlog that waits for them. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct SharedChunkSlots {
-    places: Arc<Mutex<ChunkPlaces>>,
-    landing: Arc<Mutex<Landing>>,
+    slots: Arc<Mutex<ChunkPlaces>>,
+    estimator: Arc<Mutex<Landing>>,
 }
 
 impl Default for SharedChunkSlots {
     fn default() -> Self {
         SharedChunkSlots {
-            places: Arc::new(Mutex::new(ChunkPlaces::new(CHUNK_PLACES))),
-            landing: Arc::default(),
+            slots: Arc::new(Mutex::new(ChunkPlaces::new(CHUNK_SLOTS))),
+            estimator: Arc::default(),
         }
     }
 }
 
 impl SharedChunkSlots {
-    /// The places, for one short step.
+    /// Locks the slots. Don't hold the guard across an await.
     pub fn lock(&self) -> MutexGuard<'_, ChunkPlaces> {
-        self.places.lock()
+        self.slots.lock()
     }
 
-    /// The work that waits, for one short step.
-    pub fn landing(&self) -> MutexGuard<'_, Landing> {
-        self.landing.lock()
+    /// Locks the completion estimate. Don't hold the guard across an await.
+    pub fn estimator(&self) -> MutexGuard<'_, Landing> {
+        self.estimator.lock()
     }
 
-    /// One place, held until dropped.
-    pub fn held(&self) -> HeldPlace {
-        HeldPlace(self.clone())
+    /// Returns a guard that gives one taken slot back when it is dropped.
+    pub fn guard(&self) -> ChunkSlotGuard {
+        ChunkSlotGuard(self.clone())
     }
 }
 
-/// A place taken before.
+/// Guard of a chunk slot that was taken; dropping it frees the slot.
 #[derive(Debug)]
-pub struct HeldPlace(SharedChunkSlots);
+pub struct ChunkSlotGuard(SharedChunkSlots);
 
-impl Drop for HeldPlace {
+impl Drop for ChunkSlotGuard {
     fn drop(&mut self) {
         self.0.lock().give_back();
     }
--- a/crates/foxtailhold-entry/src/jobs/deadline_check.rs
+++ b/crates/foxtailhold-entry/src/jobs/deadline_check.rs
@@ -1,4 +1,4 @@
-//! Refuses a job at the door that cannot be finished by its deadline.
+//! Deadline check: refuses a new batch job that cannot be finished by its deadline.
 
 use foxtailhold::batch::landing::Verdict;
 use foxtailhold::ids::JobId;
@@ -9,17 +9,18 @@
 
 use crate::shared::Shared;
 
-/// Limit for the home to judge a job.
-const JUDGE_TIMEOUT_MS: u64 = 500;
+/// Maximum wait for another instance's completion estimate.
+const ESTIMATE_TIMEOUT_MS: u64 = 500;
 
-/// Judges a job of `items` due within `window_ms`, by the work and the rate of this instance.
+/// Estimates from this instance's backlog and throughput whether a job of `items` can be finished
+/// within `window_ms`.
 pub fn estimate_locally<P: Platform>(shared: &Shared<P>, items: u64, window_ms: u64) -> Verdict {
-    let landing = shared.chunk_places.landing();
-    landing.judge(items, window_ms, shared.clock.wall())
+    let estimator = shared.chunk_places.estimator();
+    estimator.judge(items, window_ms, shared.clock.wall())
 }
 
-/// Refuses a job that its home says cannot land. A home that does not answer is no reason to
-/// refuse.
+/// Refuses a job that cannot be finished in time by the estimate of the instance that would own it.
+/// If that instance does not answer, the job is accepted.
 pub async fn check<P: Platform>(
     shared: &Shared<P>,
     job: &JobId,
@@ -29,7 +30,7 @@
     let Verdict::CannotLand {
         needed_ms,
         retry_after_ms,
-    } = judge(shared, job, items, window_ms).await
+    } = request_estimate(shared, job, items, window_ms).await
     else {
         return Ok(());
     };
@@ -41,7 +42,7 @@
     Err(refusal)
 }
 
-async fn judge<P: Platform>(
+async fn request_estimate<P: Platform>(
     shared: &Shared<P>,
     job: &JobId,
     items: u64,
@@ -49,14 +50,18 @@
 ) -> Verdict {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
-    let home = rendezvous::home(ids, job.as_str().as_bytes());
-    let home = home.filter(|home| **home != shared.settings.instance);
-    let Some(member) = home.and_then(|home| shared.member(home)) else {
+    let assigned = rendezvous::home(ids, job.as_str().as_bytes());
+    let assigned = assigned.filter(|assigned| **assigned != shared.settings.instance);
+    let Some(member) = assigned.and_then(|assigned| shared.member(assigned)) else {
         return estimate_locally(shared, items, window_ms);
     };
     let request = PeerRequest::JobCanLand { items, window_ms };
     let address = member.peer_address;
-    match shared.peers.ask(address, &request, JUDGE_TIMEOUT_MS).await {
+    match shared
+        .peers
+        .ask(address, &request, ESTIMATE_TIMEOUT_MS)
+        .await
+    {
         Ok(PeerAnswer::Landing(verdict)) => verdict,
         _ => Verdict::Lands,
     }
--- a/crates/foxtailhold-entry/src/jobs/item.rs
+++ b/crates/foxtailhold-entry/src/jobs/item.rs
@@ -1,4 +1,4 @@
-//! One item of a batch job, and what a way to run it is.
+//! One item of a batch job, and the trait of the policies that run items.
 
 use std::future::Future;
 
@@ -14,47 +14,48 @@
 use crate::jobs::item_body::ItemBody;
 use crate::shared::Shared;
 
-/// An item to run.
+/// An item to run, with what it needs from its job.
 #[derive(Debug, Clone, Copy)]
-pub struct ItemRun<'a> {
-    /// The item.
+pub struct ItemTask<'a> {
+    /// The item as read from the job's input.
     pub item: &'a BatchItem,
-    /// Whose.
+    /// The customer that owns the job.
     pub customer: &'a CustomerId,
-    /// Path of its endpoint.
+    /// Path of the job's endpoint, which is the same for all its items.
     pub path: &'static str,
-    /// When its job must be finished.
+    /// Deadline of the job.
     pub deadline: WallMs,
-    /// Order of its chunk: those begun before go first.
+    /// Order of its chunk: at the same deadline, items of chunks started earlier go first.
     pub order: u64,
-    /// Fencing number of the lease under which its job is owned.
+    /// Fencing number of the lease under which this instance owns the job.
     pub epoch: u64,
 }
 
-/// How an item ended.
+/// The final result of an item.
 #[derive(Debug)]
-pub struct EndedItem {
-    /// Its output line.
+pub struct FinishedItem {
+    /// The line written to the job's output.
     pub result: ItemResult,
-    /// Whether it was answered with success.
+    /// Whether the item was answered with a success status.
     pub completed: bool,
 }
 
-/// A way to run items.
+/// How items are run, chosen by the setting `batch_policy`.
 pub trait ItemPolicy: Clone + Send + Sync + 'static {
-    /// Runs an item until it is answered or can be said never to be. Dropping the future cancels
-    /// the item at its engine.
+    /// Runs an item until it is answered or has failed for good. Dropping the future cancels the
+    /// item at its engine.
     fn run<P: Platform>(
         &self,
         shared: &Shared<P>,
-        run: &ItemRun<'_>,
+        task: &ItemTask<'_>,
         body: ItemBody,
-    ) -> impl Future<Output = EndedItem> + Send;
+    ) -> impl Future<Output = FinishedItem> + Send;
 }
 
-impl ItemRun<'_> {
-    /// Whether the job's lease is held now. Asked before each sending to an engine, which takes no
-    /// fencing number: a process that was paused learns of a lapse a moment after it goes on.
+impl ItemTask<'_> {
+    /// Whether the job's lease is held now. Checked before each request to an engine, because
+    /// engines take no fencing number: a process that was paused learns only a moment after it
+    /// resumes that its lease has lapsed.
     pub fn is_owned<P: Platform>(&self, shared: &Shared<P>) -> bool {
         Instant::now() < shared.acts_until(self.epoch)
     }
@@ -68,7 +69,8 @@
         }
     }
 
-    /// The item as it is sent: for a stream, where its answer can be put together from one.
+    /// Builds the request to an engine. It asks for a stream if the answer can be assembled from
+    /// one.
     pub fn outgoing(&self, id: RequestId, body: ItemBody) -> Outgoing {
         let fingerprint = Fingerprint::of(self.customer, self.item.body.get().as_bytes());
         Outgoing {
@@ -85,13 +87,13 @@
         }
     }
 
-    /// The item can never be done.
-    pub fn failed(&self, id: &RequestId, code: &str, message: String) -> EndedItem {
+    /// The result of an item that has failed for good.
+    pub fn failed(&self, id: &RequestId, code: &str, message: String) -> FinishedItem {
         let error = ItemError {
             code: code.to_owned(),
             message,
         };
-        EndedItem {
+        FinishedItem {
             result: ItemResult {
                 error: Some(error),
                 ..self.result(id)
@@ -100,14 +102,14 @@
         }
     }
 
-    /// The item has this answer; `None` where its body is not JSON.
-    pub fn answered(&self, id: &RequestId, answer: &WholeAnswer) -> Option<EndedItem> {
+    /// The result of an item with this answer; `None` if the answer's body is not JSON.
+    pub fn answered(&self, id: &RequestId, answer: &WholeAnswer) -> Option<FinishedItem> {
         let response = ItemResponse {
             status_code: answer.status.as_u16(),
             request_id: id.to_string(),
             body: serde_json::from_slice(&answer.body).ok()?,
         };
-        Some(EndedItem {
+        Some(FinishedItem {
             completed: answer.status.is_success(),
             result: ItemResult {
                 response: Some(response),
--- a/crates/foxtailhold-entry/src/jobs/item_attempt.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_attempt.rs
@@ -1,4 +1,4 @@
-//! The part of an item's stream that comes from one engine.
+//! One attempt of an item: the part of its stream that comes from one engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,40 +15,41 @@
 use crate::backends::{Cell, InFlight};
 use crate::crashes::TrialGuard;
 use crate::gateway::dispatch::{self, Opened, Outgoing};
-use crate::jobs::item_body::Received;
+use crate::jobs::item_body::ReceivedOutput;
 use crate::online;
 use crate::shared::Shared;
 use crate::stewards::BatchFlight;
 
-/// How a leg ended by itself.
+/// How an attempt ended, unless it was dropped.
 #[derive(Debug)]
-pub enum LegEnd {
-    /// The engine answered in one piece.
+pub enum AttemptEnd {
+    /// The engine sent a complete unstreamed answer.
     Whole(WholeAnswer),
-    /// The stream has ended.
+    /// The stream has ended normally.
     Finished,
-    /// The engine failed.
+    /// The engine refused the item, failed or stalled.
     Failed(EngineError),
 }
 
-/// A leg that has begun. Dropping it cancels the item at its engine.
+/// An attempt whose response has begun. Dropping it cancels the item at its engine.
 #[derive(Debug)]
 pub struct ItemAttempt<P: Platform> {
     shared: Shared<P>,
     cell: Arc<Cell>,
     answer: EngineAnswer,
-    trial: Option<TrialGuard<P>>,
+    probe: Option<TrialGuard<P>>,
     in_flight: InFlight,
     _batch: Option<BatchFlight>,
     body_bytes: u64,
 }
 
 impl<P: Platform> ItemAttempt<P> {
-    /// Sends the item, or the rest of it, to the engine at which it has a place.
+    /// Sends the item to the engine at which it has a slot, as a continuation if output was
+    /// received before.
     pub async fn open(
         shared: &Shared<P>,
         outgoing: &Outgoing,
-        received: &Received,
+        received: &ReceivedOutput,
         cell: &Arc<Cell>,
     ) -> foxtailhold_engine::Result<Self> {
         let batch = online::batch_flight(shared, &cell.backend.id);
@@ -73,7 +74,7 @@
         let answer = match shared.engines.send(cell.backend.address, &request).await {
             Ok(answer) => answer,
             Err(error) => {
-                note_failure(shared, cell, &in_flight, None, &error).await;
+                report_failure(shared, cell, &in_flight, None, &error).await;
                 return Err(error);
             }
         };
@@ -81,39 +82,40 @@
             shared: shared.clone(),
             cell: cell.clone(),
             answer,
-            trial: None,
+            probe: None,
             in_flight,
             _batch: batch,
             body_bytes: outgoing.body.len() as u64,
         })
     }
 
-    /// The leg of a trial.
-    pub fn of_trial(shared: &Shared<P>, outgoing: &Outgoing, opened: Opened<P>) -> Self {
+    /// Wraps the response of a probe. A probe takes no slot and is not counted as batch work.
+    pub fn of_probe(shared: &Shared<P>, outgoing: &Outgoing, opened: Opened<P>) -> Self {
         ItemAttempt {
             shared: shared.clone(),
             cell: opened.cell,
             answer: opened.answer,
-            trial: opened.trial,
+            probe: opened.trial,
             in_flight: opened.in_flight,
             _batch: None,
             body_bytes: outgoing.body.len() as u64,
         }
     }
 
-    /// Reads to the end. What came is in `received` also when the future is dropped.
-    pub async fn run(self, received: &mut Received) -> LegEnd {
+    /// Reads the stream to its end. Everything read so far is in `received`, also when the future
+    /// is dropped.
+    pub async fn run(self, received: &mut ReceivedOutput) -> AttemptEnd {
         let ItemAttempt {
             shared,
             cell,
             answer,
-            mut trial,
+            mut probe,
             in_flight,
             _batch,
             body_bytes,
         } = self;
         let mut stream = match answer {
-            EngineAnswer::Whole(answer) => return LegEnd::Whole(answer),
+            EngineAnswer::Whole(answer) => return AttemptEnd::Whole(answer),
             EngineAnswer::Stream(stream) => stream,
         };
         let mut last_event: Option<Instant> = None;
@@ -122,7 +124,7 @@
                 None => stall::first_event_bound_ms(&cell.load(), cell.pace(), body_bytes),
                 Some(_) => stall::next_event_bound_ms(cell.pace()),
             };
-            let error = match next(&mut stream, bound_ms).await {
+            let error = match next_event(&mut stream, bound_ms).await {
                 Ok(TokenEvent::Chunk {
                     raw,
                     text,
@@ -134,44 +136,48 @@
                     if let Some(last) = last_event.replace(now) {
                         cell.note_gap(now - last);
                     }
-                    if let Some(trial) = trial.take_if(|trial| !trial.is_strict()) {
-                        trial.close(TrialEnd::Survived);
+                    if let Some(probe) = probe.take_if(|probe| !probe.is_strict()) {
+                        probe.close(TrialEnd::Survived);
                     }
                     continue;
                 }
                 Ok(TokenEvent::Done { .. }) => {
                     cell.succeeded();
-                    if let Some(trial) = trial {
-                        trial.close(TrialEnd::Survived);
+                    if let Some(probe) = probe {
+                        probe.close(TrialEnd::Survived);
                     }
                     stream.close();
-                    return LegEnd::Finished;
+                    return AttemptEnd::Finished;
                 }
                 Err(error) => error,
             };
             stream.close();
-            note_failure(&shared, &cell, &in_flight, trial, &error).await;
-            return LegEnd::Failed(error);
+            report_failure(&shared, &cell, &in_flight, probe, &error).await;
+            return AttemptEnd::Failed(error);
         }
     }
 }
 
-async fn next(stream: &mut EngineStream, bound_ms: u64) -> foxtailhold_engine::Result<TokenEvent> {
+async fn next_event(
+    stream: &mut EngineStream,
+    bound_ms: u64,
+) -> foxtailhold_engine::Result<TokenEvent> {
     let wait = Duration::from_millis(bound_ms);
     let event = tokio::time::timeout(wait, stream.next()).await;
     let event = event.unwrap_or(Err(EngineError::Stalled { bound_ms }))?;
     event.ok_or(EngineError::Unfinished)
 }
 
-/// Finds out whether a failure was a crash, and sets the engine aside.
-async fn note_failure<P: Platform>(
+/// Reports the failure, which decides whether it was a crash, and opens the engine's breaker unless
+/// the engine was only full.
+async fn report_failure<P: Platform>(
     shared: &Shared<P>,
     cell: &Cell,
     in_flight: &InFlight,
-    trial: Option<TrialGuard<P>>,
+    probe: Option<TrialGuard<P>>,
     error: &EngineError,
 ) {
-    dispatch::failed(shared, cell, in_flight, trial, error).await;
+    dispatch::failed(shared, cell, in_flight, probe, error).await;
     if !matches!(error, EngineError::Full) {
         cell.failed(shared.clock.mono());
     }
--- a/crates/foxtailhold-entry/src/jobs/item_body.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_body.rs
@@ -1,4 +1,4 @@
-//! An item's body as it is sent, and the unstreamed answer put together from a stream.
+//! The request body of an item, and the unstreamed answer assembled from a stream.
 
 use std::borrow::Cow;
 
@@ -14,24 +14,24 @@
 
 use crate::gateway::dispatch::Outgoing;
 
-/// Result of reading a body.
+/// Result of checking an item's body or assembling its answer.
 pub type Result<T> = std::result::Result<T, BodyError>;
 
-/// Why an item's body cannot be sent.
+/// Why an item's body cannot be sent, or its answer not be assembled.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// It names no model.
+    /// The field `model` is missing or not a valid name.
     #[error("the body names no model")]
     NoModel,
-    /// It cannot be read.
+    /// The body is not JSON, or a field has the wrong type.
     #[error("the body cannot be read: {detail}")]
     Malformed {
-        /// What is wrong.
+        /// The parser's message.
         detail: String,
     },
 }
 
-/// Fields of a body that decide how it can be sent.
+/// The fields of a body that decide whether its answer can be streamed.
 #[derive(Debug, Deserialize)]
 struct Fields {
     model: Option<String>,
@@ -49,7 +49,7 @@
 }
 
 impl Fields {
-    /// Whether the text of one choice is the whole answer.
+    /// Whether the answer consists of the text of one choice, so that a stream carries all of it.
     fn is_plain_text(&self) -> bool {
         let one = |value: &Option<Value>| value.as_ref().is_none_or(|value| *value == 1);
         let unset = |value: &Option<Value>| {
@@ -67,16 +67,17 @@
     }
 }
 
-/// An item's body, checked.
+/// A checked item body, in the forms in which it can be sent.
 #[derive(Debug, Clone)]
 pub struct ItemBody {
-    /// The model.
+    /// The model that the body names.
     pub model: TargetName,
-    /// The body without `stream`.
+    /// The body without `stream` and `stream_options`.
     pub whole: Bytes,
-    /// The body that asks for a stream; `None` where the answer cannot be put together from text.
+    /// The body that asks for a stream; `None` if the answer cannot be assembled from streamed
+    /// text.
     pub streamed: Option<Bytes>,
-    /// Most tokens to generate, where it says so.
+    /// Most tokens to generate; `None` if the body sets no limit.
     pub max_tokens: Option<u64>,
 }
 
@@ -114,7 +115,7 @@
     Ok(text.into())
 }
 
-/// The object with `stream` as its first field; it has at least the model behind it.
+/// Inserts `stream` as the first field. The comma is valid because `model` always follows.
 fn with_stream(whole: &[u8]) -> Bytes {
     let mut text = b"{\"stream\":true,".to_vec();
     text.extend_from_slice(whole.trim_ascii_start().strip_prefix(b"{").unwrap_or(whole));
@@ -169,20 +170,20 @@
     completion_tokens: u64,
 }
 
-/// What was received of an item's stream, over all its legs.
+/// The output of an item received so far, over all its attempts.
 #[derive(Debug, Clone, Default)]
-pub struct Received {
-    /// Events received.
+pub struct ReceivedOutput {
+    /// Number of events received, taken as the number of tokens.
     pub tokens: u64,
-    /// Their text.
+    /// Concatenated text of the events.
     pub text: String,
-    /// Whether the last one said why the answer is finished.
+    /// Whether an event carried a finish reason.
     pub finished: bool,
     last: Bytes,
 }
 
-impl Received {
-    /// Takes the next chunk.
+impl ReceivedOutput {
+    /// Appends the next event.
     pub fn push(&mut self, raw: Bytes, text: &str, finished: bool) {
         self.tokens += 1;
         self.finished |= finished;
@@ -190,8 +191,9 @@
         self.last = raw;
     }
 
-    /// The unstreamed answer in the OpenAI form, for a finished stream. `completion_tokens` counts
-    /// events; the engine's own count of prompt tokens is not in a stream.
+    /// Assembles the unstreamed answer in the OpenAI format from a finished stream.
+    /// `completion_tokens` counts events; prompt tokens are missing, as a stream does not carry the
+    /// engine's count of them.
     pub fn whole_answer(&self, outgoing: &Outgoing) -> Result<WholeAnswer> {
         let event = RawEvent {
             raw: self.last.clone(),
--- a/crates/foxtailhold-entry/src/jobs/mod.rs
+++ b/crates/foxtailhold-entry/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs owned by this instance: taking them over, running their items, committing chunks.
+//! Batch jobs owned by this instance: claiming jobs, running their items, committing their chunks.
 
 pub mod chunk;
 pub mod chunk_slots;
--- a/crates/foxtailhold-entry/src/jobs/ordinary.rs
+++ b/crates/foxtailhold-entry/src/jobs/ordinary.rs
@@ -1,4 +1,5 @@
-//! Items as ordinary unstreamed requests to the least loaded replica: a baseline for measurements.
+//! Runs items as ordinary unstreamed requests to the least loaded backend server: a baseline for
+//! measurements.
 
 use std::time::Duration;
 
@@ -8,42 +9,42 @@
 use foxtailhold_platform::Platform;
 
 use crate::gateway::dispatch::{self, Tries};
-use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
+use crate::jobs::item::{FinishedItem, ItemPolicy, ItemTask};
 use crate::jobs::item_body::ItemBody;
 use crate::shared::Shared;
 
-/// Pause before an item is offered again to full engines.
-const FULL_PAUSE_MS: u64 = 200;
+/// Wait before an item is sent again after any failure or refusal, or while the lease is not held.
+const RETRY_DELAY_MS: u64 = 200;
 
-/// Items as ordinary requests. Waits while engines are full or none is there; failures count
-/// against the item.
+/// Item policy that sends items as ordinary requests. Waits while no engine is available or all are
+/// full; other failures count against the item.
 #[derive(Debug, Clone, Copy)]
-pub struct OrdinaryItems;
+pub struct OrdinaryItemPolicy;
 
-impl ItemPolicy for OrdinaryItems {
+impl ItemPolicy for OrdinaryItemPolicy {
     async fn run<P: Platform>(
         &self,
         shared: &Shared<P>,
-        run: &ItemRun<'_>,
+        task: &ItemTask<'_>,
         body: ItemBody,
-    ) -> EndedItem {
+    ) -> FinishedItem {
         let id = shared.request_id();
         let unstreamed = ItemBody {
             streamed: None,
             ..body
         };
-        let outgoing = run.outgoing(id.clone(), unstreamed);
+        let outgoing = task.outgoing(id.clone(), unstreamed);
         let mut failures = 0;
         loop {
-            if !run.is_owned(shared) {
-                tokio::time::sleep(Duration::from_millis(FULL_PAUSE_MS)).await;
+            if !task.is_owned(shared) {
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 continue;
             }
             let mut tries = Tries::default();
             match dispatch::open(shared, &outgoing, None, &mut tries).await {
                 Ok(opened) => {
                     if let EngineAnswer::Whole(answer) = opened.answer
-                        && let Some(ended) = run.answered(&id, &answer)
+                        && let Some(ended) = task.answered(&id, &answer)
                     {
                         return ended;
                     }
@@ -51,16 +52,16 @@
                 }
                 Err(refusal) if is_full(&refusal) => {}
                 Err(refusal) if refusal.reason == RefusalReason::Quarantined => {
-                    return run.failed(&id, "quarantined", refusal.to_string());
+                    return task.failed(&id, "quarantined", refusal.to_string());
                 }
                 Err(refusal) => {
                     failures += tries.tried.len() as u32;
                     if failures >= MAX_ITEM_TRIES {
-                        return run.failed(&id, "backend_failed", refusal.to_string());
+                        return task.failed(&id, "backend_failed", refusal.to_string());
                     }
                 }
             }
-            tokio::time::sleep(Duration::from_millis(FULL_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
         }
     }
 }
--- a/crates/foxtailhold-entry/src/jobs/owner.rs
+++ b/crates/foxtailhold-entry/src/jobs/owner.rs
@@ -1,4 +1,4 @@
-//! Ownership of jobs: claims, releases and stops.
+//! Ownership of batch jobs: claiming, releasing and cancelling them.
 
 use std::time::Duration;
 
@@ -17,12 +17,13 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Limit for the owner to stop a job.
+/// Maximum wait for a job's owner to stop the job's items.
 pub const STOP_TIMEOUT_MS: u64 = 3_000;
-/// Attempts to learn what became of a write whose answer was lost, while a caller waits.
-const MAX_WRITE_TRIES: u32 = 4;
+/// Attempts at a write whose outcome is unknown because its answer was lost. Small, because a
+/// caller waits meanwhile.
+const MAX_WRITE_ATTEMPTS: u32 = 4;
 
-/// Reads all rows of a prefix.
+/// Reads all rows of table `name` whose keys start with `prefix`, page by page.
 pub async fn scan_all<T: TableService>(
     table: &T,
     name: &str,
@@ -40,7 +41,7 @@
     }
 }
 
-/// The finished chunks of a job, in order.
+/// Reads the committed chunks of a job with their indices, in ascending order.
 pub async fn finished_chunks<T: TableService>(
     table: &T,
     job: &JobId,
@@ -57,7 +58,7 @@
     Ok(chunks)
 }
 
-/// What the finished chunks of a job hold together.
+/// Sums the item counts of the job's committed chunks.
 pub async fn counts<T: TableService>(table: &T, job: &JobId) -> Result<JobCounts> {
     let mut counts = JobCounts::default();
     for (_, chunk) in finished_chunks(table, job).await? {
@@ -66,7 +67,11 @@
     Ok(counts)
 }
 
-async fn look<P: Platform>(shared: &Shared<P>, key: &str, job: &JobId) -> Result<ClaimView> {
+async fn read_claim_view<P: Platform>(
+    shared: &Shared<P>,
+    key: &str,
+    job: &JobId,
+) -> Result<ClaimView> {
     let mut view = ClaimView {
         job: store::read(shared, tables::JOB, key).await?,
         owner: store::read(shared, tables::OWNER, job.as_str()).await?,
@@ -81,8 +86,8 @@
     Ok(view)
 }
 
-/// Takes a job that has no owner, whose owner's lease has ended, or that an earlier run of this
-/// instance owned. `None` where another instance owns it.
+/// Claims a job that has no owner, whose owner's lease has ended, or that an earlier run of this
+/// instance owned. Returns `None` if another instance owns it or this instance holds no lease.
 pub async fn claim<P: Platform>(
     shared: &Shared<P>,
     key: &str,
@@ -92,7 +97,7 @@
     let Some(epoch) = shared.lease_epoch() else {
         return Ok(None);
     };
-    let view = look(shared, key, job).await?;
+    let view = read_claim_view(shared, key, job).await?;
     let Some(claim) = Claim::plan(&shared.settings.instance, epoch, view, watched) else {
         return Ok(None);
     };
@@ -105,35 +110,37 @@
     Ok(owned)
 }
 
-/// Gives a job up so that another instance may take it at once.
+/// Releases ownership of a job, so that another instance can claim it without waiting for the lease
+/// to expire. A failed write is not retried; the lease then expires by itself.
 pub async fn release<P: Platform>(shared: &Shared<P>, owned: &OwnedJob) {
     let release = claim::release(owned, &shared.settings.instance);
     store::send(&shared.platform, &release).await;
 }
 
-/// Notes a job's end in the time line.
-pub fn note_ended<P: Platform>(shared: &Shared<P>, row: &JobRow) {
+/// Records the job's final status in the time line.
+pub fn record_job_ended<P: Platform>(shared: &Shared<P>, row: &JobRow) {
     shared.timeline.note(Event::JobEnded {
         job: row.job.clone(),
         status: row.status.as_str().to_owned(),
     });
 }
 
-/// How far a cancel came.
+/// How far the cancellation of a job has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// The status is final.
+    /// The job's final status is committed.
     Final,
-    /// The cancel is committed, its owner could not be asked: it becomes final once the owner sees
-    /// it or its lease has run out.
+    /// The cancellation is committed, but the owner did not confirm that it stopped. The job
+    /// becomes final once the owner reads the cancellation or its lease expires.
     Pending,
-    /// The cancel may not be committed.
+    /// Whether the cancellation was committed is not known: each write's answer was lost.
     Unconfirmed,
-    /// There is no such job.
+    /// The customer has no such job.
     NoJob,
 }
 
-/// Cancels a job: commits the mark, stops the owner, makes the cancel final.
+/// Cancels a job: commits the request to cancel, stops the job at its owner, commits the final
+/// status.
 pub async fn cancel<P: Platform>(
     shared: &Shared<P>,
     customer: &CustomerId,
@@ -141,43 +148,46 @@
 ) -> Result<CancelOutcome> {
     let key = tables::job_key(customer, job);
     let mut pause = Backoff::default();
-    for _ in 0..MAX_WRITE_TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let Some(row) = store::read(shared, tables::JOB, &key).await? else {
             return Ok(CancelOutcome::NoJob);
         };
         let owner: Option<Versioned<OwnerRow>> =
             store::read(shared, tables::OWNER, job.as_str()).await?;
-        let marked = match Cancel::plan(row, owner.as_ref()) {
+        let cancelling = match Cancel::plan(row, owner.as_ref()) {
             CancelPlan::Final => return Ok(CancelOutcome::Final),
-            CancelPlan::Marked(marked) => Some(marked),
+            CancelPlan::Marked(cancelling) => Some(cancelling),
             CancelPlan::Mark(cancel) => {
                 let outcome = store::send(&shared.platform, cancel.transaction()).await;
                 cancel.close(&outcome)
             }
         };
-        if let Some(marked) = marked {
-            return stop(shared, &marked).await;
+        if let Some(cancelling) = cancelling {
+            return stop_and_finish(shared, &cancelling).await;
         }
         pause.pause().await;
     }
     Ok(CancelOutcome::Unconfirmed)
 }
 
-async fn stop<P: Platform>(shared: &Shared<P>, marked: &Marked) -> Result<CancelOutcome> {
-    let job = &marked.job.row.job;
-    if let Some(holder) = &marked.owner
-        && !stop_at(shared, holder, job).await
+async fn stop_and_finish<P: Platform>(
+    shared: &Shared<P>,
+    cancelling: &Marked,
+) -> Result<CancelOutcome> {
+    let job = &cancelling.job.row.job;
+    if let Some(holder) = &cancelling.owner
+        && !stop_at_owner(shared, holder, job).await
     {
         return Ok(CancelOutcome::Pending);
     }
     let counts = counts(&shared.platform, job).await?;
-    let finish = Finish::cancelled(&marked.job, counts, shared.clock.wall());
+    let finish = Finish::cancelled(&cancelling.job, counts, shared.clock.wall());
     let mut pause = Backoff::default();
-    for _ in 0..MAX_WRITE_TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let outcome = store::send(&shared.platform, finish.transaction()).await;
         match finish.on(outcome) {
             FinishStep::Ended => {
-                note_ended(shared, finish.ended());
+                record_job_ended(shared, finish.ended());
                 return Ok(CancelOutcome::Final);
             }
             FinishStep::JobChanged(_) => return Ok(CancelOutcome::Final),
@@ -188,7 +198,7 @@
     Ok(CancelOutcome::Pending)
 }
 
-async fn stop_at<P: Platform>(shared: &Shared<P>, holder: &InstanceId, job: &JobId) -> bool {
+async fn stop_at_owner<P: Platform>(shared: &Shared<P>, holder: &InstanceId, job: &JobId) -> bool {
     if *holder == shared.settings.instance {
         return stop_local(shared, job).await;
     }
@@ -201,13 +211,14 @@
     matches!(answer, Ok(PeerAnswer::Done))
 }
 
-/// Stops a job running here. Returns whether it has stopped.
+/// Stops a job that runs on this instance. Returns `false` if it did not stop within
+/// [`STOP_TIMEOUT_MS`].
 pub async fn stop_local<P: Platform>(shared: &Shared<P>, job: &JobId) -> bool {
     let Some(actors) = shared.actors() else {
         return false;
     };
-    let ask = |reply| JobsMessage::Stop(job.clone(), reply);
+    let message = |reply| JobsMessage::Stop(job.clone(), reply);
     let wait = Duration::from_millis(STOP_TIMEOUT_MS);
-    let call = actors.jobs.call(ask, Some(wait)).await;
+    let call = actors.jobs.call(message, Some(wait)).await;
     matches!(call, Ok(ractor::rpc::CallResult::Success(())))
 }
--- a/crates/foxtailhold-entry/src/jobs/policy.rs
+++ b/crates/foxtailhold-entry/src/jobs/policy.rs
@@ -1,36 +1,36 @@
-//! The way of running items that the settings name.
+//! Selects the item policy that the settings name.
 
 use std::future::pending;
 
 use foxtailhold_platform::Platform;
 
-use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
+use crate::jobs::item::{FinishedItem, ItemPolicy, ItemTask};
 use crate::jobs::item_body::ItemBody;
-use crate::jobs::ordinary::OrdinaryItems;
-use crate::jobs::streamed_item::StewardItems;
+use crate::jobs::ordinary::OrdinaryItemPolicy;
+use crate::jobs::streamed_item::ControlledItemPolicy;
 use crate::settings::BatchPolicy;
 use crate::shared::Shared;
 
-/// No item is run: the baseline of a fleet without batch.
+/// Runs no item at all: the baseline for measuring a fleet without batch work.
 #[derive(Debug, Clone, Copy)]
-pub struct NoItems;
+pub struct DisabledItemPolicy;
 
-impl ItemPolicy for NoItems {
-    async fn run<P: Platform>(&self, _: &Shared<P>, _: &ItemRun<'_>, _: ItemBody) -> EndedItem {
+impl ItemPolicy for DisabledItemPolicy {
+    async fn run<P: Platform>(&self, _: &Shared<P>, _: &ItemTask<'_>, _: ItemBody) -> FinishedItem {
         pending().await
     }
 }
 
-/// Runs an item in the way that the settings name.
-pub async fn run<P: Platform>(shared: &Shared<P>, run: &ItemRun<'_>) -> EndedItem {
+/// Runs an item by the policy of the settings. An item whose body cannot be sent fails at once.
+pub async fn run<P: Platform>(shared: &Shared<P>, task: &ItemTask<'_>) -> FinishedItem {
     let id = shared.request_id();
-    let body = match ItemBody::try_from(run.item.body.as_ref()) {
+    let body = match ItemBody::try_from(task.item.body.as_ref()) {
         Ok(body) => body,
-        Err(error) => return run.failed(&id, "invalid_request", error.to_string()),
+        Err(error) => return task.failed(&id, "invalid_request", error.to_string()),
     };
     match shared.settings.batch_policy {
-        BatchPolicy::Steward => StewardItems.run(shared, run, body).await,
-        BatchPolicy::Ordinary => OrdinaryItems.run(shared, run, body).await,
-        BatchPolicy::Off => NoItems.run(shared, run, body).await,
+        BatchPolicy::Steward => ControlledItemPolicy.run(shared, task, body).await,
+        BatchPolicy::Ordinary => OrdinaryItemPolicy.run(shared, task, body).await,
+        BatchPolicy::Off => DisabledItemPolicy.run(shared, task, body).await,
     }
 }
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -1,4 +1,4 @@
-//! Runs one owned job: drives its machine and the attempts at its chunks.
+//! Runs one owned job: executes the steps of its state machine and the attempts at its chunks.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -15,83 +15,84 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::jobs::chunk_slots::HeldPlace;
+use crate::jobs::chunk_slots::ChunkSlotGuard;
 use crate::jobs::store::{self, Backoff};
 use crate::jobs::{chunk, owner};
 use crate::shared::Shared;
 
-/// The lease, the deadline and free places are looked at this often.
+/// Period at which a run checks its lease, its deadline and whether a chunk slot is free.
 const TICK_MS: u64 = 100;
 
-/// Why a run ended.
+/// Why the run of a job on this instance ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunStop {
-    /// By itself.
+pub enum JobRunOutcome {
+    /// The state machine reached its end: the job is finished, or its ownership is lost.
     Ended(RunEnd),
-    /// This instance was told to stop it.
+    /// The run was cancelled by this instance, for a cancelled job or a planned stop.
     Stopped,
 }
 
-/// What the attempts at chunks and the final write tell the run.
+/// Events that the tasks of chunk attempts and of the final write send to the runner.
 #[derive(Debug)]
-enum Progress {
-    /// All items of an attempt were started.
-    Drained(u32),
-    /// All items of an attempt ended and its results are stored.
-    Stored(u32, ChunkRow),
-    /// A commit's fate is known.
-    Committed(u32, ChunkRow, CommitStep),
-    /// The final write's fate is known.
-    Finished(FinishStep),
+enum RunnerEvent {
+    /// Every item of the attempt at this chunk has been started.
+    AllStarted(u32),
+    /// Every item of the attempt has ended and its result object is stored.
+    ResultsStored(u32, ChunkRow),
+    /// The outcome of a chunk's commit is known.
+    CommitEnded(u32, ChunkRow, CommitStep),
+    /// The outcome of the job's final write is known.
+    FinishEnded(FinishStep),
 }
 
-/// An attempt at a chunk.
+/// A running attempt at a chunk. It keeps its chunk slot until it is dropped.
 #[derive(Debug)]
-struct Attempt {
+struct ChunkAttempt {
     task: JoinHandle<()>,
     started: Instant,
-    _place: HeldPlace,
+    _slot: ChunkSlotGuard,
 }
 
 struct Runner<P> {
     shared: Shared<P>,
     run: JobRun,
-    attempts: HashMap<u32, Attempt>,
+    attempts: HashMap<u32, ChunkAttempt>,
     final_write: Option<JoinHandle<()>>,
-    standing: watch::Sender<Standing>,
-    sender: mpsc::UnboundedSender<Progress>,
-    progress: mpsc::UnboundedReceiver<Progress>,
+    lease_state: watch::Sender<Standing>,
+    sender: mpsc::UnboundedSender<RunnerEvent>,
+    events: mpsc::UnboundedReceiver<RunnerEvent>,
 }
 
-/// Runs a job until it ends, is stopped, or is lost. When it returns, no item of it runs here.
+/// Runs a job until it ends, `stop` is cancelled, or ownership is lost. When this returns, no item
+/// of the job runs on this instance any more.
 pub async fn run<P: Platform>(
     shared: &Shared<P>,
     owned: OwnedJob,
     stop: &CancellationToken,
-) -> RunStop {
+) -> JobRunOutcome {
     let finished = tokio::select! {
-        finished = finished_chunks(shared, &owned) => finished,
-        () = stop.cancelled() => return RunStop::Stopped,
+        finished = read_finished_chunks(shared, &owned) => finished,
+        () = stop.cancelled() => return JobRunOutcome::Stopped,
     };
-    let (sender, progress) = mpsc::unbounded_channel();
+    let (sender, events) = mpsc::unbounded_channel();
     let mut runner = Runner {
         shared: shared.clone(),
         run: JobRun::new(owned, &finished),
         attempts: HashMap::new(),
         final_write: None,
-        standing: watch::Sender::new(Standing::Lapsed),
+        lease_state: watch::Sender::new(Standing::Lapsed),
         sender,
-        progress,
+        events,
     };
     let end = tokio::select! {
-        end = runner.drive() => RunStop::Ended(end),
-        () = stop.cancelled() => RunStop::Stopped,
+        end = runner.drive() => JobRunOutcome::Ended(end),
+        () = stop.cancelled() => JobRunOutcome::Stopped,
     };
     runner.close().await;
     end
 }
 
-async fn finished_chunks<P: Platform>(
+async fn read_finished_chunks<P: Platform>(
     shared: &Shared<P>,
     owned: &OwnedJob,
 ) -> Vec<(u32, ChunkRow)> {
@@ -99,7 +100,10 @@
     loop {
         match owner::finished_chunks(&shared.platform, &owned.row.job).await {
             Ok(finished) => return finished,
-            Err(error) => log::warn!("job {} is held up: {error}", owned.row.job),
+            Err(error) => log::warn!(
+                "finished chunks of job {} could not be read, retrying: {error}",
+                owned.row.job
+            ),
         }
         pause.pause().await;
     }
@@ -114,31 +118,31 @@
             }
             tokio::select! {
                 _ = tick.tick() => {}
-                Some(progress) = self.progress.recv() => self.on(progress),
+                Some(event) = self.events.recv() => self.handle_event(event),
             }
         }
     }
 
-    fn standing(&self) -> Standing {
+    fn lease_state(&self) -> Standing {
         let epoch = self.run.owned().epoch;
         let now = self.shared.clock.mono();
-        let standing = self.shared.lease.load().standing(epoch, now);
-        self.standing.send_if_modified(|published| {
-            let changed = *published != standing;
-            *published = standing;
+        let lease_state = self.shared.lease.load().standing(epoch, now);
+        self.lease_state.send_if_modified(|published| {
+            let changed = *published != lease_state;
+            *published = lease_state;
             changed
         });
-        standing
+        lease_state
     }
 
-    /// Takes steps until there is nothing to do.
+    /// Executes steps of the state machine until it has to wait or has ended.
     async fn advance(&mut self) -> Option<RunEnd> {
         loop {
-            let standing = self.standing();
+            let lease_state = self.lease_state();
             let now = self.shared.clock.wall();
-            let place = self.take_place(standing);
-            match self.run.step(now, standing, place.is_some()) {
-                RunStep::Start(index) => self.start(index, place?),
+            let slot = self.take_slot(lease_state);
+            match self.run.step(now, lease_state, slot.is_some()) {
+                RunStep::Start(index) => self.start(index, slot?),
                 RunStep::StopItems(indices) => self.stop_items(&indices).await,
                 RunStep::Finish(finish) => self.finish(*finish),
                 RunStep::Wait => return None,
@@ -147,40 +151,40 @@
         }
     }
 
-    fn take_place(&self, standing: Standing) -> Option<HeldPlace> {
+    fn take_slot(&self, lease_state: Standing) -> Option<ChunkSlotGuard> {
         let now = self.shared.clock.wall();
         let row = &self.run.owned().row;
-        let backlog = self.run.backlog(standing);
+        let backlog = self.run.backlog(lease_state);
         let mono = self.shared.clock.mono();
-        let shared_places = &self.shared.chunk_places;
-        shared_places.landing().update(&row.job, backlog, mono);
-        let mut places = shared_places.lock();
-        if !self.run.wants_room(now, standing) {
-            places.withdraw(&row.job);
+        let shared_slots = &self.shared.chunk_places;
+        shared_slots.estimator().update(&row.job, backlog, mono);
+        let mut slots = shared_slots.lock();
+        if !self.run.wants_room(now, lease_state) {
+            slots.withdraw(&row.job);
             return None;
         }
-        let left = self.run.chunks_left();
-        let slack_ms = places.slack_ms(row.deadline_wall_ms, left, now);
-        let taken = places.take(&row.job, slack_ms);
-        drop(places);
-        taken.then(|| shared_places.held())
+        let chunks_left = self.run.chunks_left();
+        let slack_ms = slots.slack_ms(row.deadline_wall_ms, chunks_left, now);
+        let taken = slots.take(&row.job, slack_ms);
+        drop(slots);
+        taken.then(|| shared_slots.guard())
     }
 
-    fn start(&mut self, index: u32, place: HeldPlace) {
+    fn start(&mut self, index: u32, slot: ChunkSlotGuard) {
         let shared = self.shared.clone();
         let owned = self.run.owned().clone();
-        let standing = self.standing.subscribe();
+        let lease_state = self.lease_state.subscribe();
         let sender = self.sender.clone();
         let task = tokio::spawn(async move {
-            let drained = || drop(sender.send(Progress::Drained(index)));
-            if let Some(row) = chunk::run(&shared, &owned, index, standing, drained).await {
-                let _ = sender.send(Progress::Stored(index, row));
+            let drained = || drop(sender.send(RunnerEvent::AllStarted(index)));
+            if let Some(row) = chunk::run(&shared, &owned, index, lease_state, drained).await {
+                let _ = sender.send(RunnerEvent::ResultsStored(index, row));
             }
         });
-        let attempt = Attempt {
+        let attempt = ChunkAttempt {
             task,
             started: Instant::now(),
-            _place: place,
+            _slot: slot,
         };
         self.attempts.insert(index, attempt);
     }
@@ -194,16 +198,17 @@
         }
     }
 
-    fn on(&mut self, progress: Progress) {
-        match progress {
-            Progress::Drained(index) => self.run.drained(index),
-            Progress::Stored(index, row) => self.commit(index, row),
-            Progress::Committed(index, row, step) => self.committed(index, &row, step),
-            Progress::Finished(step) => self.run.finish_ended(step),
+    fn handle_event(&mut self, event: RunnerEvent) {
+        match event {
+            RunnerEvent::AllStarted(index) => self.run.drained(index),
+            RunnerEvent::ResultsStored(index, row) => self.commit(index, row),
+            RunnerEvent::CommitEnded(index, row, step) => self.committed(index, &row, step),
+            RunnerEvent::FinishEnded(step) => self.run.finish_ended(step),
         }
     }
 
-    /// Commits an attempt's results. An attempt stopped meanwhile has no entry any more.
+    /// Commits an attempt's results. Does nothing for an attempt that was stopped meanwhile: it is
+    /// no longer in `attempts`.
     fn commit(&mut self, index: u32, row: ChunkRow) {
         let Some(attempt) = self.attempts.get_mut(&index) else {
             return;
@@ -214,7 +219,7 @@
         attempt.task = tokio::spawn(async move {
             let step = chunk::commit(&shared, &commit).await;
             let row = commit.chunk().clone();
-            let _ = sender.send(Progress::Committed(index, row, step));
+            let _ = sender.send(RunnerEvent::CommitEnded(index, row, step));
         });
     }
 
@@ -246,9 +251,9 @@
                     continue;
                 }
                 if step == FinishStep::Ended {
-                    owner::note_ended(&shared, finish.ended());
+                    owner::record_job_ended(&shared, finish.ended());
                 }
-                let _ = sender.send(Progress::Finished(step));
+                let _ = sender.send(RunnerEvent::FinishEnded(step));
                 return;
             }
         }));
@@ -258,7 +263,7 @@
         let job = &self.run.owned().row.job;
         self.shared.chunk_places.lock().withdraw(job);
         let now = self.shared.clock.mono();
-        self.shared.chunk_places.landing().forget(job, now);
+        self.shared.chunk_places.estimator().forget(job, now);
         for (_, attempt) in self.attempts.drain() {
             attempt.close().await;
         }
@@ -269,8 +274,8 @@
     }
 }
 
-impl Attempt {
-    /// Stops the attempt; its streams are cancelled when this returns.
+impl ChunkAttempt {
+    /// Aborts the attempt. Its streams to engines are cancelled when this returns.
     async fn close(self) {
         self.task.abort();
         let _ = self.task.await;
--- a/crates/foxtailhold-entry/src/jobs/slot_wait.rs
+++ b/crates/foxtailhold-entry/src/jobs/slot_wait.rs
@@ -1,4 +1,4 @@
-//! An item's line to the actor that gives places.
+//! An item's channel to the batch controller actor, which assigns slots.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 use crate::messages::{PlaceSignal, StewardMessage};
 use crate::shared::Shared;
 
-/// Pause while the actor is not there.
-const NO_ACTOR_PAUSE_MS: u64 = 100;
+/// Wait before sending again while the actor is not running.
+const RESEND_DELAY_MS: u64 = 100;
 
-/// The line of one item. Dropping it gives up the place or the wait.
+/// The channel of one item. Dropping it gives back the slot or ends the wait for one.
 #[derive(Debug)]
-pub struct PlaceLine<P: Platform> {
+pub struct SlotChannel<P: Platform> {
     shared: Shared<P>,
     item: ItemKey,
     sender: UnboundedSender<PlaceSignal>,
     signals: UnboundedReceiver<PlaceSignal>,
 }
 
-impl<P: Platform> PlaceLine<P> {
-    /// A line of a new item.
+impl<P: Platform> SlotChannel<P> {
+    /// Opens the channel of an item under a new key.
     pub fn new(shared: &Shared<P>) -> Self {
         let (sender, signals) = unbounded_channel();
-        PlaceLine {
+        SlotChannel {
             shared: shared.clone(),
             item: shared.item_key(),
             sender,
@@ -35,7 +35,7 @@
         }
     }
 
-    fn tell(&self, message: StewardMessage) -> bool {
+    fn send(&self, message: StewardMessage) -> bool {
         let Some(actors) = self.shared.actors() else {
             return false;
         };
@@ -45,14 +45,14 @@
         delivered
     }
 
-    /// Waits for a place. A cut that came after the item had left its last place is passed over.
-    pub async fn place(&mut self, waiting: &WaitingItem) -> BackendId {
-        while !self.tell(StewardMessage::Wait(
+    /// Waits for a slot. Ignores a preemption that arrived after the item had left its last slot.
+    pub async fn wait_for_slot(&mut self, waiting: &WaitingItem) -> BackendId {
+        while !self.send(StewardMessage::Wait(
             self.item,
             waiting.clone(),
             self.sender.clone(),
         )) {
-            tokio::time::sleep(Duration::from_millis(NO_ACTOR_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RESEND_DELAY_MS)).await;
         }
         loop {
             if let Some(PlaceSignal::Start(backend)) = self.signals.recv().await {
@@ -61,19 +61,19 @@
         }
     }
 
-    /// Waits until the place is lost.
-    pub async fn cut(&mut self) {
+    /// Waits until the item is preempted.
+    pub async fn wait_for_preemption(&mut self) {
         while self.signals.recv().await != Some(PlaceSignal::Cut) {}
     }
 
-    /// Gives the place back.
-    pub fn leave(&self) {
-        self.tell(StewardMessage::Leave(self.item));
+    /// Gives the slot back.
+    pub fn release(&self) {
+        self.send(StewardMessage::Leave(self.item));
     }
 }
 
-impl<P: Platform> Drop for PlaceLine<P> {
+impl<P: Platform> Drop for SlotChannel<P> {
     fn drop(&mut self) {
-        self.leave();
+        self.release();
     }
 }
--- a/crates/foxtailhold-entry/src/jobs/store.rs
+++ b/crates/foxtailhold-entry/src/jobs/store.rs
@@ -1,4 +1,4 @@
-//! Sends the typed transactions of batch jobs to the table service.
+//! Sends the typed transactions of batch jobs to the platform's table service.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Pause before a transaction is sent again, doubled up to [`MAX_PAUSE_MS`].
+/// First backoff before a call is retried, doubled up to [`MAX_PAUSE_MS`].
 const FIRST_PAUSE_MS: u64 = 50;
-/// Longest pause before a transaction is sent again.
+/// Longest backoff before a call is retried.
 const MAX_PAUSE_MS: u64 = 1_000;
 
-/// The expectation of a condition.
+/// Translates a condition on a row into the table service's form.
 pub fn expect(condition: Condition) -> Expect {
     match condition {
         Condition::Any => Expect::Any,
@@ -73,7 +73,7 @@
     read.unwrap_or(FoundRow::Other)
 }
 
-/// Sends a transaction once.
+/// Sends a transaction once, without retries.
 pub async fn send<T: TableService>(table: &T, transaction: &Transaction) -> Outcome {
     let mut operations = Vec::with_capacity(transaction.steps.len());
     for step in &transaction.steps {
@@ -86,7 +86,7 @@
             found: found(&transaction.steps[operation], current.as_ref()),
         },
         Err(error) => {
-            log::warn!("a write of job {} failed: {error}", transaction.job);
+            log::warn!("a transaction of job {} failed: {error}", transaction.job);
             if error.may_have_taken_effect() {
                 return Outcome::Unknown;
             }
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads one row.
+/// Reads and decodes one row; `None` if it does not exist.
 pub async fn read<P: Platform, T: DeserializeOwned>(
     shared: &Shared<P>,
     table: &str,
@@ -111,7 +111,7 @@
     }))
 }
 
-/// The pauses between attempts at one call.
+/// Exponential backoff between the attempts at one call.
 #[derive(Debug)]
 pub struct Backoff {
     next_ms: u64,
@@ -126,7 +126,7 @@
 }
 
 impl Backoff {
-    /// Waits before the next attempt.
+    /// Sleeps until the next attempt may be made.
     pub async fn pause(&mut self) {
         tokio::time::sleep(Duration::from_millis(self.next_ms)).await;
         self.next_ms = (self.next_ms * 2).min(MAX_PAUSE_MS);
--- a/crates/foxtailhold-entry/src/jobs/streamed_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/streamed_item.rs
@@ -1,6 +1,6 @@
-//! Items as streams under the marks of stewards. An item that is cut keeps what it received and
-//! goes on by continuation at the next place. An item suspected of crashes needs no place: it goes
-//! where its trial is granted.
+//! Runs items as streams within the congestion windows of the batch controllers. A preempted item
+//! keeps the output it has received and is continued at the next engine that gives it a slot. An
+//! item suspected of crashing engines takes no slot: it runs at the engine of its granted probe.
 
 use std::time::Duration;
 
@@ -15,69 +15,70 @@
 use foxtailhold_platform::Platform;
 
 use crate::gateway::dispatch::{self, Outgoing, Tries};
-use crate::jobs::item::{EndedItem, ItemPolicy, ItemRun};
-use crate::jobs::item_attempt::{ItemAttempt, LegEnd};
-use crate::jobs::item_body::{ItemBody, Received};
-use crate::jobs::slot_wait::PlaceLine;
+use crate::jobs::item::{FinishedItem, ItemPolicy, ItemTask};
+use crate::jobs::item_attempt::{AttemptEnd, ItemAttempt};
+use crate::jobs::item_body::{ItemBody, ReceivedOutput};
+use crate::jobs::slot_wait::SlotChannel;
 use crate::shared::Shared;
 
-/// Pause after an engine failed an item or refused it.
-const FAILED_PAUSE_MS: u64 = 100;
-/// Legs of one item that may fail after they brought tokens.
-const MAX_BROKEN_LEGS: u32 = 32;
+/// Wait before the next attempt after an engine failed or refused the item, or while the job's
+/// lease is not held.
+const RETRY_DELAY_MS: u64 = 100;
+/// Most attempts of one item that may fail after they returned tokens without counting as failures.
+const MAX_BROKEN_ATTEMPTS: u32 = 32;
 
-/// Items as streams under the marks of stewards.
+/// Item policy that streams items within the congestion windows of the batch controllers.
 #[derive(Debug, Clone, Copy)]
-pub struct StewardItems;
+pub struct ControlledItemPolicy;
 
-/// An item between its legs.
-struct Run<'a, P: Platform> {
+/// State of an item that is kept across its attempts.
+struct StreamedItem<'a, P: Platform> {
     shared: &'a Shared<P>,
-    run: &'a ItemRun<'a>,
+    task: &'a ItemTask<'a>,
     outgoing: Outgoing,
-    received: Received,
+    received: ReceivedOutput,
     waiting: WaitingItem,
     failures: u32,
-    broken_legs: u32,
+    broken_attempts: u32,
 }
 
-impl ItemPolicy for StewardItems {
+impl ItemPolicy for ControlledItemPolicy {
     async fn run<P: Platform>(
         &self,
         shared: &Shared<P>,
-        run: &ItemRun<'_>,
+        task: &ItemTask<'_>,
         body: ItemBody,
-    ) -> EndedItem {
+    ) -> FinishedItem {
         let waiting = WaitingItem {
             target: body.model.clone(),
-            deadline: run.deadline,
-            order: run.order,
+            deadline: task.deadline,
+            order: task.order,
             avoid: Vec::new(),
         };
-        let run = Run {
+        let item = StreamedItem {
             shared,
-            run,
-            outgoing: run.outgoing(shared.request_id(), body),
-            received: Received::default(),
+            task,
+            outgoing: task.outgoing(shared.request_id(), body),
+            received: ReceivedOutput::default(),
             waiting,
             failures: 0,
-            broken_legs: 0,
+            broken_attempts: 0,
         };
-        run.until_ended().await
+        item.run_to_end().await
     }
 }
 
-impl<P: Platform> Run<'_, P> {
-    async fn until_ended(mut self) -> EndedItem {
-        let mut line = PlaceLine::new(self.shared);
+impl<P: Platform> StreamedItem<'_, P> {
+    async fn run_to_end(mut self) -> FinishedItem {
+        let mut channel = SlotChannel::new(self.shared);
         loop {
-            if !self.run.is_owned(self.shared) {
-                tokio::time::sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
+            if !self.task.is_owned(self.shared) {
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 continue;
             }
             let ended = match self.shared.standing(self.outgoing.fingerprint) {
-                Standing::Clear => self.next_leg(&mut line).await,
-                Standing::Suspect | Standing::Convicted { .. } => self.trial_leg().await,
+                Standing::Clear => self.run_in_slot(&mut channel).await,
+                Standing::Suspect | Standing::Convicted { .. } => self.run_as_probe().await,
             };
             if let Some(ended) = ended {
                 return ended;
@@ -85,39 +86,39 @@
         }
     }
 
-    /// Waits for a place and runs the item there, until it ends, fails or is cut.
-    async fn next_leg(&mut self, line: &mut PlaceLine<P>) -> Option<EndedItem> {
-        let backend = line.place(&self.waiting).await;
-        if !self.run.is_owned(self.shared) {
-            line.leave();
+    /// Waits for a slot and runs the item at its engine until it ends, fails or is preempted.
+    async fn run_in_slot(&mut self, channel: &mut SlotChannel<P>) -> Option<FinishedItem> {
+        let backend = channel.wait_for_slot(&self.waiting).await;
+        if !self.task.is_owned(self.shared) {
+            channel.release();
             return None;
         }
-        let before = self.received.tokens;
+        let tokens_before = self.received.tokens;
         let end = tokio::select! {
             biased;
-            () = line.cut() => return self.finished(),
-            end = self.leg_at(&backend) => end,
+            () = channel.wait_for_preemption() => return self.finished(),
+            end = self.attempt_at(&backend) => end,
         };
-        line.leave();
-        self.leg_ended(end, Some(backend), before).await
+        channel.release();
+        self.attempt_ended(end, Some(backend), tokens_before).await
     }
 
-    async fn leg_at(&mut self, backend: &BackendId) -> LegEnd {
+    async fn attempt_at(&mut self, backend: &BackendId) -> AttemptEnd {
         let backends = self.shared.backends.load_full();
         let mut cells = backends.cells.iter();
         let Some(cell) = cells.find(|cell| cell.backend.id == *backend) else {
-            return LegEnd::Failed(EngineError::Leaving);
+            return AttemptEnd::Failed(EngineError::Leaving);
         };
         let opened = ItemAttempt::open(self.shared, &self.outgoing, &self.received, cell).await;
         match opened {
-            Ok(leg) => leg.run(&mut self.received).await,
-            Err(error) => LegEnd::Failed(error),
+            Ok(attempt) => attempt.run(&mut self.received).await,
+            Err(error) => AttemptEnd::Failed(error),
         }
     }
 
-    /// Runs an item that was in flight at a crash, in the trial that it is granted.
-    async fn trial_leg(&mut self) -> Option<EndedItem> {
-        let before = self.received.tokens;
+    /// Runs an item that was in flight at an engine crash as a probe.
+    async fn run_as_probe(&mut self) -> Option<FinishedItem> {
+        let tokens_before = self.received.tokens;
         let mut tries = Tries::default();
         let received = self.received.clone();
         let resume = (received.tokens > 0).then_some(Resume {
@@ -127,42 +128,42 @@
         let opened = dispatch::open(self.shared, &self.outgoing, resume, &mut tries).await;
         let end = match opened {
             Ok(opened) => {
-                let leg = ItemAttempt::of_trial(self.shared, &self.outgoing, opened);
-                leg.run(&mut self.received).await
+                let attempt = ItemAttempt::of_probe(self.shared, &self.outgoing, opened);
+                attempt.run(&mut self.received).await
             }
             Err(refusal) if refusal.reason == RefusalReason::Quarantined => {
                 let message = refusal.to_string();
-                return Some(self.run.failed(&self.outgoing.id, "quarantined", message));
+                return Some(self.task.failed(&self.outgoing.id, "quarantined", message));
             }
             Err(refusal) => {
                 self.failures += tries.tried.len() as u32;
-                tokio::time::sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
-                return self.given_up(&refusal.to_string());
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
+                return self.fail_if_exhausted(&refusal.to_string());
             }
         };
-        self.leg_ended(end, None, before).await
+        self.attempt_ended(end, None, tokens_before).await
     }
 
-    async fn leg_ended(
+    async fn attempt_ended(
         &mut self,
-        end: LegEnd,
+        end: AttemptEnd,
         backend: Option<BackendId>,
-        before: u64,
-    ) -> Option<EndedItem> {
+        tokens_before: u64,
+    ) -> Option<FinishedItem> {
         let ended = match end {
-            LegEnd::Whole(answer) => self.answered(&answer),
-            LegEnd::Finished => self.finished(),
-            LegEnd::Failed(_) if self.received.finished => self.finished(),
-            LegEnd::Failed(error) => self.failed(backend, &error, before),
+            AttemptEnd::Whole(answer) => self.answered(&answer),
+            AttemptEnd::Finished => self.finished(),
+            AttemptEnd::Failed(_) if self.received.finished => self.finished(),
+            AttemptEnd::Failed(error) => self.failed(backend, &error, tokens_before),
         };
         if ended.is_none() {
-            tokio::time::sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
         }
         ended
     }
 
-    /// Ends the item where its whole text is there.
-    fn finished(&mut self) -> Option<EndedItem> {
+    /// Ends the item if its text is complete.
+    fn finished(&mut self) -> Option<FinishedItem> {
         if !self.received.finished {
             return None;
         }
@@ -170,20 +171,20 @@
         match whole {
             Ok(answer) => self.answered(&answer),
             Err(error) => {
-                self.received = Received::default();
+                self.received = ReceivedOutput::default();
                 self.count_failure(&error.to_string())
             }
         }
     }
 
-    /// Ends the item, unless the engine refused to go on from what another one had sent: then it
-    /// begins anew.
-    fn answered(&mut self, answer: &WholeAnswer) -> Option<EndedItem> {
+    /// Ends the item with this answer. If the engine refused to continue output of another engine,
+    /// the item starts from the beginning instead.
+    fn answered(&mut self, answer: &WholeAnswer) -> Option<FinishedItem> {
         if answer.status.is_client_error() && self.received.tokens > 0 {
-            self.received = Received::default();
+            self.received = ReceivedOutput::default();
             return self.count_failure(&format!("a continuation got status {}", answer.status));
         }
-        let ended = self.run.answered(&self.outgoing.id, answer);
+        let ended = self.task.answered(&self.outgoing.id, answer);
         if ended.is_some() {
             self.shared.timeline.note(Event::Answered {
                 request: self.outgoing.id.clone(),
@@ -193,42 +194,43 @@
         self.count_failure("the answer is not JSON")
     }
 
-    /// Counts a failure against the item where its engine ran it without any progress. An engine
-    /// that was full or left, and one that was lost under a running stream, failed by itself.
+    /// Counts a failure against the item if its engine ran it without any progress. An engine that
+    /// was full or leaving does not count, nor does one that was lost after it returned tokens.
     fn failed(
         &mut self,
         backend: Option<BackendId>,
         error: &EngineError,
-        before: u64,
-    ) -> Option<EndedItem> {
-        log::debug!("item {} failed: {error}", self.run.item.custom_id);
+        tokens_before: u64,
+    ) -> Option<FinishedItem> {
+        log::debug!("item {} failed: {error}", self.task.item.custom_id);
         if let Some(backend) = backend {
             self.avoid(backend);
         }
         if matches!(error, EngineError::Full | EngineError::Leaving) {
             return None;
         }
-        if self.received.tokens > before && self.broken_legs < MAX_BROKEN_LEGS {
-            self.broken_legs += 1;
+        if self.received.tokens > tokens_before && self.broken_attempts < MAX_BROKEN_ATTEMPTS {
+            self.broken_attempts += 1;
             return None;
         }
         self.count_failure(&error.to_string())
     }
 
-    fn count_failure(&mut self, detail: &str) -> Option<EndedItem> {
+    fn count_failure(&mut self, detail: &str) -> Option<FinishedItem> {
         self.failures += 1;
-        self.given_up(detail)
+        self.fail_if_exhausted(detail)
     }
 
-    fn given_up(&self, detail: &str) -> Option<EndedItem> {
+    fn fail_if_exhausted(&self, detail: &str) -> Option<FinishedItem> {
         if self.failures < MAX_ITEM_TRIES {
             return None;
         }
         let id = &self.outgoing.id;
-        Some(self.run.failed(id, "backend_failed", detail.to_owned()))
+        Some(self.task.failed(id, "backend_failed", detail.to_owned()))
     }
 
-    /// Goes to another engine next; to any once all have failed it.
+    /// Excludes an engine from the next attempts; clears the exclusions once every engine has
+    /// failed.
     fn avoid(&mut self, backend: BackendId) {
         let backends = self.shared.backends.load();
         let serving = backends.serving(BackendKind::Engine, &self.waiting.target);
--- a/crates/foxtailhold-entry/src/jobs/sweep.rs
+++ b/crates/foxtailhold-entry/src/jobs/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes result objects of ended jobs that no chunk row names.
+//! Deletes orphaned result objects: those of ended jobs that no chunk row refers to.
 
 use foxtailhold::batch::sweep::{self, SweepRow};
 use foxtailhold::ids::JobId;
@@ -8,7 +8,8 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Looks through the jobs that ended long enough ago and whose home is here.
+/// Sweeps the jobs that ended at least the settings' `sweep_after_ms` ago and are assigned to this
+/// instance.
 pub async fn run<P: Platform>(shared: &Shared<P>) -> Result<()> {
     let after_ms = shared.settings.sweep_after_ms;
     let rows = shared
@@ -25,7 +26,10 @@
         }
         let deleted = sweep_job(shared, &row.job).await?;
         if deleted > 0 {
-            log::info!("{deleted} orphaned objects of job {} deleted", row.job);
+            log::info!(
+                "deleted {deleted} orphaned result objects of job {}",
+                row.job
+            );
         }
         let delete = Operation::delete(tables::SWEEP, &keyed.key, Expect::Any);
         shared.platform.transact(&[delete]).await?;
--- a/crates/foxtailhold/src/contract.rs
+++ b/crates/foxtailhold/src/contract.rs
@@ -1,4 +1,4 @@
-//! A customer's contract: a TOML document checked field by field.
+//! A customer's contract: parses a TOML document and checks each field.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -6,81 +6,83 @@
 
 use crate::ids::{CustomerId, IdError, TargetName};
 
-/// Result of checking a contract.
+/// Result of parsing or checking a contract.
 pub type Result<T> = std::result::Result<T, ContractError>;
 
 /// Shortest API key accepted, in bytes.
 pub const MIN_API_KEY_BYTES: usize = 8;
 
-/// Hex digits of a key's digest that operators are shown.
+/// Hex digits of a key's digest that are shown to operators.
 const DIGEST_SHOWN: usize = 8;
 
-/// SHA-256 of an API key as 64 lower-case hex digits. The key itself is never kept.
+/// SHA-256 of an API key as 64 lower-case hex digits. The key itself is never stored.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApiKeyDigest(String);
 
 impl ApiKeyDigest {
-    /// The digest of a key. A lookup by digest takes no time that depends on a stored key's bytes.
+    /// Computes the digest of a key. Keys are looked up by digest, so that the time of a lookup
+    /// reveals nothing about the bytes of a stored key.
     pub fn of(key: &str) -> Self {
         ApiKeyDigest(format!("{:x}", Sha256::digest(key.as_bytes())))
     }
 
-    /// The hex digits.
+    /// The digest as hex digits.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The start of the digest: enough to tell keys apart, too little to test guesses against.
+    /// The first digits of the digest: enough to tell keys apart, too few to verify a guessed key.
     pub fn masked(&self) -> Self {
         let shown = &self.0[..DIGEST_SHOWN.min(self.0.len())];
         ApiKeyDigest(format!("{shown}…"))
     }
 }
 
-/// Why a document is not a contract.
+/// Why a document is not a valid contract.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ContractError {
-    /// The document is not TOML or a field has the wrong type; the message names line and column.
+    /// The document is not TOML, or a field is unknown, missing or of the wrong type. The message
+    /// names line and column.
     #[error("the contract cannot be read: {0}")]
     Syntax(#[from] toml::de::Error),
-    /// An identifier is wrong.
+    /// The name of a customer, model or service is not valid.
     #[error("line {line}: field `{field}`: {source}")]
     Id {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// Line in the document, from 1.
         line: usize,
-        /// Why the text is refused.
+        /// Why the name is not valid.
         source: IdError,
     },
-    /// A value is out of its range.
+    /// A value is outside its allowed range.
     #[error("line {line}: field `{field}` is {value}, it must be {wanted}")]
     OutOfRange {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// Line in the document, from 1.
         line: usize,
         /// The value found.
         value: String,
-        /// What would be right.
+        /// Description of the allowed values.
         wanted: &'static str,
     },
 }
 
-/// How urgent a customer's online requests are.
+/// Priority class of a customer's online requests when they wait for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
-    /// Served after the other two.
+    /// Admitted after the other two classes.
     Low,
-    /// The default.
+    /// The default class.
     Normal,
-    /// Served first.
+    /// Admitted first.
     High,
 }
 
-/// A contract as written in TOML, before any check of values.
+/// A contract as written in TOML, before its values are checked.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawContract {
@@ -129,36 +131,38 @@
     1_000_000
 }
 
-/// A checked contract. Every limit that applies to the customer follows from it.
+/// A checked contract. All limits that apply to the customer are derived from it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Contract {
-    /// The holder.
+    /// The customer that holds the contract.
     pub customer: CustomerId,
-    /// Digests of the keys that name the customer.
+    /// Digests of the API keys that authenticate the customer.
     pub api_keys: Vec<ApiKeyDigest>,
-    /// Models it may use; empty means all.
+    /// Models that the customer may use; empty means all.
     pub models: Vec<TargetName>,
-    /// Plain services it may use; empty means all.
+    /// Plain services that the customer may use; empty means all.
     pub services: Vec<TargetName>,
-    /// Online requests a second over all instances.
+    /// Sustained rate of online requests, over all instances.
     pub requests_per_s: f64,
-    /// Requests above the rate that may come at once.
+    /// Requests that may exceed the rate in one burst.
     pub burst_requests: u32,
-    /// Online requests in flight over all instances.
+    /// Most online requests in flight, over all instances.
     pub concurrent_requests: u32,
-    /// Generated tokens a second over all instances.
+    /// Sustained rate of generated tokens, over all instances.
     pub tokens_per_s: f64,
-    /// Urgency of its online requests.
+    /// Priority class of the customer's online requests.
     pub urgency: Urgency,
-    /// Time a batch job may take, in seconds.
+    /// Time from the acceptance of a batch job to its deadline, in seconds.
     pub batch_window_s: u64,
-    /// Batch items accepted and not yet finished.
+    /// Most batch items that are accepted and not yet finished.
     pub batch_items_queued: u64,
 }
 
-struct Lines<'a>(&'a str);
+/// Finds the lines of fields in a document, for error messages.
+struct FieldLines<'a>(&'a str);
 
-impl Lines<'_> {
+impl FieldLines<'_> {
+    /// The line in which `field` is set, from 1; 1 if it is not set.
     fn of(&self, field: &str) -> usize {
         for (index, line) in self.0.lines().enumerate() {
             let Some(rest) = line.trim_start().strip_prefix(field) else {
@@ -172,7 +176,7 @@
     }
 }
 
-fn positive(lines: &Lines<'_>, field: &'static str, value: f64) -> Result<f64> {
+fn positive(lines: &FieldLines<'_>, field: &'static str, value: f64) -> Result<f64> {
     if value.is_finite() && value > 0.0 {
         return Ok(value);
     }
@@ -185,7 +189,7 @@
 }
 
 fn at_least_one<N: Into<u64> + Copy>(
-    lines: &Lines<'_>,
+    lines: &FieldLines<'_>,
     field: &'static str,
     value: N,
 ) -> Result<N> {
@@ -200,7 +204,7 @@
     })
 }
 
-fn names(lines: &Lines<'_>, field: &'static str, texts: &[String]) -> Result<Vec<TargetName>> {
+fn names(lines: &FieldLines<'_>, field: &'static str, texts: &[String]) -> Result<Vec<TargetName>> {
     let mut checked = Vec::with_capacity(texts.len());
     for text in texts {
         let name = TargetName::try_from(text.as_str()).map_err(|source| ContractError::Id {
@@ -213,7 +217,7 @@
     Ok(checked)
 }
 
-fn check_keys(lines: &Lines<'_>, keys: &[String]) -> Result<()> {
+fn check_keys(lines: &FieldLines<'_>, keys: &[String]) -> Result<()> {
     let line = lines.of("api_keys");
     if keys.is_empty() {
         return Err(ContractError::OutOfRange {
@@ -251,7 +255,7 @@
 
     fn try_from(document: &str) -> Result<Self> {
         let raw: RawContract = toml::from_str(document)?;
-        let lines = Lines(document);
+        let lines = FieldLines(document);
         let customer =
             CustomerId::try_from(raw.customer.as_str()).map_err(|source| ContractError::Id {
                 field: "customer",
@@ -284,7 +288,8 @@
 }
 
 impl Contract {
-    /// Whether the contract lets its holder use `name` among `allowed`; an empty list allows all.
+    /// Whether `name` is in a contract's list of allowed models or services. An empty list allows
+    /// all.
     pub fn allows(allowed: &[TargetName], name: &str) -> bool {
         allowed.is_empty() || allowed.iter().any(|target| target.as_str() == name)
     }
--- a/crates/foxtailhold/src/contract_registry.rs
+++ b/crates/foxtailhold/src/contract_registry.rs
@@ -1,9 +1,10 @@
-//! The contracts in force on one instance, applied by number only and never backwards.
+//! The contracts in force on one instance. Changes are applied in the order of their numbers, and
+//! an entry is never replaced by an older one.
 //!
-//! Every accepted change carries the next number of one log, as a link-state packet carries a
-//! sequence number in Perlman, "Fault-Tolerant Broadcast of Routing Information" (1983). The
-//! number comes from a transaction of the platform's table service, so it neither wraps nor
-//! restarts, and the paper's age field is not needed.
+//! Every accepted change gets the next number of one log, like the sequence number of a link-state
+//! packet in Perlman, "Fault-Tolerant Broadcast of Routing Information" (1983). A transaction of
+//! the platform's table service assigns the number, so it neither wraps nor restarts, and the age
+//! field of the paper is not needed.
 
 use std::sync::Arc;
 
@@ -13,52 +14,54 @@
 use crate::contract::{ApiKeyDigest, Contract};
 use crate::ids::CustomerId;
 
-/// Changes kept for peers that ask for them; a peer further behind gets the whole book.
+/// Changes kept in memory for peers that are behind. A peer that is further behind gets a snapshot.
 pub const CHANGES_KEPT: usize = 4_096;
 
-/// One accepted change: the whole new contract of one customer, or its removal.
+/// One accepted change: the complete new contract of one customer, or its removal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ContractChange {
-    /// Position in the log, from 1, without gaps.
+    /// Position in the log, counted from 1 without gaps.
     pub number: u64,
-    /// Identifier chosen by the instance that wrote it.
+    /// Identifier chosen by the instance that accepted the change.
     pub change_id: String,
-    /// Whose contract.
+    /// The customer whose contract changed.
     pub customer: CustomerId,
-    /// The customer's version after this change, from 1.
+    /// Version of the customer's contract after this change, counted from 1.
     pub version: u64,
-    /// The contract in force from this number on; `None` removes it.
+    /// The contract in force from this change on; `None` removes the contract.
     pub contract: Option<Arc<Contract>>,
 }
 
-/// One customer's contract with its version.
+/// One customer's contract with its version, or the tombstone of a removed one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ContractEntry {
-    /// The customer's version.
+    /// Version of the customer's contract, counted from 1.
     pub version: u64,
-    /// The number of the change that set it.
+    /// Number of the change that wrote this entry.
     pub number: u64,
     /// The contract; `None` after a removal.
     pub contract: Option<Arc<Contract>>,
 }
 
-/// What a peer gets when it asks for everything after a number.
+/// Contract changes as sent between instances: those after the number that the receiver has
+/// applied, or a snapshot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ContractSyncData {
-    /// The changes after the number, in order.
+    /// The changes after the receiver's number, in ascending order.
     Changes(Vec<ContractChange>),
-    /// The whole book, for a peer that is too far behind.
+    /// All entries, for a receiver that lacks changes which are no longer kept.
     Snapshot {
-        /// The number the entries stand at.
+        /// Every change up to this number is included in the entries.
         number: u64,
-        /// All entries. One read from the platform's rows may stand at a later number already.
+        /// All entries. An entry read from the table service may already include a later change.
         entries: Vec<(CustomerId, ContractEntry)>,
     },
 }
 
-/// The contracts in force, with the recent part of the log.
+/// The contracts in force, with the most recent changes.
 ///
-/// A clone costs the same whatever the number of customers: the maps share their nodes.
+/// The maps are persistent and share their nodes, so the cost of a clone does not depend on the
+/// number of customers.
 #[derive(Debug, Clone)]
 pub struct ContractRegistry {
     changes_kept: usize,
@@ -75,7 +78,7 @@
 }
 
 impl ContractRegistry {
-    /// An empty book that keeps the last `changes_kept` changes for peers.
+    /// An empty registry that keeps the last `changes_kept` changes for peers.
     pub fn with_log_capacity(changes_kept: usize) -> Self {
         ContractRegistry {
             changes_kept,
@@ -86,38 +89,38 @@
         }
     }
 
-    /// Changes kept for peers at most.
+    /// Most changes kept for peers.
     pub fn changes_kept(&self) -> usize {
         self.changes_kept
     }
 
-    /// The number of the last change applied.
+    /// Number of the last applied change; 0 before the first one.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// One customer's entry.
+    /// One customer's entry; `None` if the customer never had a contract.
     pub fn get(&self, customer: &CustomerId) -> Option<&ContractEntry> {
         self.entries.get(customer)
     }
 
-    /// All entries, in no order.
+    /// All entries, including those of removed contracts, in no particular order.
     pub fn entries(&self) -> impl Iterator<Item = (&CustomerId, &ContractEntry)> {
         self.entries.iter()
     }
 
-    /// The contract that an API key names.
+    /// The contract of the customer that an API key authenticates.
     pub fn by_api_key(&self, key: &str) -> Option<&Arc<Contract>> {
         self.by_key_digest(&ApiKeyDigest::of(key))
     }
 
-    /// The contract that names an API key by its digest.
+    /// The contract of the customer that an API key with this digest authenticates.
     pub fn by_key_digest(&self, key: &ApiKeyDigest) -> Option<&Arc<Contract>> {
         let customer = self.by_key.get(key)?;
         self.entries.get(customer)?.contract.as_ref()
     }
 
-    /// Applies one change if it is the next one. Returns whether it was applied.
+    /// Applies a change if its number is the next one. Returns whether it was applied.
     pub fn apply(&mut self, change: &ContractChange) -> bool {
         if change.number != self.number + 1 {
             return false;
@@ -141,10 +144,10 @@
         true
     }
 
-    /// Applies what a peer or the store answered. Returns how many changes took effect; a snapshot
-    /// counts as one.
-    pub fn apply_update(&mut self, catchup: &ContractSyncData) -> usize {
-        match catchup {
+    /// Applies the answer of a peer or of the table service. Returns how many changes were applied;
+    /// a snapshot counts as one.
+    pub fn apply_update(&mut self, data: &ContractSyncData) -> usize {
+        match data {
             ContractSyncData::Changes(changes) => {
                 let mut applied = 0;
                 for change in changes {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// What a peer that stands at `number` is missing.
+    /// The changes that a peer lacks which has applied all up to `number`.
     pub fn updates_after(&self, number: u64) -> ContractSyncData {
         let first_kept = self.log.first().map_or(self.number + 1, |(n, _)| *n);
         if number + 1 >= first_kept {
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Stores an entry unless a later one is there, which a snapshot may have brought.
+    /// Stores an entry and its API keys, unless a snapshot has already brought a later entry.
     fn store(&mut self, customer: &CustomerId, entry: ContractEntry) {
         let old = self.entries.get(customer);
         if old.is_some_and(|old| old.number > entry.number) {
@@ -207,7 +210,7 @@
         self.entries.insert_mut(customer.clone(), entry);
     }
 
-    /// The number of the change that gave a key to its customer, 0 for a key of nobody.
+    /// Number of the latest change of the customer that holds a key; 0 if no customer holds it.
     fn key_number(&self, key: &ApiKeyDigest) -> u64 {
         let holder = self.by_key.get(key).and_then(|c| self.entries.get(c));
         holder.map_or(0, |entry| entry.number)
--- a/crates/foxtailhold/tests/contract_sync_fuzz.rs
+++ b/crates/foxtailhold/tests/contract_sync_fuzz.rs
@@ -147,7 +147,8 @@
     CustomerId::try_from(format!("customer-{index}").as_str()).unwrap()
 }
 
-/// A key that moves between customers, where no other customer holds it, or else the customer's own.
+/// A key that moves between customers, where no other customer holds it, or else the customer's
+/// own.
 fn free_key(
     rows: &BTreeMap<CustomerId, ContractEntry>,
     customer: &CustomerId,
@@ -255,7 +256,7 @@
     fn give(&mut self, to: usize, catchup: &ContractSyncData) {
         if self.instances[to].runs() {
             let now = self.instances[to].clock(self.now_ms);
-            self.instances[to].sync.on_catchup(catchup, now);
+            self.instances[to].sync.on_data(catchup, now);
         }
     }
 
--- a/crates/foxtailhold/tests/contracts.rs
+++ b/crates/foxtailhold/tests/contracts.rs
@@ -75,7 +75,7 @@
     let mut sync = loaded(now);
     sync.on_head(head, now, 1, now);
     assert_eq!(sync.listing(true, now), listing);
-    sync.on_catchup(
+    sync.on_data(
         &ContractSyncData::Changes(vec![change(2, "beta", 1, "beta-key")]),
         now,
     );
@@ -124,7 +124,7 @@
     let now = MonoMs(10_000);
     let mut sync = loaded(now);
     let third = ContractSyncData::Changes(vec![change(3, "gamma", 1, "gamma-key")]);
-    assert!(!sync.on_catchup(&third, now));
+    assert!(!sync.on_data(&third, now));
     let step = sync.next_step(0, now);
     assert_eq!(step, Some(SyncStep::AskPeer { after: 1 }));
     sync.on_failed(SyncStep::AskPeer { after: 1 }, 0, now);
