--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -1,4 +1,4 @@
-//! What limits and admission cost one instance: time for each request, memory for each customer.
+//! Measures what limits and admission cost one instance: time per request and memory per customer.
 //!
 //! `cargo run --release -p foxtailhold-entry --example limits_cost`
 
@@ -15,13 +15,13 @@
 use foxtailhold_entry::limits::{Attempt, Decision, Limits};
 use foxtailhold_http::clock::Clock;
 
-/// Customers of the two-year target.
+/// Number of customers that the system must be able to hold.
 const CUSTOMERS: usize = 31_000;
-/// The instance measured, home of all customers.
+/// The measured instance, which is the limit coordinator of all customers.
 const ME: &str = "entry-0";
-/// Requests of one measurement.
+/// Requests per measurement.
 const REQUESTS: u32 = 2_000_000;
-/// Bytes of a memory page.
+/// Size of a memory page.
 const PAGE_BYTES: u64 = 4_096;
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
@@ -42,11 +42,11 @@
     Ok(pages.parse::<u64>()? * PAGE_BYTES)
 }
 
-/// Sends one request of a customer whose home is this instance.
+/// Admits one request of a customer whose limit coordinator is this instance.
 fn admit(
     limits: &Limits,
     contract: &Contract,
-    book: &ContractRegistry,
+    registry: &ContractRegistry,
     now: MonoMs,
 ) -> Result<bool> {
     for _ in 0..2 {
@@ -56,16 +56,21 @@
             Decision::Wait(_) | Decision::Pause { .. } => {}
         }
         let ask = limits.due_ask(&contract.customer, now);
-        exchange(limits, ask.into_iter().collect(), book, now)?;
+        exchange(limits, ask.into_iter().collect(), registry, now)?;
     }
     Ok(false)
 }
 
-/// Asks this instance as the home and takes its answer in.
-fn exchange(limits: &Limits, asks: Vec<Ask>, book: &ContractRegistry, now: MonoMs) -> Result<()> {
+/// Sends share requests to this instance as the coordinator and applies its grants.
+fn exchange(
+    limits: &Limits,
+    asks: Vec<Ask>,
+    registry: &ContractRegistry,
+    now: MonoMs,
+) -> Result<()> {
     let from = InstanceId::try_from(ME)?;
     let asks = ShareAsks { from, asks };
-    let grants = limits.answer(&asks, book, now).grants;
+    let grants = limits.answer(&asks, registry, now).grants;
     limits.granted(&asks.asks, &grants, now);
     Ok(())
 }
@@ -74,13 +79,13 @@
     name: &str,
     contracts: &[Arc<Contract>],
     limits: &Limits,
-    book: &ContractRegistry,
+    registry: &ContractRegistry,
 ) -> Result<()> {
     let start = Instant::now();
     let mut admitted = 0;
     for index in 0..REQUESTS {
         let contract = &contracts[index as usize * 7_919 % contracts.len()];
-        admitted += u32::from(admit(limits, contract, book, MonoMs(10_000))?);
+        admitted += u32::from(admit(limits, contract, registry, MonoMs(10_000))?);
     }
     let cost_ns = start.elapsed().as_nanos() as f64 / f64::from(REQUESTS);
     println!("{name}: {cost_ns:.0} ns a request, {admitted} of {REQUESTS} admitted");
@@ -89,11 +94,11 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<()> {
-    let mut book = ContractRegistry::default();
+    let mut registry = ContractRegistry::default();
     let mut contracts = Vec::new();
     for index in 0..CUSTOMERS {
         let contract = contract(index)?;
-        book.apply(&ContractChange {
+        registry.apply(&ContractChange {
             number: index as u64 + 1,
             change_id: String::new(),
             customer: contract.customer.clone(),
@@ -104,18 +109,18 @@
     }
     let clock = Clock::default();
     let limits = Limits::new(ME.try_into()?, MonoMs(0), clock.wall());
-    cost("limits, one customer", &contracts[..1], &limits, &book)?;
+    cost("limits, one customer", &contracts[..1], &limits, &registry)?;
     cost(
         "limits, 1,000 customers",
         &contracts[..1_000],
         &limits,
-        &book,
+        &registry,
     )?;
 
     let before_bytes = resident_bytes()?;
     let now = MonoMs(10_000);
     for contract in &contracts {
-        admit(&limits, contract, &book, now)?;
+        admit(&limits, contract, &registry, now)?;
     }
     let used_bytes = resident_bytes()?.saturating_sub(before_bytes);
     println!(
@@ -131,11 +136,11 @@
         asks.len(),
         start.elapsed()
     );
-    exchange(&limits, asks, &book, later)?;
+    exchange(&limits, asks, &registry, later)?;
     for pass in 1..20 {
         let later = now + pass * (IDLE_MS + EXCHANGE_MS);
         let asks = limits.due_asks(later);
-        exchange(&limits, asks, &book, later)?;
+        exchange(&limits, asks, &registry, later)?;
         limits.sweep(later);
     }
     println!("at rest: {} customers in memory", limits.customers());
--- a/crates/foxtailhold/examples/contract_registry_cost.rs
+++ b/crates/foxtailhold/examples/contract_registry_cost.rs
@@ -1,4 +1,4 @@
-//! Prints what one contract change costs with a full book: `cargo run --release -p foxtailhold
+//! Measures the cost of one contract change with a full registry: `cargo run --release -p foxtailhold
 //! --example contract_registry_cost`.
 
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 use foxtailhold::contract_registry::{ContractChange, ContractRegistry};
 use foxtailhold::ids::CustomerId;
 
-/// Customers at the two-year target.
+/// Number of customers that the system must be able to hold.
 const CUSTOMERS: u64 = 31_000;
-/// Changes timed.
+/// Number of changes that are timed.
 const CHANGES: u64 = 200;
 
 fn change(number: u64, customer: u64) -> Option<ContractChange> {
@@ -29,28 +29,28 @@
 }
 
 fn main() {
-    let mut book = ContractRegistry::default();
+    let mut registry = ContractRegistry::default();
     for number in 1..=CUSTOMERS {
-        let applied = change(number, number).is_some_and(|change| book.apply(&change));
+        let applied = change(number, number).is_some_and(|change| registry.apply(&change));
         assert!(applied, "change {number} was not applied");
     }
-    let mut published = Arc::new(book.clone());
-    let mut costs_us = Vec::new();
+    let mut published = Arc::new(registry.clone());
+    let mut durations_us = Vec::new();
     for step in 1..=CHANGES {
         let Some(change) = change(CUSTOMERS + step, step * 97 % CUSTOMERS + 1) else {
             continue;
         };
         let start = Instant::now();
-        book.apply(&change);
-        published = Arc::new(book.clone());
-        costs_us.push(start.elapsed().as_micros());
+        registry.apply(&change);
+        published = Arc::new(registry.clone());
+        durations_us.push(start.elapsed().as_micros());
     }
-    costs_us.sort_unstable();
+    durations_us.sort_unstable();
     println!(
         "{CUSTOMERS} customers, {} changes applied and published: p50 {} us, worst {} us; now at {}",
-        costs_us.len(),
-        costs_us[costs_us.len() / 2],
-        costs_us[costs_us.len() - 1],
+        durations_us.len(),
+        durations_us[durations_us.len() / 2],
+        durations_us[durations_us.len() - 1],
         published.number()
     );
 }
--- a/crates/foxtailhold/examples/contract_spread.rs
+++ b/crates/foxtailhold/examples/contract_spread.rs
@@ -1,5 +1,6 @@
-//! Prints, over machines in one process, what the slow poll costs the store and how long a change
-//! takes that no push carries: `cargo run --release -p foxtailhold --example contract_spread`.
+//! Simulates instances in one process and measures two things: the load that polling puts on the
+//! table service, and how long a change takes to come into force if its push is lost: `cargo run
+//! --release -p foxtailhold --example contract_spread`.
 
 use foxtailhold::contract_registry::{ContractChange, ContractSyncData};
 use foxtailhold::contract_sync::{ContractSync, SyncStep};
@@ -7,18 +8,18 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Numbers of instances measured.
+/// Fleet sizes that are measured.
 const SIZES: [usize; 6] = [3, 6, 11, 25, 50, 380];
-/// Time between looks at what is due.
+/// Simulated time of one tick.
 const TICK_MS: u64 = 50;
 /// Each instance gossips once in this many ticks.
 const GOSSIP_TICKS: u64 = 10;
 /// Each instance takes a step at most once in this many ticks.
 const STEP_TICKS: u64 = 5;
-/// Changes timed.
+/// Number of changes that are timed.
 const CHANGES: u64 = 100;
 
-struct Instances {
+struct SimulatedFleet {
     syncs: Vec<ContractSync>,
     log: Vec<ContractChange>,
     gossips: bool,
@@ -28,12 +29,12 @@
     rng: SmallRng,
 }
 
-impl Instances {
+impl SimulatedFleet {
     fn now(&self) -> MonoMs {
         MonoMs(10_000 + self.tick * TICK_MS)
     }
 
-    fn pass(&mut self) {
+    fn advance_tick(&mut self) {
         self.tick += 1;
         for index in 0..self.syncs.len() {
             let phase = self.tick + index as u64;
@@ -48,8 +49,8 @@
 
     fn gossip(&mut self, from: usize) {
         let (now, to) = (self.now(), self.rng.random_range(0..self.syncs.len()));
-        let advert = self.syncs[from].status(now);
-        self.syncs[to].on_peer_status(advert, None, now);
+        let status = self.syncs[from].status(now);
+        self.syncs[to].on_peer_status(status, None, now);
         let answer = self.syncs[to].status(now);
         self.syncs[from].on_peer_status(answer, Some(now), now);
     }
@@ -97,7 +98,7 @@
             .iter()
             .any(|sync| sync.registry().number() < number)
         {
-            self.pass();
+            self.advance_tick();
         }
         (self.tick - start) * TICK_MS
     }
@@ -108,7 +109,7 @@
     for sync in &mut syncs {
         sync.on_peer_answer(&ContractSyncData::Changes(Vec::new()), MonoMs(0));
     }
-    let mut instances = Instances {
+    let mut instances = SimulatedFleet {
         syncs,
         log: Vec::new(),
         gossips,
@@ -118,34 +119,34 @@
         rng: SmallRng::seed_from_u64(3),
     };
     for _ in 0..400 {
-        instances.pass();
+        instances.advance_tick();
     }
     let (reads, ticks) = (instances.head_reads, 1_200);
     for _ in 0..ticks {
-        instances.pass();
+        instances.advance_tick();
     }
     let seconds = (ticks * TICK_MS) as f64 / 1_000.0;
     let quiet = (instances.head_reads - reads) as f64 / seconds;
     let logs = instances.log_reads;
-    let mut took_ms = Vec::new();
+    let mut durations_ms = Vec::new();
     for _ in 0..CHANGES {
-        took_ms.push(instances.change());
+        durations_ms.push(instances.change());
         for _ in 0..instances.rng.random_range(20..80) {
-            instances.pass();
+            instances.advance_tick();
         }
     }
-    took_ms.sort_unstable();
+    durations_ms.sort_unstable();
     let logs = (instances.log_reads - logs) as f64 / CHANGES as f64;
-    let way = if gossips {
+    let mode = if gossips {
         "gossip and poll"
     } else {
         "poll alone"
     };
     println!(
-        "{count:4} instances, {way:15}: {quiet:6.1} head reads a second, {logs:5.1} log reads a \
+        "{count:4} instances, {mode:15}: {quiet:6.1} head reads a second, {logs:5.1} log reads a \
          change; in force p50 {:4} ms, worst {:4} ms",
-        took_ms[took_ms.len() / 2],
-        took_ms[took_ms.len() - 1]
+        durations_ms[durations_ms.len() / 2],
+        durations_ms[durations_ms.len() - 1]
     );
 }
 
--- a/crates/foxtailhold/examples/membership_cost.rs
+++ b/crates/foxtailhold/examples/membership_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what gossip costs and how fast it is: `cargo run --release -p foxtailhold --example
-//! membership_cost`.
+//! Measures the traffic of gossip and how fast it spreads changes: `cargo run --release -p
+//! foxtailhold --example membership_cost`.
 
 #[path = "../tests/common/gossip.rs"]
 mod gossip;
@@ -7,14 +7,14 @@
 use foxtailhold::membership::{MemberState, PROBE_PERIOD_MS};
 use gossip::Nodes;
 
-/// Numbers of instances measured.
+/// Fleet sizes that are measured.
 const SIZES: [usize; 6] = [3, 6, 11, 25, 50, 380];
-/// Periods of quiet.
+/// Probe periods without any change of membership.
 const QUIET_PERIODS: u64 = 240;
-/// Periods of churn, one instance replaced in each tenth.
+/// Probe periods with churn: one instance is replaced every ten periods.
 const CHURN_PERIODS: u64 = 240;
-/// Longest wait, in periods.
-const LIMIT: u64 = 400;
+/// Longest wait for a change to spread, in probe periods.
+const MAX_WAIT_PERIODS: u64 = 400;
 
 fn per_node(nodes: &Nodes, before: (u64, u64), periods: u64, count: usize) -> (u64, u64) {
     let (messages, bytes) = (nodes.messages - before.0, nodes.bytes - before.1);
@@ -33,7 +33,7 @@
             let known = |node: &gossip::Node| node.membership.members().count() >= count;
             nodes.nodes.iter().all(known)
         };
-        let start = nodes.periods_until(LIMIT, full);
+        let start = nodes.periods_until(MAX_WAIT_PERIODS, full);
         for _ in 0..120 {
             nodes.period();
         }
@@ -43,12 +43,17 @@
         }
         let (quiet, message) = per_node(&nodes, before, QUIET_PERIODS, count);
         let joined = nodes.join(9_000);
-        let join = nodes.periods_until(LIMIT, |nodes| nodes.agreed(joined, MemberState::Alive));
+        let join = nodes.periods_until(MAX_WAIT_PERIODS, |nodes| {
+            nodes.agreed(joined, MemberState::Alive)
+        });
         nodes.nodes[joined].membership.leave();
-        let leave = nodes.periods_until(LIMIT, |nodes| nodes.agreed(joined, MemberState::Leaving));
+        let leave = nodes.periods_until(MAX_WAIT_PERIODS, |nodes| {
+            nodes.agreed(joined, MemberState::Leaving)
+        });
         nodes.nodes[joined].alive = false;
         nodes.nodes[1].alive = false;
-        let dead = nodes.periods_until(LIMIT, |nodes| nodes.agreed(1, MemberState::Dead));
+        let dead =
+            nodes.periods_until(MAX_WAIT_PERIODS, |nodes| nodes.agreed(1, MemberState::Dead));
         let before = (nodes.messages, nodes.bytes);
         for period in 0..CHURN_PERIODS {
             if period % 10 == 0 {
--- a/crates/foxtailhold/tests/contract_sync_fuzz.rs
+++ b/crates/foxtailhold/tests/contract_sync_fuzz.rs
@@ -1,6 +1,10 @@
-//! Stateful fuzzing of [`foxtailhold::contract_sync`] over a fake of table, time and peers.
+//! Stateful fuzzing of [`foxtailhold::contract_sync`] against fakes of the table service, the clock
+//! and the peers.
 //!
-//! `FOXTAILHOLD_FUZZ_CASES` sets the number of cases for longer runs.
+//! After every step it checks that no contract reverts to an older version, and that an instance
+//! which is listed has applied all changes older than the bound. Once all faults have ended, every
+//! accepted change must come into force. `FOXTAILHOLD_FUZZ_CASES` sets the number of cases for
+//! longer runs.
 
 mod common;
 
@@ -20,13 +24,13 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// Few, so that peers far behind get the whole book.
+/// Few, so that peers often fall too far behind and get a snapshot.
 const CHANGES_KEPT: usize = 4;
-/// Few, so that scans of rows are used.
+/// Few, so that instances often have to scan the contract rows.
 const SNAPSHOT_REPLAY_CHANGES: u64 = 3;
 const INSTANCES: usize = 5;
 const CUSTOMERS: u64 = 6;
-/// The bound that the brief calls "within seconds".
+/// Required time until an accepted change is in force on all instances, once no fault is left.
 const FORCE_BOUND_MS: u64 = 6_000;
 const TICK_MS: u64 = 250;
 const CHANGE_MS: u64 = 60;
@@ -34,21 +38,22 @@
 
 #[derive(Debug, Clone)]
 enum Transition {
-    /// An operator changes a customer through an instance; the push reaches the peers in `told`.
+    /// An operator changes a customer's contract through an instance. The push reaches the peers in
+    /// the bit set `notified` at once, and the others when it is delivered.
     Change {
         at: usize,
         customer: u64,
-        told: u8,
+        notified: u8,
         killed: bool,
         answer_lost: bool,
     },
-    /// Time passes with gossip; messages to the instances in `drops` are lost.
+    /// Time passes with gossip. Messages from and to the instances in the bit set `drops` are lost.
     Pass {
         ticks: u8,
         drops: u8,
         seed: u64,
     },
-    /// A message that was sent before arrives, now or again.
+    /// A pushed change arrives late. With `again` it stays queued and can be delivered twice.
     Deliver {
         index: usize,
         again: bool,
@@ -59,28 +64,28 @@
     Restart(usize),
     StoreDown(bool),
     Lag(u64),
-    /// All faults cease; every change must be in force within the bound.
+    /// All faults end; every accepted change must come into force within [`FORCE_BOUND_MS`].
     Heal,
 }
 
-/// The oracle is the log itself, kept by the system under test; the reference only draws.
+/// Reference without a state: it only generates transitions. The log in [`World`] is the oracle.
 #[derive(Debug, Clone)]
-struct Draws;
+struct TransitionGenerator;
 
-impl ReferenceStateMachine for Draws {
-    type State = Draws;
+impl ReferenceStateMachine for TransitionGenerator {
+    type State = TransitionGenerator;
     type Transition = Transition;
 
-    fn init_state() -> BoxedStrategy<Draws> {
-        Just(Draws).boxed()
+    fn init_state() -> BoxedStrategy<TransitionGenerator> {
+        Just(TransitionGenerator).boxed()
     }
 
-    fn transitions(_: &Draws) -> BoxedStrategy<Transition> {
+    fn transitions(_: &TransitionGenerator) -> BoxedStrategy<Transition> {
         let at = 0..INSTANCES;
         prop_oneof![
             12 => (at.clone(), 0..CUSTOMERS, any::<u8>(), prop::bool::weighted(0.2), any::<bool>())
-                .prop_map(|(at, customer, told, killed, answer_lost)| Transition::Change {
-                    at, customer, told, killed, answer_lost }),
+                .prop_map(|(at, customer, notified, killed, answer_lost)| Transition::Change {
+                    at, customer, notified, killed, answer_lost }),
             8 => (1..12_u8, any::<u8>(), any::<u64>())
                 .prop_map(|(ticks, drops, seed)| Transition::Pass { ticks, drops, seed }),
             4 => (any::<usize>(), any::<bool>())
@@ -96,7 +101,7 @@
         .boxed()
     }
 
-    fn apply(state: Draws, _: &Transition) -> Draws {
+    fn apply(state: TransitionGenerator, _: &Transition) -> TransitionGenerator {
         state
     }
 }
@@ -108,7 +113,7 @@
     paused: bool,
     started_ms: u64,
     highest: u64,
-    highest_of: BTreeMap<CustomerId, u64>,
+    highest_by_customer: BTreeMap<CustomerId, u64>,
 }
 
 impl Instance {
@@ -120,7 +125,7 @@
             paused: false,
             started_ms,
             highest: 0,
-            highest_of: BTreeMap::new(),
+            highest_by_customer: BTreeMap::new(),
         }
     }
 
@@ -128,7 +133,7 @@
         MonoMs(now_ms - self.started_ms)
     }
 
-    fn runs(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.alive && !self.paused
     }
 }
@@ -138,7 +143,7 @@
     now_ms: u64,
     log: Vec<(u64, ContractChange)>,
     instances: Vec<Instance>,
-    sent: Vec<(usize, ContractSyncData)>,
+    undelivered: Vec<(usize, ContractSyncData)>,
     store_down: bool,
     lag_ms: u64,
 }
@@ -147,8 +152,7 @@
     CustomerId::try_from(format!("customer-{index}").as_str()).unwrap()
 }
 
-/// A key that moves between customers, where no other customer holds it, or else the customer's
-/// own.
+/// An API key that moves between customers, or the customer's own key if another customer holds it.
 fn free_key(
     rows: &BTreeMap<CustomerId, ContractEntry>,
     customer: &CustomerId,
@@ -172,8 +176,8 @@
         self.log.iter().filter(|(at, _)| *at <= ms).count() as u64
     }
 
-    /// The head as a read sees it, which may be of the past.
-    fn read_ms(&self, draw: u64) -> u64 {
+    /// The moment that a read sees, which may be up to `lag_ms` in the past.
+    fn read_moment_ms(&self, draw: u64) -> u64 {
         self.now_ms.saturating_sub(draw % (self.lag_ms + 1))
     }
 
@@ -194,12 +198,12 @@
         rows
     }
 
-    /// A scan of rows, each as it was at a moment of its own.
+    /// Scans the rows, each as it was at another moment within the lag.
     fn scan(&self, draw: u64) -> Vec<(CustomerId, ContractEntry)> {
         let mut found = Vec::new();
         for index in 0..CUSTOMERS {
             let customer = customer(index);
-            let read_ms = self.read_ms(draw.rotate_left(index as u32 * 9 + 3));
+            let read_ms = self.read_moment_ms(draw.rotate_left(index as u32 * 9 + 3));
             let row = self.rows_at(read_ms).remove(&customer);
             found.extend(row.map(|row| (customer, row)));
         }
@@ -215,8 +219,8 @@
             .collect()
     }
 
-    fn change(&mut self, at: usize, index: u64, told: u8, killed: bool, answer_lost: bool) {
-        if self.store_down || !self.instances[at].runs() {
+    fn change(&mut self, at: usize, index: u64, notified: u8, killed: bool, answer_lost: bool) {
+        if self.store_down || !self.instances[at].is_running() {
             return;
         }
         self.now_ms += CHANGE_MS;
@@ -243,32 +247,32 @@
         if killed || answer_lost {
             return;
         }
-        let catchup = ContractSyncData::Changes(vec![change]);
+        let data = ContractSyncData::Changes(vec![change]);
         for to in 0..INSTANCES {
-            if to == at || told & (1 << to) != 0 {
-                self.give(to, &catchup);
+            if to == at || notified & (1 << to) != 0 {
+                self.deliver(to, &data);
             } else {
-                self.sent.push((to, catchup.clone()));
+                self.undelivered.push((to, data.clone()));
             }
         }
     }
 
-    fn give(&mut self, to: usize, catchup: &ContractSyncData) {
-        if self.instances[to].runs() {
+    fn deliver(&mut self, to: usize, data: &ContractSyncData) {
+        if self.instances[to].is_running() {
             let now = self.instances[to].clock(self.now_ms);
-            self.instances[to].sync.on_data(catchup, now);
+            self.instances[to].sync.on_data(data, now);
         }
     }
 
     fn pass(&mut self, drops: u8, seed: u64) {
         self.now_ms += TICK_MS;
         for index in 0..INSTANCES {
-            if !self.instances[index].runs() {
+            if !self.instances[index].is_running() {
                 continue;
             }
             let draw = seed.rotate_left(index as u32 * 7) ^ self.now_ms;
             let to = (index + 1 + draw as usize % (INSTANCES - 1)) % INSTANCES;
-            if drops & (1 << index | 1 << to) == 0 && self.instances[to].runs() {
+            if drops & (1 << index | 1 << to) == 0 && self.instances[to].is_running() {
                 self.gossip(index, to);
             }
             for round in 0..3 {
@@ -279,17 +283,17 @@
 
     fn gossip(&mut self, from: usize, to: usize) {
         let sent_at = self.instances[from].clock(self.now_ms);
-        let advert = self.advert(from);
+        let status = self.status(from);
         let now = self.instances[to].clock(self.now_ms);
-        self.instances[to].sync.on_peer_status(advert, None, now);
-        let answer = self.advert(to);
+        self.instances[to].sync.on_peer_status(status, None, now);
+        let answer = self.status(to);
         self.instances[from]
             .sync
             .on_peer_status(answer, Some(sent_at), sent_at);
     }
 
-    fn advert(&self, of: usize) -> ContractStatus {
-        let instance = &self.instances[of];
+    fn status(&self, index: usize) -> ContractStatus {
+        let instance = &self.instances[index];
         instance.sync.status(instance.clock(self.now_ms))
     }
 
@@ -299,11 +303,11 @@
             return;
         };
         let peer = (index + 1 + draw as usize % (INSTANCES - 1)) % INSTANCES;
-        let reached = drops & (1 << index | 1 << peer) == 0 && self.instances[peer].runs();
+        let reached = drops & (1 << index | 1 << peer) == 0 && self.instances[peer].is_running();
         let peer_loaded = reached && self.instances[peer].sync.is_loaded();
-        let read_ms = self.read_ms(draw >> 7);
-        let of_store = !matches!(step, SyncStep::AskPeer { .. });
-        if of_store && self.store_down || !of_store && !peer_loaded {
+        let read_ms = self.read_moment_ms(draw >> 7);
+        let needs_store = !matches!(step, SyncStep::AskPeer { .. });
+        if needs_store && self.store_down || !needs_store && !peer_loaded {
             self.instances[index].sync.on_failed(step, draw, now);
             return;
         }
@@ -330,7 +334,7 @@
                     head,
                     replay_after,
                     entries: self.scan(draw),
-                    replayed: self.log_after(replay_after, self.read_ms(draw >> 17)),
+                    replayed: self.log_after(replay_after, self.read_moment_ms(draw >> 17)),
                 };
                 self.instances[index].sync.on_store_snapshot(snapshot, now);
             }
@@ -363,14 +367,15 @@
         }
     }
 
-    /// No entry is older than the number says. Only a scan of rows may bring newer ones.
-    fn check_book(&self, book: &ContractRegistry) {
-        let rows = self.rows_until(book.number());
-        let ahead = book
+    /// Checks that no entry is older than the applied number implies. Entries may be newer only
+    /// after a scan of rows.
+    fn check_registry(&self, registry: &ContractRegistry) {
+        let rows = self.rows_until(registry.number());
+        let ahead = registry
             .entries()
-            .any(|(_, entry)| entry.number > book.number());
+            .any(|(_, entry)| entry.number > registry.number());
         for (customer, row) in &rows {
-            let entry = book.get(customer).unwrap();
+            let entry = registry.get(customer).unwrap();
             assert!(
                 entry.number >= row.number,
                 "{customer} reverted to {entry:?}"
@@ -380,33 +385,39 @@
             }
             assert_eq!(entry, row);
             for key in row.contract.iter().flat_map(|contract| &contract.api_keys) {
-                assert_eq!(book.by_key_digest(key), row.contract.as_ref());
+                assert_eq!(registry.by_key_digest(key), row.contract.as_ref());
             }
         }
-        assert!(ahead || book.entries().count() == rows.len());
+        assert!(ahead || registry.entries().count() == rows.len());
     }
 
     fn check_instance(&mut self, index: usize) {
         let number = self.instances[index].sync.registry().number();
         let instance = &self.instances[index];
-        assert!(number >= instance.highest, "the applied number fell");
+        assert!(
+            number >= instance.highest,
+            "the number of the last applied change decreased"
+        );
         if instance.sync.is_loaded() {
-            self.check_book(instance.sync.registry());
+            self.check_registry(instance.sync.registry());
         }
         let now = instance.clock(self.now_ms);
-        let shown = instance.sync.listing(true, now) == ListingState::Listed;
+        let listed = instance.sync.listing(true, now) == ListingState::Listed;
         let bound_ms = CURRENT_BOUND_MS + MAX_LAG_MS;
-        if instance.runs() && shown {
-            let due = self.head_at(self.now_ms.saturating_sub(bound_ms));
+        if instance.is_running() && listed {
+            let required = self.head_at(self.now_ms.saturating_sub(bound_ms));
             assert!(
-                number >= due,
-                "listed at {number}, {due} was accepted {bound_ms} ms ago"
+                number >= required,
+                "listed at {number}, {required} was accepted {bound_ms} ms ago"
             );
         }
         let instance = &mut self.instances[index];
         instance.highest = number;
         for (customer, entry) in instance.sync.registry().entries() {
-            let highest = instance.highest_of.entry(customer.clone()).or_default();
+            let highest = instance
+                .highest_by_customer
+                .entry(customer.clone())
+                .or_default();
             assert!(
                 entry.number >= *highest,
                 "{customer} reverted to {}",
@@ -421,31 +432,31 @@
 
 impl StateMachineTest for SyncFuzz {
     type SystemUnderTest = World;
-    type Reference = Draws;
+    type Reference = TransitionGenerator;
 
-    fn init_test(_: &Draws) -> World {
+    fn init_test(_: &TransitionGenerator) -> World {
         let mut instances = Vec::new();
         instances.resize_with(INSTANCES, || Instance::new(0));
         World {
             now_ms: 0,
             log: Vec::new(),
             instances,
-            sent: Vec::new(),
+            undelivered: Vec::new(),
             store_down: false,
             lag_ms: 0,
         }
     }
 
-    fn apply(mut world: World, _: &Draws, transition: Transition) -> World {
+    fn apply(mut world: World, _: &TransitionGenerator, transition: Transition) -> World {
         match transition {
             Transition::Change {
                 at,
                 customer,
-                told,
+                notified,
                 killed,
                 answer_lost,
             } => {
-                world.change(at, customer, told, killed, answer_lost);
+                world.change(at, customer, notified, killed, answer_lost);
             }
             Transition::Pass { ticks, drops, seed } => {
                 for tick in 0..ticks {
@@ -454,11 +465,11 @@
                 }
             }
             Transition::Deliver { index, again } => {
-                if let Some(index) = index.checked_rem(world.sent.len()) {
-                    let (to, catchup) = world.sent[index].clone();
-                    world.give(to, &catchup);
+                if let Some(index) = index.checked_rem(world.undelivered.len()) {
+                    let (to, data) = world.undelivered[index].clone();
+                    world.deliver(to, &data);
                     if !again {
-                        world.sent.swap_remove(index);
+                        world.undelivered.swap_remove(index);
                     }
                 }
             }
--- a/crates/foxtailhold/tests/contracts.rs
+++ b/crates/foxtailhold/tests/contracts.rs
@@ -1,4 +1,4 @@
-//! Contracts applied from reads of the past, and what counts as evidence of being current.
+//! Contracts applied from stale reads, and what confirms that an instance is current.
 
 mod common;
 
@@ -23,41 +23,43 @@
     (change.customer.clone(), entry)
 }
 
-fn holder(book: &ContractRegistry, key: &str) -> Option<String> {
-    let contract = book.by_api_key(key)?;
+fn holder(registry: &ContractRegistry, key: &str) -> Option<String> {
+    let contract = registry.by_api_key(key)?;
     Some(contract.customer.to_string())
 }
 
-/// The moved key goes from `alpha` (number 1) to `beta` (number 3), after `alpha` gave it up in 2.
+/// A scan reads each row at another moment, so a snapshot may hold an old row next to a new one.
+/// Replaying the log over it must never give the key back to its old holder: the key moves from
+/// `alpha` (change 1) to `beta` (change 3), after change 2 took it from `alpha`.
 #[test_case(&[0, 2]; "old holder's row first")]
 #[test_case(&[2, 0]; "new holder's row first")]
 #[test_case(&[1, 2]; "both rows new")]
-#[test_case(&[3, 2]; "a row from after changes yet to be replayed")]
-fn rows_of_different_moments_do_not_revert_while_the_log_is_replayed(scanned: &[usize]) {
+#[test_case(&[3, 2]; "a row newer than changes still to be replayed")]
+fn rows_of_different_moments_do_not_revert_while_the_log_is_replayed(scanned_rows: &[usize]) {
     let changes = [
         change(1, "alpha", 1, "moved-key"),
         change(2, "alpha", 2, "alpha-key"),
         change(3, "beta", 1, "moved-key"),
         change(4, "alpha", 3, "alpha-key"),
     ];
-    let mut book = ContractRegistry::default();
-    let entries = scanned.iter().map(|index| row(&changes[*index]));
-    book.apply_update(&ContractSyncData::Snapshot {
+    let mut registry = ContractRegistry::default();
+    let entries = scanned_rows.iter().map(|index| row(&changes[*index]));
+    registry.apply_update(&ContractSyncData::Snapshot {
         number: 1,
         entries: entries.collect(),
     });
-    let mut highest = book
+    let mut highest = registry
         .get(&changes[0].customer)
         .map_or(0, |alpha| alpha.number);
     for change in &changes {
-        book.apply(change);
-        assert_eq!(holder(&book, "moved-key").as_deref(), Some("beta"));
-        let alpha = book.get(&changes[0].customer).unwrap().number;
+        registry.apply(change);
+        assert_eq!(holder(&registry, "moved-key").as_deref(), Some("beta"));
+        let alpha = registry.get(&changes[0].customer).unwrap().number;
         assert!(alpha >= highest);
         highest = alpha;
     }
-    assert_eq!(book.number(), 4);
-    assert_eq!(holder(&book, "alpha-key").as_deref(), Some("alpha"));
+    assert_eq!(registry.number(), 4);
+    assert_eq!(holder(&registry, "alpha-key").as_deref(), Some("alpha"));
 }
 
 fn loaded(now: MonoMs) -> ContractSync {
@@ -67,10 +69,10 @@
     sync
 }
 
-#[test_case(1, ListingState::Listed; "a read of the own number confirms")]
-#[test_case(0, ListingState::CutOff; "a lagging read confirms nothing")]
+#[test_case(1, ListingState::Listed; "a read of the applied number confirms")]
+#[test_case(0, ListingState::CutOff; "a stale read confirms nothing")]
 #[test_case(2, ListingState::CutOff; "a higher number confirms once it is applied")]
-fn head_row_is_evidence(head: u64, listing: ListingState) {
+fn head_row_confirms(head: u64, listing: ListingState) {
     let now = MonoMs(10_000);
     let mut sync = loaded(now);
     sync.on_head(head, now, 1, now);
@@ -88,39 +90,43 @@
 }
 
 #[test_case(Some(0), 0, ListingState::Listed; "fresh")]
-#[test_case(Some(CURRENT_BOUND_MS as u32), 1, ListingState::CutOff; "age and way together too old")]
-#[test_case(None, 0, ListingState::CutOff; "the peer has no evidence")]
-fn peers_evidence_keeps_its_age(age_ms: Option<u32>, way_ms: u64, listing: ListingState) {
+#[test_case(Some(CURRENT_BOUND_MS as u32), 1, ListingState::CutOff; "age and time in transit together too old")]
+#[test_case(None, 0, ListingState::CutOff; "the peer has no confirmation")]
+fn confirmation_from_a_peer_keeps_its_age(
+    age_ms: Option<u32>,
+    transit_ms: u64,
+    listing: ListingState,
+) {
     let sent_at = MonoMs(10_000);
     let mut sync = loaded(sent_at);
-    let advert = ContractStatus {
+    let status = ContractStatus {
         number: 1,
         confirmed_age_ms: age_ms,
     };
-    sync.on_peer_status(advert, Some(sent_at), sent_at + way_ms);
-    assert_eq!(sync.listing(true, sent_at + way_ms), listing);
+    sync.on_peer_status(status, Some(sent_at), sent_at + transit_ms);
+    assert_eq!(sync.listing(true, sent_at + transit_ms), listing);
     let mut sync = loaded(sent_at);
-    sync.on_peer_status(advert, None, sent_at + way_ms);
+    sync.on_peer_status(status, None, sent_at + transit_ms);
     assert_eq!(sync.listing(true, sent_at), ListingState::CutOff);
 }
 
 #[test]
-fn store_outage_takes_nobody_out_of_the_list_and_a_known_missing_change_does() {
+fn store_outage_unlists_no_instance_and_a_known_missing_change_does() {
     let start = MonoMs(10_000);
     let mut sync = loaded(start);
     let later = start + 10 * CURRENT_BOUND_MS;
     assert_eq!(sync.listing(false, later), ListingState::Listed);
-    let advert = ContractStatus {
+    let status = ContractStatus {
         number: 2,
         confirmed_age_ms: None,
     };
-    sync.on_peer_status(advert, None, start);
+    sync.on_peer_status(status, None, start);
     assert_eq!(sync.listing(false, start), ListingState::Listed);
     assert_eq!(sync.listing(false, later), ListingState::Behind);
 }
 
 #[test]
-fn change_that_comes_before_its_predecessor_is_kept_and_the_predecessor_fetched() {
+fn change_that_arrives_before_its_predecessor_is_buffered_and_the_predecessor_fetched() {
     let now = MonoMs(10_000);
     let mut sync = loaded(now);
     let third = ContractSyncData::Changes(vec![change(3, "gamma", 1, "gamma-key")]);
@@ -134,7 +140,7 @@
 }
 
 #[test]
-fn head_row_is_read_only_when_evidence_is_older_than_the_poll_period() {
+fn head_row_is_read_only_when_the_confirmation_is_older_than_the_poll_period() {
     let now = MonoMs(10_000);
     let mut sync = loaded(now);
     assert_eq!(sync.next_step(0, now), Some(SyncStep::ReadHead));
