--- a/crates/foxtailhold-entry/src/actors/fleet.rs
+++ b/crates/foxtailhold-entry/src/actors/fleet.rs
@@ -49,7 +49,7 @@
         &self,
         myself: ActorRef<Self::Msg>,
         message: Self::Msg,
-        marks: &mut LeavingMarks,
+        leaving: &mut LeavingMarks,
     ) -> Result<(), ActorProcessingErr> {
         let now = self.0.clock.mono();
         match message {
@@ -59,15 +59,15 @@
                 for cell in &self.0.backends.load().cells {
                     self.read_load(cell);
                 }
-                marks.tick(now);
+                leaving.tick(now);
             }
-            FleetMessage::Marks(told) => {
-                if marks.hear(&told, now) {
-                    self.announce_leaving(marks, now);
+            FleetMessage::Marks(notices) => {
+                if leaving.hear(&notices, now) {
+                    self.announce_leaving(leaving, now);
                 }
             }
         }
-        self.publish_leaving(marks, now);
+        self.publish_leaving(leaving, now);
         Ok(())
     }
 }
@@ -87,8 +87,8 @@
 
     fn publish(&self, myself: &ActorRef<FleetMessage>, fleet: Fleet) {
         let before = self.0.backends.load();
-        let known = before.cells.iter().map(|cell| &cell.backend);
-        if !known.eq(fleet.backends.iter()) {
+        let listed = before.cells.iter().map(|cell| &cell.backend);
+        if !listed.eq(fleet.backends.iter()) {
             let first = before.cells.is_empty();
             self.0
                 .backends
@@ -107,33 +107,33 @@
 
     /// Adds a notice for each backend server that reported to this instance that it is leaving, and
     /// publishes all leaving backend servers.
-    fn publish_leaving(&self, marks: &mut LeavingMarks, now: MonoMs) {
+    fn publish_leaving(&self, leaving: &mut LeavingMarks, now: MonoMs) {
         let (backends, wall) = (self.0.backends.load(), self.0.clock.wall());
         let mut changed = false;
         for cell in &backends.cells {
             if cell.seen_leaving() {
-                changed |= marks.witness(&cell.backend.id, wall, now);
+                changed |= leaving.witness(&cell.backend.id, wall, now);
             }
         }
         for cell in &backends.cells {
-            cell.set_marked_leaving(marks.is_marked(&cell.backend.id, now));
+            cell.set_marked_leaving(leaving.is_marked(&cell.backend.id, now));
         }
-        self.0.leaving.store(Arc::new(marks.clone()));
+        self.0.leaving.store(Arc::new(leaving.clone()));
         if changed {
-            self.announce_leaving(marks, now);
+            self.announce_leaving(leaving, now);
         }
     }
 
     /// Sends the leaving notices to [`ANNOUNCE_FANOUT`] random instances. They forward what is new
     /// to them; gossip reaches the rest.
-    fn announce_leaving(&self, marks: &LeavingMarks, now: MonoMs) {
+    fn announce_leaving(&self, leaving: &LeavingMarks, now: MonoMs) {
         let mut peers = self.0.live_members();
         peers.retain(|member| member.id != self.0.settings.instance);
         peers.shuffle(&mut rand::rng());
         peers.truncate(ANNOUNCE_FANOUT);
         for peer in peers {
             let shared = self.0.clone();
-            let request = PeerRequest::BackendsLeaving(marks.told(now));
+            let request = PeerRequest::BackendsLeaving(leaving.told(now));
             tokio::spawn(async move {
                 let address = peer.peer_address;
                 let delivery = shared
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -37,9 +37,12 @@
 pub struct JobsState {
     registry: Registry,
     runs: HashMap<JobId, CancellationToken>,
-    waiting: HashMap<JobId, Vec<RpcReplyPort<()>>>,
+    /// Requests to stop a job that wait for its run to end.
+    stop_replies: HashMap<JobId, Vec<RpcReplyPort<()>>>,
+    /// Leases of other owners, observed to see when they expire.
     watched: WatchedLeases,
-    stopping: Vec<RpcReplyPort<()>>,
+    /// Requests to stop all jobs that wait for the last run to end.
+    stop_all_replies: Vec<RpcReplyPort<()>>,
 }
 
 impl<P: Platform> Actor for JobsActor<P> {
@@ -72,7 +75,7 @@
             JobsMessage::Ended(job) => {
                 state.runs.remove(&job);
                 state.registry.ended(&job);
-                answer_all(state.waiting.remove(&job).unwrap_or_default());
+                answer_all(state.stop_replies.remove(&job).unwrap_or_default());
             }
             JobsMessage::Stop(job, reply) => state.stop(&job, reply),
             JobsMessage::StopAll(reply) => {
@@ -80,11 +83,11 @@
                 for stop in state.runs.values() {
                     stop.cancel();
                 }
-                state.stopping.push(reply);
+                state.stop_all_replies.push(reply);
             }
         }
         if state.registry.is_idle() {
-            answer_all(std::mem::take(&mut state.stopping));
+            answer_all(std::mem::take(&mut state.stop_all_replies));
         }
         Ok(())
     }
@@ -100,14 +103,19 @@
         if let Some(stop) = self.runs.get(job) {
             stop.cancel();
         }
-        self.waiting.entry(job.clone()).or_default().push(reply);
+        self.stop_replies
+            .entry(job.clone())
+            .or_default()
+            .push(reply);
     }
 
     /// Answers the requests to stop a job that a scan may have been about to start and that does
     /// not run here after all.
     fn answer_settled_stops(&mut self) {
         let runs = &self.runs;
-        let settled = self.waiting.extract_if(|job, _| !runs.contains_key(job));
+        let settled = self
+            .stop_replies
+            .extract_if(|job, _| !runs.contains_key(job));
         for (_, replies) in settled {
             answer_all(replies);
         }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -221,12 +221,12 @@
         }
     }
 
-    fn forward_leaving(&self, marks: Vec<LeavingMark>) {
-        if marks.is_empty() {
+    fn forward_leaving(&self, notices: Vec<LeavingMark>) {
+        if notices.is_empty() {
             return;
         }
         if let Some(actors) = self.0.actors() {
-            log_undelivered(actors.fleet.send_message(FleetMessage::Marks(marks)));
+            log_undelivered(actors.fleet.send_message(FleetMessage::Marks(notices)));
         }
     }
 
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -176,8 +176,8 @@
         let lease_state = self.lease_state.subscribe();
         let sender = self.sender.clone();
         let task = tokio::spawn(async move {
-            let drained = || drop(sender.send(RunnerEvent::AllStarted(index)));
-            if let Some(row) = chunk::run(&shared, &owned, index, lease_state, drained).await {
+            let all_started = || drop(sender.send(RunnerEvent::AllStarted(index)));
+            if let Some(row) = chunk::run(&shared, &owned, index, lease_state, all_started).await {
                 let _ = sender.send(RunnerEvent::ResultsStored(index, row));
             }
         });
