--- a/crates/foxtailhold-entry/src/jobs/item_attempt.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_attempt.rs
@@ -1,54 +1,53 @@
-//! The part of an item's stream that comes from one engine.
+//! One attempt of an item: the part of its stream that comes from one engine.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::quarantine::ProbeOutcome;
 use foxtailhold::stall;
+use foxtailhold::quarantine::ProbeOutcome;
 use foxtailhold::timeline::TimelineEvent;
-use foxtailhold_engine::{
-    EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer,
-};
+use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer};
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
+use crate::online_load;
 use crate::backends::{BackendState, InFlightGuard};
 use crate::batch_controllers::BatchItemInFlight;
 use crate::crashes::ProbeGuard;
-use crate::gateway::dispatch::{self, OutgoingRequest, StartedAnswer};
-use crate::jobs::item_body::Received;
-use crate::online_load;
+use crate::gateway::dispatch::{OutgoingRequest, StartedAnswer, self};
+use crate::jobs::item_body::ReceivedOutput;
 use crate::shared::Shared;
 
-/// How a leg ended by itself.
+/// How an attempt ended, unless it was dropped.
 #[derive(Debug)]
-pub enum LegEnd {
-    /// The engine answered in one piece.
+pub enum AttemptEnd {
+    /// The engine sent a complete unstreamed answer.
     Whole(WholeAnswer),
-    /// The stream has ended.
+    /// The stream has ended normally.
     Finished,
-    /// The engine failed.
+    /// The engine refused the item, failed or stalled.
     Failed(EngineError),
 }
 
-/// A leg that has begun. Dropping it cancels the item at its engine.
+/// An attempt whose response has begun. Dropping it cancels the item at its engine.
 #[derive(Debug)]
 pub struct ItemAttempt<P: Platform> {
     shared: Shared<P>,
     server: Arc<BackendState>,
     answer: EngineAnswer,
-    trial: Option<ProbeGuard<P>>,
+    probe: Option<ProbeGuard<P>>,
     in_flight: InFlightGuard,
     _batch: Option<BatchItemInFlight>,
     body_bytes: u64,
 }
 
 impl<P: Platform> ItemAttempt<P> {
-    /// Sends the item, or the rest of it, to the engine at which it has a place.
+    /// Sends the item to the engine at which it has a slot, as a continuation if output was
+    /// received before.
     pub async fn open(
         shared: &Shared<P>,
         outgoing: &OutgoingRequest,
-        received: &Received,
+        received: &ReceivedOutput,
         server: &Arc<BackendState>,
     ) -> foxtailhold_engine::Result<Self> {
         let batch = online_load::start_batch_item(shared, &server.backend.id);
@@ -73,7 +72,7 @@
         let answer = match shared.engines.send(server.backend.address, &request).await {
             Ok(answer) => answer,
             Err(error) => {
-                note_failure(shared, server, &in_flight, None, &error).await;
+                report_failure(shared, server, &in_flight, None, &error).await;
                 return Err(error);
             }
         };
@@ -81,15 +80,15 @@
             shared: shared.clone(),
             server: server.clone(),
             answer,
-            trial: None,
+            probe: None,
             in_flight,
             _batch: batch,
             body_bytes: outgoing.body.len() as u64,
         })
     }
 
-    /// The leg of a trial.
-    pub fn of_trial(
+    /// Wraps the response of a probe. A probe takes no slot and is not counted as batch work.
+    pub fn of_probe(
         shared: &Shared<P>,
         outgoing: &OutgoingRequest,
         opened: StartedAnswer<P>,
@@ -98,26 +97,27 @@
             shared: shared.clone(),
             server: opened.server,
             answer: opened.answer,
-            trial: opened.probe,
+            probe: opened.probe,
             in_flight: opened.in_flight,
             _batch: None,
             body_bytes: outgoing.body.len() as u64,
         }
     }
 
-    /// Reads to the end. What came is in `received` also when the future is dropped.
-    pub async fn run(self, received: &mut Received) -> LegEnd {
+    /// Reads the stream to its end. Everything read so far is in `received`, also when the future
+    /// is dropped.
+    pub async fn run(self, received: &mut ReceivedOutput) -> AttemptEnd {
         let ItemAttempt {
             shared,
             server,
             answer,
-            mut trial,
+            mut probe,
             in_flight,
             _batch,
             body_bytes,
         } = self;
         let mut stream = match answer {
-            EngineAnswer::Whole(answer) => return LegEnd::Whole(answer),
+            EngineAnswer::Whole(answer) => return AttemptEnd::Whole(answer),
             EngineAnswer::Stream(stream) => stream,
         };
         let mut last_event: Option<Instant> = None;
@@ -126,7 +126,7 @@
                 None => stall::first_event_bound_ms(&server.load(), server.latency(), body_bytes),
                 Some(_) => stall::next_event_bound_ms(server.latency()),
             };
-            let error = match next(&mut stream, bound_ms).await {
+            let error = match next_event(&mut stream, bound_ms).await {
                 Ok(TokenEvent::Chunk {
                     raw,
                     text,
@@ -138,44 +138,48 @@
                     if let Some(last) = last_event.replace(now) {
                         server.record_token_gap(now - last);
                     }
-                    if let Some(trial) = trial.take_if(|trial| !trial.is_strict()) {
-                        trial.close(ProbeOutcome::Survived);
+                    if let Some(probe) = probe.take_if(|probe| !probe.is_strict()) {
+                        probe.close(ProbeOutcome::Survived);
                     }
                     continue;
                 }
                 Ok(TokenEvent::Done { .. }) => {
                     server.record_success();
-                    if let Some(trial) = trial {
-                        trial.close(ProbeOutcome::Survived);
+                    if let Some(probe) = probe {
+                        probe.close(ProbeOutcome::Survived);
                     }
                     stream.close();
-                    return LegEnd::Finished;
+                    return AttemptEnd::Finished;
                 }
                 Err(error) => error,
             };
             stream.close();
-            note_failure(&shared, &server, &in_flight, trial, &error).await;
-            return LegEnd::Failed(error);
+            report_failure(&shared, &server, &in_flight, probe, &error).await;
+            return AttemptEnd::Failed(error);
         }
     }
 }
 
-async fn next(stream: &mut EngineStream, bound_ms: u64) -> foxtailhold_engine::Result<TokenEvent> {
+async fn next_event(
+    stream: &mut EngineStream,
+    bound_ms: u64,
+) -> foxtailhold_engine::Result<TokenEvent> {
     let wait = Duration::from_millis(bound_ms);
     let event = tokio::time::timeout(wait, stream.next()).await;
     let event = event.unwrap_or(Err(EngineError::Stalled { bound_ms }))?;
     event.ok_or(EngineError::Unfinished)
 }
 
-/// Finds out whether a failure was a crash, and sets the engine aside.
-async fn note_failure<P: Platform>(
+/// Reports the failure, which decides whether it was a crash, and opens the engine's breaker unless
+/// the engine was only full.
+async fn report_failure<P: Platform>(
     shared: &Shared<P>,
     server: &BackendState,
     in_flight: &InFlightGuard,
-    trial: Option<ProbeGuard<P>>,
+    probe: Option<ProbeGuard<P>>,
     error: &EngineError,
 ) {
-    dispatch::failed(shared, server, in_flight, trial, error).await;
+    dispatch::failed(shared, server, in_flight, probe, error).await;
     if !matches!(error, EngineError::Full) {
         server.record_failure(shared.clock.mono());
     }
