--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -5,12 +5,14 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use foxtailhold::rendezvous;
-use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest};
 use foxtailhold::batch_control::controller::BatchController;
-use foxtailhold::batch_control::scheduler::{BatchScheduler, ItemKey, SchedulerAction, SchedulerReplica};
+use foxtailhold::batch_control::scheduler::{
+    BatchScheduler, ItemKey, SchedulerAction, SchedulerReplica,
+};
+use foxtailhold::batch_control::{BatchSlotGrant, BatchSlotRequest};
 use foxtailhold::ids::{BackendId, InstanceId};
 use foxtailhold::membership::Member;
+use foxtailhold::rendezvous;
 use foxtailhold::replicas::{BackendKind, FleetState};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
@@ -19,11 +21,11 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::online_load;
 use crate::actors::{log_undelivered, tick};
 use crate::backends::{BackendState, BackendTable};
 use crate::batch_controllers::{BatchControllerEntry, BatchControllers};
 use crate::messages::{BatchControllerMessage, SlotSignal};
+use crate::online_load;
 use crate::shared::Shared;
 
 /// Period at which congestion windows, slot grants and due slot requests are checked.
--- a/crates/foxtailhold-entry/src/actors/contracts.rs
+++ b/crates/foxtailhold-entry/src/actors/contracts.rs
@@ -15,8 +15,8 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use rand::seq::IndexedRandom;
 
-use crate::contract_store;
 use crate::actors::{log_undelivered, tick};
+use crate::contract_store;
 use crate::messages::{ContractsMessage, SyncResult};
 use crate::shared::Shared;
 
--- a/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
@@ -9,9 +9,9 @@
 use foxtailhold_platform::{Expect, KeyedRow, Operation, Platform, Result};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 
-use crate::tables;
 use crate::actors::tick;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Period at which the instance that is assigned the sweep reads a page.
 pub const SWEEP_PERIOD_MS: u64 = 5_000;
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -2,23 +2,23 @@
 
 use std::collections::HashMap;
 
-use foxtailhold::rendezvous;
 use foxtailhold::batch::OpenJobRow;
 use foxtailhold::batch::claim::{OwnedJob, WatchedLeases};
 use foxtailhold::batch::registry::{JobRegistry, StopAction};
 use foxtailhold::ids::JobId;
 use foxtailhold::membership::MemberState;
+use foxtailhold::rendezvous;
 use foxtailhold_platform::Platform;
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
 use tokio_util::sync::CancellationToken;
 
-use crate::tables;
 use crate::actors::{log_undelivered, tick};
+use crate::jobs::owner::{self, scan_all};
+use crate::jobs::runner::{self, JobRunOutcome};
 use crate::jobs::sweep;
-use crate::jobs::owner::{scan_all, self};
-use crate::jobs::runner::{JobRunOutcome, self};
 use crate::messages::{JobScan, JobsMessage};
 use crate::shared::Shared;
+use crate::tables;
 
 /// Period at which an instance scans the open jobs. Where there are more than
 /// [`MAX_FLEET_SCANS_PER_S`] instances, each skips a random part of its scans.
--- a/crates/foxtailhold-entry/src/actors/lease.rs
+++ b/crates/foxtailhold-entry/src/actors/lease.rs
@@ -8,10 +8,10 @@
 use foxtailhold_platform::{Operation, Platform, PlatformError, Result, Transacted};
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
 
-use crate::tables;
 use crate::actors::tick;
 use crate::jobs::store;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Messages to the lease actor.
 #[derive(Debug)]
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -6,7 +6,9 @@
 use foxtailhold::contract_sync::ContractStatus;
 use foxtailhold::ids::InstanceId;
 use foxtailhold::leaving::LeavingNotice;
-use foxtailhold::membership::{Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS};
+use foxtailhold::membership::{
+    Gossip, GossipPayload, Member, MemberState, Membership, PROBE_PERIOD_MS,
+};
 use foxtailhold::time::MonoMs;
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -10,17 +10,20 @@
 use foxtailhold::idempotency::ExpectedVersion;
 use foxtailhold::ids::BackendId;
 use foxtailhold::lease_row::LeaseRow;
-use foxtailhold::orders::{DesiredSetup, EngineSetup, IssuerAction, LeaseWrite, LeaseWriteOutcome, Order, OrderIssuer, OrderOutcome};
+use foxtailhold::orders::{
+    DesiredSetup, EngineSetup, IssuerAction, LeaseWrite, LeaseWriteOutcome, Order, OrderIssuer,
+    OrderOutcome,
+};
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_engine::orders::OrderClient;
 use foxtailhold_platform::{Expect, Operation, Platform, Result, Transacted};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::watch;
 
-use crate::tables;
 use crate::actors::tick;
 use crate::jobs::owner::scan_all;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Period at which the desired setups are read.
 pub const DESIRED_PERIOD_MS: u64 = 1_000;
@@ -97,7 +100,8 @@
     fn update_workers(&self, state: &mut OrdersState, desired: Vec<(BackendId, DesiredSetup)>) {
         state.workers.retain(|_, worker| !worker.is_closed());
         for (id, desired) in desired {
-            let assigned = !self.0.is_stopping() && self.0.is_coordinator_for(id.as_str().as_bytes());
+            let assigned =
+                !self.0.is_stopping() && self.0.is_coordinator_for(id.as_str().as_bytes());
             match state.workers.get(&id) {
                 Some(worker) => {
                     worker.send_replace(assigned.then_some(desired));
@@ -231,7 +235,8 @@
             outcome: ordered,
         });
         let now = self.shared.clock.mono();
-        self.issuer.order_sent(sent_at, now, desired_version, ordered);
+        self.issuer
+            .order_sent(sent_at, now, desired_version, ordered);
     }
 
     fn address(&self) -> Option<std::net::SocketAddr> {
--- a/crates/foxtailhold-entry/src/jobs/chunk.rs
+++ b/crates/foxtailhold-entry/src/jobs/chunk.rs
@@ -2,20 +2,20 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use foxtailhold::batch::{BatchItem, ChunkRow};
 use foxtailhold::batch::chunk::{ChunkCommit, ChunkCommitResult};
 use foxtailhold::batch::claim::OwnedJob;
+use foxtailhold::batch::{BatchItem, ChunkRow};
 use foxtailhold::lease::LeaseState;
 use foxtailhold::time::WallMs;
 use foxtailhold_platform::{Platform, PlatformError, Result};
 use futures_util::{StreamExt, stream};
 use tokio::sync::watch;
 
-use crate::tables;
-use crate::jobs::policy;
 use crate::jobs::item::{FinishedItem, ItemTask};
-use crate::jobs::store::{Backoff, self};
+use crate::jobs::policy;
+use crate::jobs::store::{self, Backoff};
 use crate::shared::Shared;
+use crate::tables;
 
 /// Maps a job's endpoint to the static path of its requests.
 fn request_path(endpoint: &str) -> &'static str {
--- a/crates/foxtailhold-entry/src/jobs/deadline_check.rs
+++ b/crates/foxtailhold-entry/src/jobs/deadline_check.rs
@@ -1,9 +1,9 @@
 //! Deadline check: refuses a new batch job that cannot be finished by its deadline.
 
-use foxtailhold::rendezvous;
 use foxtailhold::batch::deadline_check::DeadlineCheck;
 use foxtailhold::ids::JobId;
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
+use foxtailhold::rendezvous;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::Platform;
 
--- a/crates/foxtailhold-entry/src/jobs/item_attempt.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_attempt.rs
@@ -3,19 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foxtailhold::stall;
 use foxtailhold::quarantine::ProbeOutcome;
+use foxtailhold::stall;
 use foxtailhold::timeline::TimelineEvent;
-use foxtailhold_engine::{EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer};
+use foxtailhold_engine::{
+    EngineAnswer, EngineError, EngineRequest, EngineStream, Resume, TokenEvent, WholeAnswer,
+};
 use foxtailhold_platform::Platform;
 use tokio::time::Instant;
 
-use crate::online_load;
 use crate::backends::{BackendState, InFlightGuard};
 use crate::batch_controllers::BatchItemInFlight;
 use crate::crashes::ProbeGuard;
-use crate::gateway::dispatch::{OutgoingRequest, StartedAnswer, self};
+use crate::gateway::dispatch::{self, OutgoingRequest, StartedAnswer};
 use crate::jobs::item_body::ReceivedOutput;
+use crate::online_load;
 use crate::shared::Shared;
 
 /// How an attempt ended, unless it was dropped.
--- a/crates/foxtailhold-entry/src/jobs/item_body.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_body.rs
@@ -8,8 +8,8 @@
 use foxtailhold_engine::sse::RawEvent;
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
-use serde_json::{Map, Value};
 use serde_json::value::RawValue;
+use serde_json::{Map, Value};
 use thiserror::Error;
 
 use crate::gateway::dispatch::OutgoingRequest;
--- a/crates/foxtailhold-entry/src/jobs/ordinary.rs
+++ b/crates/foxtailhold-entry/src/jobs/ordinary.rs
@@ -8,7 +8,7 @@
 use foxtailhold_engine::EngineAnswer;
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{AttemptHistory, self};
+use crate::gateway::dispatch::{self, AttemptHistory};
 use crate::jobs::item::{FinishedItem, ItemPolicy, ItemTask};
 use crate::jobs::item_body::ItemBody;
 use crate::shared::Shared;
--- a/crates/foxtailhold-entry/src/jobs/owner.rs
+++ b/crates/foxtailhold-entry/src/jobs/owner.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
-use foxtailhold::batch::{ChunkRow, JobCounts, JobRow, OwnerRow};
 use foxtailhold::batch::cancel::{CancelPlan, CancelTransaction, CancellingJob};
-use foxtailhold::batch::claim::{Claim, ClaimView, OwnedJob, WatchedLeases, self};
+use foxtailhold::batch::claim::{self, Claim, ClaimView, OwnedJob, WatchedLeases};
 use foxtailhold::batch::finish::{FinishResult, FinishTransaction};
 use foxtailhold::batch::transaction::Versioned;
+use foxtailhold::batch::{ChunkRow, JobCounts, JobRow, OwnerRow};
 use foxtailhold::ids::{CustomerId, InstanceId, JobId};
 use foxtailhold::timeline::TimelineEvent;
 use foxtailhold_peer::{PeerAnswer, PeerRequest};
 use foxtailhold_platform::{KeyedRow, Platform, Result, TableService};
 
-use crate::tables;
-use crate::jobs::store::{Backoff, self};
+use crate::jobs::store::{self, Backoff};
 use crate::messages::JobsMessage;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Maximum wait for a job's owner to stop the job's items.
 pub const STOP_TIMEOUT_MS: u64 = 3_000;
@@ -172,7 +172,8 @@
 
 async fn stop_and_finish<P: Platform>(
     shared: &Shared<P>,
-    cancelling: &CancellingJob) -> Result<CancelOutcome> {
+    cancelling: &CancellingJob,
+) -> Result<CancelOutcome> {
     let job = &cancelling.job.row.job;
     if let Some(holder) = &cancelling.owner
         && !stop_at_owner(shared, holder, job).await
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -15,9 +15,9 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::jobs::{chunk, owner};
 use crate::jobs::chunk_slots::ChunkSlotGuard;
-use crate::jobs::store::{Backoff, self};
+use crate::jobs::store::{self, Backoff};
+use crate::jobs::{chunk, owner};
 use crate::shared::Shared;
 
 /// Period at which a run checks its lease, its deadline and whether a chunk slot is free.
--- a/crates/foxtailhold-entry/src/jobs/store.rs
+++ b/crates/foxtailhold-entry/src/jobs/store.rs
@@ -2,13 +2,16 @@
 
 use std::time::Duration;
 
+use foxtailhold::batch::transaction::{
+    Condition, ConflictingRow, RowChange, Transaction, TransactionOutcome, TransactionStep,
+    Versioned,
+};
 use foxtailhold::batch::{ChunkRow, JobRow};
-use foxtailhold::batch::transaction::{Condition, ConflictingRow, RowChange, Transaction, TransactionOutcome, TransactionStep, Versioned};
 use foxtailhold_platform::{Expect, Operation, Platform, Result, Row, TableService, Transacted};
 use serde::de::DeserializeOwned;
 
-use crate::tables;
 use crate::shared::Shared;
+use crate::tables;
 
 /// First backoff before a call is retried, doubled up to [`MAX_PAUSE_MS`].
 const FIRST_PAUSE_MS: u64 = 50;
--- a/crates/foxtailhold-entry/src/jobs/streamed_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/streamed_item.rs
@@ -14,7 +14,7 @@
 use foxtailhold_engine::{EngineError, Resume, WholeAnswer};
 use foxtailhold_platform::Platform;
 
-use crate::gateway::dispatch::{AttemptHistory, OutgoingRequest, self};
+use crate::gateway::dispatch::{self, AttemptHistory, OutgoingRequest};
 use crate::jobs::item::{FinishedItem, ItemPolicy, ItemTask};
 use crate::jobs::item_attempt::{AttemptEnd, ItemAttempt};
 use crate::jobs::item_body::{ItemBody, ReceivedOutput};
--- a/crates/foxtailhold-entry/src/jobs/sweep.rs
+++ b/crates/foxtailhold-entry/src/jobs/sweep.rs
@@ -1,12 +1,12 @@
 //! Deletes orphaned result objects: those of ended jobs that no chunk row refers to.
 
-use foxtailhold::batch::sweep::{SweepRow, self};
+use foxtailhold::batch::sweep::{self, SweepRow};
 use foxtailhold::ids::JobId;
 use foxtailhold_platform::{Expect, Operation, Platform, Result};
 
-use crate::tables;
 use crate::jobs::owner;
 use crate::shared::Shared;
+use crate::tables;
 
 /// Sweeps the jobs that ended at least the settings' `sweep_after_ms` ago and are assigned to this
 /// instance.
