--- a/crates/foxtailhold-engine/src/client.rs
+++ b/crates/foxtailhold-engine/src/client.rs
@@ -20,7 +20,7 @@
 use crate::check::check_whole;
 use crate::error::{EngineError, Result};
 use crate::stream::EngineStream;
-use crate::timely::TimelyBody;
+use crate::deadline_body::TimelyBody;
 
 /// Largest whole answer accepted.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
--- a/crates/foxtailhold-engine/src/lib.rs
+++ b/crates/foxtailhold-engine/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod orders;
 pub mod sse;
 pub mod stream;
-pub mod timely;
+pub mod deadline_body;
 
 pub use client::{EngineAnswer, EngineClient, EngineRequest, Resume, WholeAnswer};
 pub use error::{EngineError, Result};
