--- a/crates/foxtailhold-caller/src/batches.rs
+++ b/crates/foxtailhold-caller/src/batches.rs
@@ -17,7 +17,7 @@
 /// Sizes of pages of jobs.
 pub const LIST_LIMITS: ListLimits = ListLimits {
     default: 20,
-    most: 100,
+    max: 100,
 };
 
 #[derive(Debug, Deserialize)]
@@ -31,23 +31,23 @@
 
 /// A window such as `24h`, `90m` or `600s`, in seconds.
 fn window_s(text: &str) -> Result<u64> {
-    let bad = || {
+    let invalid = || {
         Refusal::invalid(format!(
             "completion_window is {text:?}, it must be a number and h, m or s, such as \"24h\""
         ))
     };
-    let unit = text.chars().last().ok_or_else(bad)?;
+    let unit = text.chars().last().ok_or_else(invalid)?;
     let factor = match unit {
         'h' => 3_600,
         'm' => 60,
         's' => 1,
-        _ => return Err(bad()),
+        _ => return Err(invalid()),
     };
-    let number: u64 = text[..text.len() - 1].parse().map_err(|_| bad())?;
+    let number: u64 = text[..text.len() - 1].parse().map_err(|_| invalid())?;
     number
         .checked_mul(factor)
         .filter(|s| *s > 0)
-        .ok_or_else(bad)
+        .ok_or_else(invalid)
 }
 
 /// The shortest text that [`window_s`] reads as `window_s` seconds.
@@ -129,7 +129,7 @@
     fn from(batch: &BatchObject) -> Self {
         use foxtailhold::batch::JobStatus;
         let ended_s = batch.ended_wall_ms.map(|ms| ms / 1_000);
-        let when = |status| ended_s.filter(|_| batch.status == status);
+        let ended_at_if = |status| ended_s.filter(|_| batch.status == status);
         let window_s = batch.deadline_wall_ms.saturating_sub(batch.created_wall_ms) / 1_000;
         BatchBody {
             id: batch.job.to_string(),
@@ -145,11 +145,11 @@
             in_progress_at: batch.created_wall_ms / 1_000,
             finalizing_at: None,
             failed_at: None,
-            cancelling_at: when(JobStatus::Cancelled),
+            cancelling_at: ended_at_if(JobStatus::Cancelled),
             expires_at: batch.deadline_wall_ms / 1_000,
-            completed_at: when(JobStatus::Completed),
-            cancelled_at: when(JobStatus::Cancelled),
-            expired_at: when(JobStatus::Expired),
+            completed_at: ended_at_if(JobStatus::Completed),
+            cancelled_at: ended_at_if(JobStatus::Cancelled),
+            expired_at: ended_at_if(JobStatus::Expired),
             request_counts: RequestCounts {
                 total: batch.items,
                 completed: batch.completed,
--- a/crates/foxtailhold-caller/src/error_body.rs
+++ b/crates/foxtailhold-caller/src/error_body.rs
@@ -15,7 +15,7 @@
 /// The error object.
 #[derive(Debug, Serialize)]
 pub struct ErrorObject {
-    /// Class of the error.
+    /// ErrorClass of the error.
     #[serde(rename = "type")]
     pub kind: &'static str,
     /// A stable code.
@@ -29,86 +29,90 @@
     pub retry_after_ms: Option<u64>,
 }
 
-struct Class {
+struct ErrorClass {
     status: StatusCode,
     kind: &'static str,
     code: &'static str,
 }
 
-fn class(reason: &RefusalReason) -> Class {
-    let of = |status, kind, code| Class { status, kind, code };
+fn error_class(reason: &RefusalReason) -> ErrorClass {
+    let class_of = |status, kind, code| ErrorClass { status, kind, code };
     let invalid = "invalid_request_error";
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     match reason {
-        RefusalReason::Unauthorized => of(
+        RefusalReason::Unauthorized => class_of(
             StatusCode::UNAUTHORIZED,
             "authentication_error",
             "invalid_api_key",
         ),
-        RefusalReason::Invalid { .. } => of(StatusCode::BAD_REQUEST, invalid, "invalid_request"),
+        RefusalReason::Invalid { .. } => {
+            class_of(StatusCode::BAD_REQUEST, invalid, "invalid_request")
+        }
         RefusalReason::BodyTooLarge { .. } => {
-            of(StatusCode::PAYLOAD_TOO_LARGE, invalid, "body_too_large")
+            class_of(StatusCode::PAYLOAD_TOO_LARGE, invalid, "body_too_large")
         }
         RefusalReason::BodyTimeout { .. } => {
-            of(StatusCode::REQUEST_TIMEOUT, invalid, "body_timeout")
+            class_of(StatusCode::REQUEST_TIMEOUT, invalid, "body_timeout")
         }
-        RefusalReason::MethodNotAllowed { .. } => of(
+        RefusalReason::MethodNotAllowed { .. } => class_of(
             StatusCode::METHOD_NOT_ALLOWED,
             invalid,
             "method_not_allowed",
         ),
         RefusalReason::UnknownTarget { .. } => {
-            of(StatusCode::NOT_FOUND, invalid, "model_not_found")
+            class_of(StatusCode::NOT_FOUND, invalid, "model_not_found")
         }
-        RefusalReason::NotFound { .. } => of(StatusCode::NOT_FOUND, invalid, "not_found"),
-        RefusalReason::Conflict { .. } => of(StatusCode::CONFLICT, invalid, "conflict"),
-        RefusalReason::OverLimit { .. } => of(
+        RefusalReason::NotFound { .. } => class_of(StatusCode::NOT_FOUND, invalid, "not_found"),
+        RefusalReason::Conflict { .. } => class_of(StatusCode::CONFLICT, invalid, "conflict"),
+        RefusalReason::OverLimit { .. } => class_of(
             StatusCode::TOO_MANY_REQUESTS,
             "rate_limit_error",
             "over_limit",
         ),
-        RefusalReason::Overloaded { .. } => of(
+        RefusalReason::Overloaded { .. } => class_of(
             StatusCode::TOO_MANY_REQUESTS,
             "overloaded_error",
             "overloaded",
         ),
-        RefusalReason::NoBackend { .. } => of(unavailable, "overloaded_error", "no_backend"),
+        RefusalReason::NoBackend { .. } => class_of(unavailable, "overloaded_error", "no_backend"),
         RefusalReason::BackendFailed { .. } => {
-            of(StatusCode::BAD_GATEWAY, "backend_error", "backend_failed")
+            class_of(StatusCode::BAD_GATEWAY, "backend_error", "backend_failed")
         }
-        RefusalReason::Quarantined => of(
+        RefusalReason::Quarantined => class_of(
             StatusCode::UNPROCESSABLE_ENTITY,
             "backend_error",
             "quarantined",
         ),
-        RefusalReason::StoreUnavailable => of(unavailable, "platform_error", "store_unavailable"),
-        RefusalReason::DeadlinePassed { .. } => of(
+        RefusalReason::StoreUnavailable => {
+            class_of(unavailable, "platform_error", "store_unavailable")
+        }
+        RefusalReason::DeadlinePassed { .. } => class_of(
             StatusCode::GATEWAY_TIMEOUT,
             "timeout_error",
             "deadline_passed",
         ),
-        RefusalReason::AlreadyStarted => of(StatusCode::CONFLICT, invalid, "already_started"),
-        RefusalReason::DeadlineInfeasible { .. } => of(
+        RefusalReason::AlreadyStarted => class_of(StatusCode::CONFLICT, invalid, "already_started"),
+        RefusalReason::DeadlineInfeasible { .. } => class_of(
             StatusCode::TOO_MANY_REQUESTS,
             "overloaded_error",
             "cannot_land",
         ),
-        RefusalReason::Stopping => of(unavailable, "overloaded_error", "stopping"),
+        RefusalReason::Stopping => class_of(unavailable, "overloaded_error", "stopping"),
     }
 }
 
 /// The stable code of a refusal.
 pub fn code(refusal: &Refusal) -> &'static str {
-    class(&refusal.reason).code
+    error_class(&refusal.reason).code
 }
 
 /// The error object of a refusal.
 pub fn object(refusal: &Refusal) -> ErrorBody {
-    let class = class(&refusal.reason);
+    let error_class = error_class(&refusal.reason);
     ErrorBody {
         error: ErrorObject {
-            kind: class.kind,
-            code: class.code,
+            kind: error_class.kind,
+            code: error_class.code,
             message: refusal.to_string(),
             ran: refusal.ran,
             retry_after_ms: refusal.retry_after_ms,
@@ -118,7 +122,7 @@
 
 /// The whole answer to a refused request.
 pub fn response(refusal: &Refusal) -> Response<AnswerBody> {
-    let mut response = body::json(class(&refusal.reason).status, &object(refusal));
+    let mut response = body::json(error_class(&refusal.reason).status, &object(refusal));
     if let Some(after_ms) = refusal.retry_after_ms {
         let seconds = HeaderValue::from(after_ms.div_ceil(1_000).max(1));
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
--- a/crates/foxtailhold-caller/src/files.rs
+++ b/crates/foxtailhold-caller/src/files.rs
@@ -22,7 +22,7 @@
 /// Sizes of pages of files.
 pub const LIST_LIMITS: ListLimits = ListLimits {
     default: 100,
-    most: 1_000,
+    max: 1_000,
 };
 
 #[derive(Serialize)]
@@ -80,26 +80,29 @@
     })
 }
 
-fn bad_form(error: multer::Error) -> Refusal {
+fn invalid_form(error: multer::Error) -> Refusal {
     Refusal::invalid(format!("the multipart form cannot be read: {error}"))
 }
 
 /// Waits for a part of a form, at most for `idle_ms`.
-async fn patiently<T>(part: impl Future<Output = multer::Result<T>>, idle_ms: u64) -> Result<T> {
+async fn with_idle_timeout<T>(
+    part: impl Future<Output = multer::Result<T>>,
+    idle_ms: u64,
+) -> Result<T> {
     let idle = Duration::from_millis(idle_ms);
     match tokio::time::timeout(idle, part).await {
-        Ok(part) => part.map_err(bad_form),
+        Ok(part) => part.map_err(invalid_form),
         Err(_) => Err(Refusal::not_run(RefusalReason::BodyTimeout { idle_ms })),
     }
 }
 
-async fn chunk(field: &mut multer::Field<'_>, idle_ms: u64) -> Result<Option<Bytes>> {
-    patiently(field.chunk(), idle_ms).await
+async fn read_chunk(field: &mut multer::Field<'_>, idle_ms: u64) -> Result<Option<Bytes>> {
+    with_idle_timeout(field.chunk(), idle_ms).await
 }
 
 async fn read_purpose(mut field: multer::Field<'_>, idle_ms: u64) -> Result<String> {
     let mut text = Vec::new();
-    while let Some(bytes) = chunk(&mut field, idle_ms).await? {
+    while let Some(bytes) = read_chunk(&mut field, idle_ms).await? {
         text.extend_from_slice(&bytes);
         if text.len() > MAX_FIELD_BYTES {
             return Err(Refusal::invalid("field `purpose` is too long"));
@@ -125,16 +128,17 @@
 ) -> Result<FileObject> {
     let content_type = head.headers.get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
-    let boundary = multer::parse_boundary(content_type.unwrap_or_default()).map_err(bad_form)?;
+    let boundary =
+        multer::parse_boundary(content_type.unwrap_or_default()).map_err(invalid_form)?;
     let mut form = multer::Multipart::new(incoming.into_data_stream(), boundary);
     let mut upload = gateway.upload(context)?;
     let (mut filename, mut purpose) = (None, None);
-    while let Some(mut field) = patiently(form.next_field(), idle_ms).await? {
+    while let Some(mut field) = with_idle_timeout(form.next_field(), idle_ms).await? {
         match field.name() {
             Some("purpose") => purpose = Some(read_purpose(field, idle_ms).await?),
             Some("file") => {
                 filename = Some(field.file_name().unwrap_or("file").to_owned());
-                while let Some(bytes) = chunk(&mut field, idle_ms).await? {
+                while let Some(bytes) = read_chunk(&mut field, idle_ms).await? {
                     upload.push(&bytes).await?;
                 }
             }
@@ -153,7 +157,7 @@
         None => Response::new(body::whole(Bytes::new())),
         Some(first) => {
             let (sender, body) = body::streamed();
-            tokio::spawn(relay(first, source, sender));
+            tokio::spawn(send_content(first, source, sender));
             Response::new(body)
         }
     };
@@ -162,7 +166,7 @@
     Ok(response)
 }
 
-async fn relay<D: Download>(first: Bytes, mut source: D, sender: AnswerSender) {
+async fn send_content<D: Download>(first: Bytes, mut source: D, sender: AnswerSender) {
     let mut part = first;
     loop {
         if !sender.send(part).await {
--- a/crates/foxtailhold-caller/src/handler.rs
+++ b/crates/foxtailhold-caller/src/handler.rs
@@ -63,7 +63,7 @@
             Route::Entries => Err(Refusal::invalid("the path has an empty segment")),
             Route::Inference(path) => self.infer(context, path, incoming).await,
             Route::Models => Ok(models::list(&self.gateway, &context.contract)),
-            Route::Model(name) => models::one(&self.gateway, &context.contract, name),
+            Route::Model(name) => models::get(&self.gateway, &context.contract, name),
             Route::Files => self.files(&context, head, incoming).await,
             Route::File(id) => self.file(&context, &head.method, id).await,
             Route::FileContent(id) => {
--- a/crates/foxtailhold-caller/src/head.rs
+++ b/crates/foxtailhold-caller/src/head.rs
@@ -13,12 +13,12 @@
 /// Header with the time the caller waits, in milliseconds.
 pub const DEADLINE_MS: &str = "foxtailhold-deadline-ms";
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let bad = |_| Refusal::invalid(format!("header {name} is not visible ASCII"));
-    value.to_str().map(Some).map_err(bad)
+    let invalid = |_| Refusal::invalid(format!("header {name} is not visible ASCII"));
+    value.to_str().map(Some).map_err(invalid)
 }
 
 fn api_key(headers: &HeaderMap) -> Option<&str> {
@@ -28,7 +28,7 @@
 }
 
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>> {
-    let Some(value) = text(headers, IDEMPOTENCY_KEY)? else {
+    let Some(value) = header_text(headers, IDEMPOTENCY_KEY)? else {
         return Ok(None);
     };
     let key = IdempotencyKey::try_from(value).map_err(|e| Refusal::invalid(e.to_string()))?;
@@ -36,7 +36,7 @@
 }
 
 fn never_repeat(headers: &HeaderMap) -> Result<bool> {
-    match text(headers, REPEAT)? {
+    match header_text(headers, REPEAT)? {
         None => Ok(false),
         Some("never") => Ok(true),
         Some(other) => Err(Refusal::invalid(format!(
@@ -46,7 +46,7 @@
 }
 
 fn deadline_ms(headers: &HeaderMap) -> Result<Option<u64>> {
-    let Some(value) = text(headers, DEADLINE_MS)? else {
+    let Some(value) = header_text(headers, DEADLINE_MS)? else {
         return Ok(None);
     };
     match value.parse::<u64>() {
--- a/crates/foxtailhold-caller/src/list.rs
+++ b/crates/foxtailhold-caller/src/list.rs
@@ -11,7 +11,7 @@
     /// Entries of a page that asks for no other number.
     pub default: usize,
     /// Most entries of a page.
-    pub most: usize,
+    pub max: usize,
 }
 
 /// The page asked for.
@@ -32,10 +32,10 @@
             return Ok(Page { after, limit });
         };
         match text.parse() {
-            Ok(limit) if (1..=limits.most).contains(&limit) => Ok(Page { after, limit }),
+            Ok(limit) if (1..=limits.max).contains(&limit) => Ok(Page { after, limit }),
             _ => Err(Refusal::invalid(format!(
                 "limit must be a whole number from 1 to {}",
-                limits.most
+                limits.max
             ))),
         }
     }
@@ -51,20 +51,20 @@
     has_more: bool,
 }
 
-/// The page of at most `limit` of `found`; one entry more tells that there are more.
+/// The page of at most `limit` of `entries`; one entry more tells that there are more.
 pub fn page<'a, E, T: Serialize>(
-    found: &'a [E],
+    entries: &'a [E],
     limit: usize,
     id: impl Fn(&'a E) -> &'a str,
     body: impl Fn(&'a E) -> T,
 ) -> Response<AnswerBody> {
-    let shown = &found[..found.len().min(limit)];
+    let page_entries = &entries[..entries.len().min(limit)];
     let list = ListBody {
         object: "list",
-        data: shown.iter().map(body).collect(),
-        first_id: shown.first().map(&id),
-        last_id: shown.last().map(&id),
-        has_more: found.len() > limit,
+        data: page_entries.iter().map(body).collect(),
+        first_id: page_entries.first().map(&id),
+        last_id: page_entries.last().map(&id),
+        has_more: entries.len() > limit,
     };
     body::json(StatusCode::OK, &list)
 }
--- a/crates/foxtailhold-caller/src/models.rs
+++ b/crates/foxtailhold-caller/src/models.rs
@@ -42,7 +42,7 @@
 }
 
 /// One of them.
-pub fn one<G: Gateway>(
+pub fn get<G: Gateway>(
     gateway: &G,
     contract: &Contract,
     name: &str,
--- a/crates/foxtailhold-caller/src/service.rs
+++ b/crates/foxtailhold-caller/src/service.rs
@@ -13,7 +13,7 @@
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Headers that belong to one connection or to this system and are not passed on (RFC 9110, 7.6.1).
-const NOT_PASSED: [HeaderName; 9] = [
+const NOT_FORWARDED: [HeaderName; 9] = [
     header::AUTHORIZATION,
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -25,15 +25,15 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-fn passed(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded_headers = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if NOT_PASSED.contains(name) {
+        if NOT_FORWARDED.contains(name) {
             continue;
         }
-        passed.append(name.clone(), value.clone());
+        forwarded_headers.append(name.clone(), value.clone());
     }
-    passed
+    forwarded_headers
 }
 
 /// Reads a call from its path, headers and body.
@@ -54,7 +54,7 @@
         service,
         method: head.method.clone(),
         path_and_query,
-        headers: passed(&head.headers),
+        headers: forwarded_headers(&head.headers),
         body,
     })
 }
--- a/crates/foxtailhold-caller/tests/bodies.rs
+++ b/crates/foxtailhold-caller/tests/bodies.rs
@@ -99,9 +99,9 @@
     let mut stream = served.connect().await;
     stream.write_all(&whole).await.unwrap();
     drop(stream);
-    let noted = served.fake.noted.clone();
+    let recorded_refusals = served.fake.recorded_refusals.clone();
     until("the refusal to be noted", || {
-        !noted.lock().unwrap().is_empty()
+        !recorded_refusals.lock().unwrap().is_empty()
     })
     .await;
     assert!(served.fake.inferences.lock().unwrap().is_empty());
--- a/crates/foxtailhold-caller/tests/common/mod.rs
+++ b/crates/foxtailhold-caller/tests/common/mod.rs
@@ -31,7 +31,7 @@
     /// Bodies of requests to models.
     pub inferences: Arc<Mutex<Vec<Inference>>>,
     /// Codes of refusals noted.
-    pub noted: Arc<Mutex<Vec<String>>>,
+    pub recorded_refusals: Arc<Mutex<Vec<String>>>,
     /// Kinds and outcomes of answers.
     pub answers: Arc<Mutex<Vec<(&'static str, String)>>>,
     /// Events sent to callers, and whether each was the first.
@@ -48,7 +48,7 @@
 }
 
 impl Fake {
-    fn outcome(&self) -> Result<()> {
+    fn check_refusal(&self) -> Result<()> {
         match self.refusal.lock().unwrap().clone() {
             Some(refusal) => Err(refusal),
             None => Ok(()),
@@ -159,7 +159,7 @@
     }
 
     async fn infer(&self, request: Inference) -> Result<InferenceAnswer<FakeStream>> {
-        self.outcome()?;
+        self.check_refusal()?;
         let (streamed, model) = (request.streamed, request.model.clone());
         self.inferences.lock().unwrap().push(request);
         let left = match model.as_str() {
@@ -182,7 +182,7 @@
     }
 
     async fn call_service(&self, call: PlainCall) -> Result<Whole> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(Whole {
             status: StatusCode::OK,
             content_type: None,
@@ -191,12 +191,12 @@
     }
 
     fn upload(&self, _: &RequestContext) -> Result<FakeUpload> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(FakeUpload(self.clone(), 0))
     }
 
     async fn file(&self, _: &Contract, id: &FileId) -> Result<FileObject> {
-        self.outcome()?;
+        self.check_refusal()?;
         FakeUpload(self.clone(), 7)
             .close(id.to_string(), "batch".into())
             .await
@@ -217,11 +217,11 @@
     }
 
     async fn delete_file(&self, _: &Contract, _: &FileId) -> Result<()> {
-        self.outcome()
+        self.check_refusal()
     }
 
     async fn download(&self, _: &Contract, id: &FileId) -> Result<FakeDownload> {
-        self.outcome()?;
+        self.check_refusal()?;
         let down = Refusal::not_run(RefusalReason::StoreUnavailable).retry_after_ms(2_000);
         Ok(FakeDownload(match id.as_str() {
             "file-down" => vec![Err(down)],
@@ -231,12 +231,12 @@
     }
 
     async fn create_batch(&self, _: BatchRequest) -> Result<BatchObject> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(batch("batch_1"))
     }
 
     async fn batch(&self, _: &Contract, job: &JobId) -> Result<BatchObject> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(batch(job.as_str()))
     }
 
@@ -255,12 +255,12 @@
 
     fn refused(&self, _: &RequestId, refusal: &Refusal) {
         let code = foxtailhold_caller::error_body::code(refusal);
-        self.noted.lock().unwrap().push(code.to_owned());
+        self.recorded_refusals.lock().unwrap().push(code.to_owned());
     }
 
     fn answered(&self, kind: RequestKind, refusal: Option<&Refusal>, _: Duration) {
-        let outcome = refusal.map_or("ok", foxtailhold_caller::error_body::code);
-        let answer = (kind.as_str(), outcome.to_owned());
+        let check_refusal = refusal.map_or("ok", foxtailhold_caller::error_body::code);
+        let answer = (kind.as_str(), check_refusal.to_owned());
         self.answers.lock().unwrap().push(answer);
     }
 
@@ -342,8 +342,8 @@
             }
             let mut part = [0; 4_096];
             let count = stream.read(&mut part).await.unwrap();
-            let so_far = String::from_utf8_lossy(&bytes);
-            assert!(count > 0, "the connection was dropped after {so_far:?}");
+            let received = String::from_utf8_lossy(&bytes);
+            assert!(count > 0, "the connection was dropped after {received:?}");
             bytes.extend_from_slice(&part[..count]);
         }
     };
--- a/crates/foxtailhold-caller/tests/refusals.rs
+++ b/crates/foxtailhold-caller/tests/refusals.rs
@@ -74,6 +74,6 @@
         assert_eq!(error["ran"], ran.as_str());
         assert_eq!(error["message"], refusal.to_string());
         assert_eq!(error["retry_after_ms"].as_u64(), after_ms);
-        assert_eq!(*served.fake.noted.lock().unwrap(), [code]);
+        assert_eq!(*served.fake.recorded_refusals.lock().unwrap(), [code]);
     }
 }
--- a/crates/foxtailhold-caller/tests/requests.rs
+++ b/crates/foxtailhold-caller/tests/requests.rs
@@ -11,13 +11,13 @@
 const CHAT: &str = "/v1/chat/completions";
 const FORM: &str = "content-type: multipart/form-data; boundary=b\r\n";
 
-fn assert_refused(answer: &Answer, status: u16, code: &str, says: &str) {
+fn assert_refused(answer: &Answer, status: u16, code: &str, message_part: &str) {
     assert_eq!(answer.status, status, "{answer:?}");
     let error = &answer.json()["error"];
     assert_eq!(error["code"], code, "{answer:?}");
     assert_eq!(error["ran"], "not_run", "{answer:?}");
     let message = error["message"].as_str().unwrap();
-    assert!(message.contains(says), "{message}");
+    assert!(message.contains(message_part), "{message}");
 }
 
 #[test_case("POST", CHAT, "", "{", 400, "invalid_request", "line 1 column"; "bad JSON")]
@@ -89,11 +89,11 @@
     body: &str,
     status: u16,
     code: &str,
-    says: &str,
+    message_part: &str,
 ) {
     let served = serve().await;
     let answer = served.send(&request(method, path, headers, body)).await;
-    assert_refused(&answer, status, code, says);
+    assert_refused(&answer, status, code, message_part);
     if status == 405 {
         let allow = answer.header("allow").unwrap();
         assert!(answer.body.contains(&format!("{allow} is")), "{answer:?}");
--- a/crates/foxtailhold-engine/src/check.rs
+++ b/crates/foxtailhold-engine/src/check.rs
@@ -13,7 +13,7 @@
 /// The event that ends a stream.
 pub const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 /// Events held while an earlier one is due.
-pub const MAX_EARLY_EVENTS: usize = 16;
+pub const MAX_OUT_OF_ORDER_EVENTS: usize = 16;
 
 /// One event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     cutter: EventCutter,
     expected_id: String,
     next_ordinal: u64,
-    early: BTreeMap<u64, TokenEvent>,
+    out_of_order: BTreeMap<u64, TokenEvent>,
     finished: bool,
     ended: bool,
 }
@@ -60,7 +60,7 @@
             cutter: EventCutter::default(),
             expected_id,
             next_ordinal,
-            early: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             finished: false,
             ended: false,
         }
@@ -84,20 +84,20 @@
     /// passed over; an early one is held until its turn.
     pub fn next_event(&mut self) -> Result<Option<TokenEvent>> {
         while !self.ended {
-            if let Some(event) = self.early.remove(&self.next_ordinal) {
-                return Ok(Some(self.given(event)));
+            if let Some(event) = self.out_of_order.remove(&self.next_ordinal) {
+                return Ok(Some(self.deliver(event)));
             }
             let Some(raw) = self.cutter.next_event() else {
                 break;
             };
             if let Some(event) = self.check(raw)? {
-                return Ok(Some(self.given(event)));
+                return Ok(Some(self.deliver(event)));
             }
         }
         Ok(None)
     }
 
-    fn given(&mut self, event: TokenEvent) -> TokenEvent {
+    fn deliver(&mut self, event: TokenEvent) -> TokenEvent {
         match &event {
             TokenEvent::Chunk { finished, .. } => {
                 self.next_ordinal += 1;
@@ -137,15 +137,15 @@
         if ordinal == self.next_ordinal {
             return Ok(Some(token));
         }
-        if self.early.len() >= MAX_EARLY_EVENTS {
+        if self.out_of_order.len() >= MAX_OUT_OF_ORDER_EVENTS {
             return Err(self.gap(ordinal));
         }
-        self.early.entry(ordinal).or_insert(token);
+        self.out_of_order.entry(ordinal).or_insert(token);
         Ok(None)
     }
 
     fn check_done(&self, raw: Bytes) -> Result<TokenEvent> {
-        if let Some(ordinal) = self.early.keys().next() {
+        if let Some(ordinal) = self.out_of_order.keys().next() {
             return Err(self.gap(*ordinal));
         }
         if !self.finished {
@@ -171,7 +171,7 @@
 }
 
 /// Checks an answer that came in one piece: readable, of this request, finished.
-pub fn check_whole(expected_id: &str, body: &[u8]) -> Result<()> {
+pub fn check_unstreamed(expected_id: &str, body: &[u8]) -> Result<()> {
     let answer: Chunk<'_> = serde_json::from_slice(body).map_err(malformed)?;
     let id = answer.id.as_deref().unwrap_or_default();
     if id != expected_id {
--- a/crates/foxtailhold-engine/src/client.rs
+++ b/crates/foxtailhold-engine/src/client.rs
@@ -17,10 +17,10 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::check::check_whole;
+use crate::check::check_unstreamed;
+use crate::deadline_body::DeadlineBody;
 use crate::error::{EngineError, Result};
 use crate::stream::EngineStream;
-use crate::deadline_body::TimelyBody;
 
 /// Largest whole answer accepted.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
@@ -80,7 +80,7 @@
 /// A client of all engines.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
-    http: BodyClient<TimelyBody>,
+    http: BodyClient<DeadlineBody>,
 }
 
 impl Default for EngineClient {
@@ -123,7 +123,7 @@
         address: SocketAddr,
         request: &EngineRequest<'_>,
     ) -> Result<EngineAnswer> {
-        let built = build(address, request)?;
+        let built = build_request(address, request)?;
         let response = self.http.send(address, built, request.timeout_ms).await?;
         let (head, body) = response.into_parts();
         match head.status {
@@ -143,9 +143,9 @@
             let stream = EngineStream::new(body, expected_id, first);
             return Ok(EngineAnswer::Stream(stream));
         }
-        let body = whole_body(body).await?;
+        let body = read_body(body).await?;
         if head.status.is_success() {
-            check_whole(&expected_id, &body)?;
+            check_unstreamed(&expected_id, &body)?;
         }
         Ok(EngineAnswer::Whole(WholeAnswer {
             status: head.status,
@@ -170,7 +170,7 @@
     }
 }
 
-async fn whole_body(body: Incoming) -> Result<Bytes> {
+async fn read_body(body: Incoming) -> Result<Bytes> {
     body::read_whole(body, MAX_ANSWER_BYTES)
         .await
         .map_err(|error| EngineError::Cut {
@@ -178,13 +178,16 @@
         })
 }
 
-fn build(address: SocketAddr, request: &EngineRequest<'_>) -> Result<Request<TimelyBody>> {
+fn build_request(
+    address: SocketAddr,
+    request: &EngineRequest<'_>,
+) -> Result<Request<DeadlineBody>> {
     let invalid = |detail: String| EngineError::Send(SendError::Invalid { detail });
     let body = match &request.resume {
         None => request.body.clone(),
-        Some(resume) => continued(request.body, resume)?,
+        Some(resume) => with_continuation(request.body, resume)?,
     };
-    let mut built = Request::new(TimelyBody::new(body, request.not_after));
+    let mut built = Request::new(DeadlineBody::new(body, request.not_after));
     *built.method_mut() = Method::POST;
     *built.uri_mut() = uri(address, request.path)?;
     let id = HeaderValue::try_from(request.id.as_str()).map_err(|e| invalid(e.to_string()))?;
@@ -195,7 +198,7 @@
     Ok(built)
 }
 
-fn continued(body: &Bytes, resume: &Resume<'_>) -> Result<Bytes> {
+fn with_continuation(body: &Bytes, resume: &Resume<'_>) -> Result<Bytes> {
     let malformed = |detail: String| EngineError::Malformed { detail };
     let start = body.iter().position(|byte| *byte == b'{');
     let start = start.ok_or_else(|| malformed("the body is not an object".into()))?;
--- a/crates/foxtailhold-engine/src/lib.rs
+++ b/crates/foxtailhold-engine/src/lib.rs
@@ -4,11 +4,11 @@
 pub mod check;
 pub mod chunk;
 pub mod client;
+pub mod deadline_body;
 pub mod error;
 pub mod orders;
 pub mod sse;
 pub mod stream;
-pub mod deadline_body;
 
 pub use client::{EngineAnswer, EngineClient, EngineRequest, Resume, WholeAnswer};
 pub use error::{EngineError, Result};
--- a/crates/foxtailhold-engine/src/sse.rs
+++ b/crates/foxtailhold-engine/src/sse.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct EventCutter {
     buffer: BytesMut,
-    scanned: usize,
+    scanned_bytes: usize,
 }
 
 impl EventCutter {
@@ -54,12 +54,12 @@
 
     /// The next whole event.
     pub fn next_event(&mut self) -> Option<RawEvent> {
-        let start = self.scanned.saturating_sub(3);
+        let start = self.scanned_bytes.saturating_sub(3);
         let Some(end) = event_end(&self.buffer[start..]) else {
-            self.scanned = self.buffer.len();
+            self.scanned_bytes = self.buffer.len();
             return None;
         };
-        self.scanned = 0;
+        self.scanned_bytes = 0;
         let raw = self.buffer.split_to(start + end).freeze();
         Some(RawEvent { raw })
     }
--- a/crates/foxtailhold-engine/src/stream.rs
+++ b/crates/foxtailhold-engine/src/stream.rs
@@ -44,10 +44,10 @@
     }
 
     async fn fill(&mut self) -> Result<()> {
-        let cut = |detail: String| EngineError::Cut { detail };
+        let cut_error = |detail: String| EngineError::Cut { detail };
         let frame = match self.body.frame().await {
-            None => return Err(cut("it ended without [DONE]".into())),
-            Some(frame) => frame.map_err(|error| cut(error.to_string()))?,
+            None => return Err(cut_error("it ended without [DONE]".into())),
+            Some(frame) => frame.map_err(|error| cut_error(error.to_string()))?,
         };
         match frame.data_ref() {
             Some(data) => self.check.push(data),
--- a/crates/foxtailhold-engine/tests/deadline_body.rs
+++ b/crates/foxtailhold-engine/tests/deadline_body.rs
@@ -14,7 +14,7 @@
 const BODY: &str = "{\"prompt\":\"a walk along the ridge\"}";
 
 /// What an engine that never answers receives, of a request that may be sent until then.
-async fn received(not_after: Option<Instant>) -> String {
+async fn bytes_received_by_engine(not_after: Option<Instant>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
     let engine = tokio::spawn(async move {
@@ -46,8 +46,8 @@
 #[test_case(Some(60_000), true; "in time")]
 #[test_case(Some(0), false; "too late")]
 #[tokio::test]
-async fn a_body_is_sent_in_time_or_not_at_all(left_ms: Option<u64>, sent: bool) {
+async fn body_is_sent_before_its_deadline_or_not_at_all(left_ms: Option<u64>, sent: bool) {
     let not_after = left_ms.map(|left_ms| Instant::now() + Duration::from_millis(left_ms));
-    let text = received(not_after).await;
+    let text = bytes_received_by_engine(not_after).await;
     assert_eq!(text.contains(BODY), sent, "{text}");
 }
--- a/crates/foxtailhold-engine/tests/event_order.rs
+++ b/crates/foxtailhold-engine/tests/event_order.rs
@@ -1,6 +1,6 @@
 //! Events of a stream are given in order, each once, or not at all.
 
-use foxtailhold_engine::check::{MAX_EARLY_EVENTS, StreamCheck, check_whole};
+use foxtailhold_engine::check::{MAX_OUT_OF_ORDER_EVENTS, StreamCheck, check_unstreamed};
 use foxtailhold_engine::{EngineError, TokenEvent};
 use test_case::test_case;
 
@@ -23,11 +23,11 @@
 }
 
 /// Feeds the bytes in pieces and gives the text, and how the stream stands after them.
-fn read(bytes: &str, piece: usize) -> (String, Result<bool, EngineError>) {
+fn read(bytes: &str, piece_bytes: usize) -> (String, Result<bool, EngineError>) {
     let mut check = StreamCheck::new(ID.to_owned(), 1);
     let mut text = String::new();
-    for piece in bytes.as_bytes().chunks(piece) {
-        check.push(piece).unwrap();
+    for piece_bytes in bytes.as_bytes().chunks(piece_bytes) {
+        check.push(piece_bytes).unwrap();
         loop {
             match check.next_event() {
                 Ok(None) => break,
@@ -52,13 +52,16 @@
         bytes.push_str(&event_of(ID, *ordinal, *ordinal == 3));
     }
     bytes.push_str(DONE);
-    for piece in [1, 7, bytes.len()] {
-        assert_eq!(read(&bytes, piece), ("t1 t2 t3 ".to_owned(), Ok(true)));
+    for piece_bytes in [1, 7, bytes.len()] {
+        assert_eq!(
+            read(&bytes, piece_bytes),
+            ("t1 t2 t3 ".to_owned(), Ok(true))
+        );
     }
 }
 
 #[test]
-fn end_over_a_gap_is_an_error() {
+fn done_event_after_a_gap_is_an_error() {
     let bytes = event(1) + &last(3) + DONE;
     let gap = EngineError::Gap {
         expected: 2,
@@ -68,12 +71,12 @@
 }
 
 #[test]
-fn gap_is_not_waited_for_without_bound() {
+fn wait_for_a_missing_event_is_bounded() {
     let mut bytes = event(1);
-    for ordinal in 3..(4 + MAX_EARLY_EVENTS as u64) {
+    for ordinal in 3..(4 + MAX_OUT_OF_ORDER_EVENTS as u64) {
         bytes.push_str(&event(ordinal));
     }
-    let found = 3 + MAX_EARLY_EVENTS as u64;
+    let found = 3 + MAX_OUT_OF_ORDER_EVENTS as u64;
     let gap = EngineError::Gap { expected: 2, found };
     assert_eq!(read(&bytes, 64), ("t1 ".to_owned(), Err(gap)));
 }
@@ -90,7 +93,7 @@
 #[test_case(
     &(event(1) + "data: {\"error\":{\"message\":\"no memory\"}}\n\n"),
     &EngineError::InStream { detail: "no memory".into() } ; "error object")]
-fn false_ends_are_errors(bytes: &str, expected: &EngineError) {
+fn incomplete_streams_are_errors(bytes: &str, expected: &EngineError) {
     let (text, end) = read(bytes, 11);
     assert_eq!((text.as_str(), end.as_ref()), ("t1 ", Err(expected)));
 }
@@ -109,5 +112,5 @@
 #[test_case(r#"{"id":"cmpl-a-1","choices":[{"text":"x"#, false ; "cut")]
 #[test_case(r#"{"id":"cmpl-a-1","choices":[]}"#, false ; "empty")]
 fn unstreamed_answers_are_checked(body: &str, whole: bool) {
-    assert_eq!(check_whole(ID, body.as_bytes()).is_ok(), whole);
+    assert_eq!(check_unstreamed(ID, body.as_bytes()).is_ok(), whole);
 }
--- a/crates/foxtailhold-logs/src/lib.rs
+++ b/crates/foxtailhold-logs/src/lib.rs
@@ -4,7 +4,7 @@
 mod sink;
 
 pub use read::{LogBook, LogLine};
-pub use sink::{LeftOut, LineQueue, LineSink, Weight};
+pub use sink::{DroppedLines, LinePriority, LineQueue, LineSink};
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -17,7 +17,7 @@
 use serde::Serialize;
 
 /// Message of the line that counts those left out.
-const LEFT_OUT: &str = "lines left out";
+const DROPPED_LINES_MESSAGE: &str = "lines left out";
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -33,9 +33,9 @@
 type Fields = BTreeMap<String, serde_json::Value>;
 
 /// Collects the key-values of a record.
-struct Collect(Fields);
+struct FieldCollector(Fields);
 
-impl<'kvs> VisitSource<'kvs> for Collect {
+impl<'kvs> VisitSource<'kvs> for FieldCollector {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let value = serde_json::to_value(&value).unwrap_or_else(|_| value.to_string().into());
         self.0.insert(key.to_string(), value);
@@ -44,11 +44,11 @@
 }
 
 fn fields(record: &Record<'_>) -> Fields {
-    let mut collect = Collect(Fields::new());
-    if record.key_values().visit(&mut collect).is_err() {
-        collect.0.clear();
+    let mut field_collector = FieldCollector(Fields::new());
+    if record.key_values().visit(&mut field_collector).is_err() {
+        field_collector.0.clear();
     }
-    collect.0
+    field_collector.0
 }
 
 /// Where lines go.
@@ -99,10 +99,10 @@
 }
 
 /// The line that stands for those left out; none where it cannot be written as JSON.
-fn summary(instance: &InstanceId, left_out: LeftOut) -> Vec<u8> {
+fn summary(instance: &InstanceId, dropped: DroppedLines) -> Vec<u8> {
     let counts = [
-        ("ordinary", left_out.ordinary),
-        ("failures", left_out.failures),
+        ("ordinary", dropped.ordinary),
+        ("failures", dropped.failures),
     ];
     let counts = counts.map(|(name, count)| (name.to_owned(), count.into()));
     let line = Line {
@@ -110,7 +110,7 @@
         level: Level::Warn.as_str(),
         instance: instance.as_str(),
         target: module_path!(),
-        message: LEFT_OUT.to_owned(),
+        message: DROPPED_LINES_MESSAGE.to_owned(),
         fields: counts.into(),
     };
     encode(&line).unwrap_or_default()
@@ -121,9 +121,13 @@
     let sink = match output {
         Output::Stderr => None,
         Output::Stdout { bytes_per_s } => {
-            let named = instance.clone();
-            let words = move |left_out| summary(&named, left_out);
-            Some(LineSink::start(std::io::stdout(), bytes_per_s, words)?)
+            let instance_id = instance.clone();
+            let summary_line = move |dropped| summary(&instance_id, dropped);
+            Some(LineSink::start(
+                std::io::stdout(),
+                bytes_per_s,
+                summary_line,
+            )?)
         }
     };
     let (instance, lines) = (instance.clone(), sink.clone());
@@ -133,11 +137,11 @@
         let Some(sink) = &lines else {
             return buffer.write_all(&line);
         };
-        let weight = match record.level() {
-            Level::Error | Level::Warn => Weight::Failure,
-            _ => Weight::Ordinary,
+        let priority = match record.level() {
+            Level::Error | Level::Warn => LinePriority::Failure,
+            _ => LinePriority::Ordinary,
         };
-        sink.push(weight, line);
+        sink.push(priority, line);
         Ok(())
     });
     if builder.try_init().is_err() {
--- a/crates/foxtailhold-logs/src/read.rs
+++ b/crates/foxtailhold-logs/src/read.rs
@@ -9,7 +9,7 @@
 
 /// Lines about a backend server or instance count as related this long before and after the lines
 /// about the identifier itself: longer than any route's attempts are apart.
-const RELATED_MS: u64 = 5_000;
+const RELATED_WINDOW_MS: u64 = 5_000;
 /// Fields that name what decided a line's outcome and is worth following. Some hold several names
 /// with commas between them.
 const RELATED_FIELDS: [&str; 6] = ["backend", "lost", "missed", "tried", "from", "to"];
@@ -36,7 +36,7 @@
 impl LogLine {
     /// Whether a field holds this identifier, alone or among others, or the process has it.
     pub fn names(&self, id: &str) -> bool {
-        self.instance.as_str() == id || self.fields.values().any(|value| holds(value, id))
+        self.instance.as_str() == id || self.fields.values().any(|value| contains_name(value, id))
     }
 
     fn related(&self) -> impl Iterator<Item = &str> {
@@ -50,7 +50,7 @@
     }
 }
 
-fn holds(value: &Value, id: &str) -> bool {
+fn contains_name(value: &Value, id: &str) -> bool {
     match value.as_str() {
         Some(text) => text.split(',').any(|name| name == id),
         None => false,
@@ -84,7 +84,7 @@
                 self.unreadable += 1;
                 continue;
             };
-            if line.message == crate::LEFT_OUT {
+            if line.message == crate::DROPPED_LINES_MESSAGE {
                 let counts = line.fields.values().filter_map(Value::as_u64);
                 self.left_out += counts.sum::<u64>();
             }
@@ -116,12 +116,12 @@
             self.lines.clear();
             return;
         };
-        let near = from.saturating_sub(RELATED_MS)..=to + RELATED_MS;
+        let related_period = from.saturating_sub(RELATED_WINDOW_MS)..=to + RELATED_WINDOW_MS;
         self.lines.retain(|line| {
             let is_of_another = ["request", "item", "job"]
                 .iter()
                 .any(|name| line.fields.contains_key(*name));
-            let is_related = near.contains(&line.at_ms)
+            let is_related = related_period.contains(&line.at_ms)
                 && !is_of_another
                 && names.iter().any(|name| line.names(name));
             line.names(id) || is_related
--- a/crates/foxtailhold-logs/src/sink.rs
+++ b/crates/foxtailhold-logs/src/sink.rs
@@ -11,13 +11,13 @@
 /// Lines are written together so often: each write wakes a thread, and nobody reads logs faster.
 const FLUSH_MS: u64 = 50;
 /// A second's bytes may wait for a reader that has stopped, before lines are left out.
-const MOST_WAITING_S: u64 = 1;
+const MAX_BUFFERED_S: u64 = 1;
 /// Share of the bytes a second that ordinary lines may use; the rest is for warnings and errors.
 const ORDINARY_SHARE: f64 = 0.8;
 
 /// How much a line matters when not all can be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weight {
+pub enum LinePriority {
     /// Left out first.
     Ordinary,
     /// Warnings and errors.
@@ -26,7 +26,7 @@
 
 /// What was left out since the last summary.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct DroppedLines {
     /// Ordinary lines.
     pub ordinary: u64,
     /// Warnings and errors.
@@ -37,11 +37,11 @@
 #[derive(Debug)]
 pub struct LineQueue {
     bytes_per_s: u64,
-    level_bytes: f64,
-    filled_at: Instant,
+    budget_bytes: f64,
+    refilled_at: Instant,
     lines: VecDeque<Vec<u8>>,
-    waiting_bytes: u64,
-    left_out: LeftOut,
+    buffered_bytes: u64,
+    dropped: DroppedLines,
 }
 
 impl LineQueue {
@@ -49,45 +49,45 @@
     pub fn new(bytes_per_s: u64, now: Instant) -> Self {
         LineQueue {
             bytes_per_s,
-            level_bytes: bytes_per_s as f64,
-            filled_at: now,
+            budget_bytes: bytes_per_s as f64,
+            refilled_at: now,
             lines: VecDeque::new(),
-            waiting_bytes: 0,
-            left_out: LeftOut::default(),
+            buffered_bytes: 0,
+            dropped: DroppedLines::default(),
         }
     }
 
     /// Takes a line, or leaves it out.
-    pub fn push(&mut self, now: Instant, weight: Weight, line: Vec<u8>) {
+    pub fn push(&mut self, now: Instant, priority: LinePriority, line: Vec<u8>) {
         let rate = self.bytes_per_s as f64;
-        let elapsed_s = now.duration_since(self.filled_at).as_secs_f64();
-        self.level_bytes = (self.level_bytes + elapsed_s * rate).min(rate);
-        self.filled_at = now;
+        let elapsed_s = now.duration_since(self.refilled_at).as_secs_f64();
+        self.budget_bytes = (self.budget_bytes + elapsed_s * rate).min(rate);
+        self.refilled_at = now;
         let length = line.len() as u64;
-        let reserved = match weight {
-            Weight::Ordinary => rate * (1.0 - ORDINARY_SHARE),
-            Weight::Failure => 0.0,
+        let reserved = match priority {
+            LinePriority::Ordinary => rate * (1.0 - ORDINARY_SHARE),
+            LinePriority::Failure => 0.0,
         };
-        let has_budget = self.level_bytes - length as f64 >= reserved;
-        let has_room = self.waiting_bytes + length <= self.bytes_per_s * MOST_WAITING_S;
+        let has_budget = self.budget_bytes - length as f64 >= reserved;
+        let has_room = self.buffered_bytes + length <= self.bytes_per_s * MAX_BUFFERED_S;
         if !has_budget || !has_room {
-            match weight {
-                Weight::Ordinary => self.left_out.ordinary += 1,
-                Weight::Failure => self.left_out.failures += 1,
+            match priority {
+                LinePriority::Ordinary => self.dropped.ordinary += 1,
+                LinePriority::Failure => self.dropped.failures += 1,
             }
             return;
         }
-        self.level_bytes -= length as f64;
-        self.waiting_bytes += length;
+        self.budget_bytes -= length as f64;
+        self.buffered_bytes += length;
         self.lines.push_back(line);
     }
 
     /// All lines that wait, as one piece, and what was left out before them.
-    pub fn take(&mut self) -> (Vec<u8>, LeftOut) {
-        self.waiting_bytes = 0;
+    pub fn take(&mut self) -> (Vec<u8>, DroppedLines) {
+        self.buffered_bytes = 0;
         let lines = std::mem::take(&mut self.lines);
         let bytes = lines.into_iter().flatten().collect();
-        (bytes, std::mem::take(&mut self.left_out))
+        (bytes, std::mem::take(&mut self.dropped))
     }
 }
 
@@ -102,7 +102,7 @@
     pub fn start<W: Write + Send + 'static>(
         output: W,
         bytes_per_s: u64,
-        summary: impl Fn(LeftOut) -> Vec<u8> + Send + 'static,
+        summary: impl Fn(DroppedLines) -> Vec<u8> + Send + 'static,
     ) -> io::Result<Self> {
         let sink = LineSink {
             queue: Arc::new(Mutex::new(LineQueue::new(bytes_per_s, Instant::now()))),
@@ -116,16 +116,16 @@
     }
 
     /// Takes a line.
-    pub fn push(&self, weight: Weight, line: Vec<u8>) {
-        self.queue.lock().push(Instant::now(), weight, line);
+    pub fn push(&self, priority: LinePriority, line: Vec<u8>) {
+        self.queue.lock().push(Instant::now(), priority, line);
     }
 
-    fn write_lines<W: Write>(&self, mut output: W, summary: &impl Fn(LeftOut) -> Vec<u8>) {
+    fn write_lines<W: Write>(&self, mut output: W, summary: &impl Fn(DroppedLines) -> Vec<u8>) {
         loop {
             thread::sleep(Duration::from_millis(FLUSH_MS));
-            let (mut bytes, left_out) = self.queue.lock().take();
-            if left_out != LeftOut::default() {
-                bytes.extend(summary(left_out));
+            let (mut bytes, dropped) = self.queue.lock().take();
+            if dropped != DroppedLines::default() {
+                bytes.extend(summary(dropped));
             }
             if bytes.is_empty() {
                 continue;
--- a/crates/foxtailhold-logs/tests/sink.rs
+++ b/crates/foxtailhold-logs/tests/sink.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use foxtailhold_logs::{LeftOut, LineQueue, LineSink, Weight};
+use foxtailhold_logs::{DroppedLines, LinePriority, LineQueue, LineSink};
 
 const RATE: u64 = 1_000;
 
@@ -13,40 +13,40 @@
 }
 
 #[test]
-fn what_is_over_the_bound_is_left_out_and_counted() {
+fn lines_over_the_limit_are_dropped_and_counted() {
     let now = Instant::now();
     let mut queue = LineQueue::new(RATE, now);
     for number in 0..30 {
-        queue.push(now, Weight::Ordinary, line(&number.to_string()));
+        queue.push(now, LinePriority::Ordinary, line(&number.to_string()));
     }
-    let (bytes, left_out) = queue.take();
+    let (bytes, dropped) = queue.take();
     assert_eq!(bytes.len(), 800);
     assert_eq!(
-        left_out,
-        LeftOut {
+        dropped,
+        DroppedLines {
             ordinary: 22,
             failures: 0
         }
     );
-    assert_eq!(queue.take(), (Vec::new(), LeftOut::default()));
+    assert_eq!(queue.take(), (Vec::new(), DroppedLines::default()));
 }
 
 #[test]
-fn failures_have_room_that_ordinary_lines_do_not_use() {
+fn ordinary_lines_leave_budget_for_failures() {
     let now = Instant::now();
     let mut queue = LineQueue::new(RATE, now);
     for _ in 0..30 {
-        queue.push(now, Weight::Ordinary, line("served"));
+        queue.push(now, LinePriority::Ordinary, line("served"));
     }
-    queue.push(now, Weight::Failure, line("cut"));
-    queue.push(now, Weight::Failure, line("lost"));
-    queue.push(now, Weight::Failure, line("too many"));
-    let (bytes, left_out) = queue.take();
+    queue.push(now, LinePriority::Failure, line("cut"));
+    queue.push(now, LinePriority::Failure, line("lost"));
+    queue.push(now, LinePriority::Failure, line("too many"));
+    let (bytes, dropped) = queue.take();
     let text = String::from_utf8(bytes).unwrap();
     assert!(text.contains("cut") && text.contains("lost"));
     assert_eq!(
-        left_out,
-        LeftOut {
+        dropped,
+        DroppedLines {
             ordinary: 22,
             failures: 1
         }
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn the_bound_is_one_of_bytes_a_second() {
+fn limit_is_in_bytes_per_second() {
     let start = Instant::now();
     let mut queue = LineQueue::new(RATE, start);
     let mut written = 0;
     for step in 0..1_000_u64 {
         let now = start + Duration::from_millis(step * 10);
-        queue.push(now, Weight::Ordinary, line("served"));
+        queue.push(now, LinePriority::Ordinary, line("served"));
         written += queue.take().0.len();
     }
     assert!(
@@ -70,20 +70,20 @@
 }
 
 #[test]
-fn without_a_reader_what_waits_is_bounded() {
+fn queue_without_a_reader_is_bounded() {
     let start = Instant::now();
     let mut queue = LineQueue::new(RATE, start);
     for step in 0..100 {
         let now = start + Duration::from_secs(step);
-        queue.push(now, Weight::Failure, line("lost"));
+        queue.push(now, LinePriority::Failure, line("lost"));
     }
     assert!(queue.take().0.len() <= RATE as usize);
 }
 
 /// A reader that never reads.
-struct Stuck;
+struct BlockedWriter;
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::park();
@@ -96,19 +96,19 @@
 }
 
 #[test]
-fn a_reader_that_stops_blocks_nobody() {
-    let sink = LineSink::start(Stuck, RATE, |_| Vec::new()).unwrap();
-    let begun = Instant::now();
+fn stopped_reader_does_not_block_logging() {
+    let sink = LineSink::start(BlockedWriter, RATE, |_| Vec::new()).unwrap();
+    let start = Instant::now();
     for _ in 0..10_000 {
-        sink.push(Weight::Ordinary, line("served"));
+        sink.push(LinePriority::Ordinary, line("served"));
     }
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(start.elapsed() < Duration::from_secs(2));
 }
 
 #[derive(Clone, Default)]
-struct Page(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Page {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -120,15 +120,16 @@
 }
 
 #[test]
-fn lines_come_whole_and_in_order_with_what_was_left_out() {
-    let page = Page::default();
-    let words = |left_out: LeftOut| format!("left out {}\n", left_out.ordinary).into_bytes();
-    let sink = LineSink::start(page.clone(), RATE, words).unwrap();
+fn lines_are_written_in_order_with_the_dropped_count() {
+    let buffer = SharedBuffer::default();
+    let summary_line =
+        |dropped: DroppedLines| format!("left out {}\n", dropped.ordinary).into_bytes();
+    let sink = LineSink::start(buffer.clone(), RATE, summary_line).unwrap();
     for number in 0..10 {
-        sink.push(Weight::Ordinary, line(&format!("line {number}")));
+        sink.push(LinePriority::Ordinary, line(&format!("line {number}")));
     }
     sink.close();
-    let text = String::from_utf8(page.0.lock().unwrap().clone()).unwrap();
+    let text = String::from_utf8(buffer.0.lock().unwrap().clone()).unwrap();
     let lines: Vec<&str> = text.lines().map(str::trim_end).collect();
     let expected: Vec<String> = (0..8).map(|number| format!("line {number}")).collect();
     assert_eq!(lines[..8], expected);
--- a/crates/foxtailhold-platform/src/http.rs
+++ b/crates/foxtailhold-platform/src/http.rs
@@ -54,7 +54,7 @@
         call.timeout_ms = CALL_TIMEOUT_MS;
         let answer = self.client.call(&call, body).await;
         let (status, bytes) = answer.map_err(|e| PlatformError::from_send(service, &e))?;
-        checked(service, status, bytes)
+        check_status(service, status, bytes)
     }
 
     async fn read<T: DeserializeOwned>(&self, service: &'static str, path: &str) -> Result<T> {
@@ -63,7 +63,7 @@
     }
 }
 
-fn checked(service: &'static str, status: StatusCode, bytes: Bytes) -> Result<Bytes> {
+fn check_status(service: &'static str, status: StatusCode, bytes: Bytes) -> Result<Bytes> {
     if status.is_success() {
         return Ok(bytes);
     }
@@ -133,7 +133,7 @@
             .call_bytes(&call, bytes, "application/octet-stream")
             .await;
         let (status, bytes) = answer.map_err(|e| PlatformError::from_send(OBJECT_STORE, &e))?;
-        checked(OBJECT_STORE, status, bytes).map(drop)
+        check_status(OBJECT_STORE, status, bytes).map(drop)
     }
 
     async fn get_object(&self, name: &str) -> Result<Option<Bytes>> {
@@ -145,7 +145,7 @@
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        checked(OBJECT_STORE, status, bytes).map(Some)
+        check_status(OBJECT_STORE, status, bytes).map(Some)
     }
 
     async fn delete_object(&self, name: &str) -> Result<()> {
