--- a/crates/foxtailhold-engine/src/check.rs
+++ b/crates/foxtailhold-engine/src/check.rs
@@ -1,4 +1,5 @@
-//! Checks of one request's events: identifier, ordinal, end. No I/O.
+//! Validation of the event stream of one request: its identifier, event order and end of stream.
+//! This module does no I/O.
 
 use std::collections::BTreeMap;
 
@@ -8,35 +9,37 @@
 use crate::error::{EngineError, Result};
 use crate::sse::{EventCutter, RawEvent};
 
-/// Data of the event that ends a stream.
+/// The `data` field of the event that ends a complete stream.
 pub const DONE: &[u8] = b"[DONE]";
-/// The event that ends a stream.
+/// The complete event that ends a stream, with its blank line.
 pub const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
-/// Events held while an earlier one is due.
+/// How many out-of-order events are buffered while an earlier one is missing. One more is an error,
+/// so that a lost event neither stalls the stream nor grows the buffer without limit.
 pub const MAX_OUT_OF_ORDER_EVENTS: usize = 16;
 
-/// One event of a stream.
+/// A validated event of a completion stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TokenEvent {
-    /// A chunk.
+    /// A completion chunk.
     Chunk {
-        /// The event as received, with its blank line.
+        /// The bytes as received from the engine, including the blank line that ends the event.
         raw: Bytes,
-        /// Its position, from 1; for a resumed stream it goes on where the last one ended.
+        /// Position in the stream, counted from 1. A resumed stream continues the numbering of the
+        /// stream that it replaces.
         ordinal: u64,
-        /// The text it adds.
+        /// Text that this chunk adds to the completion; may be empty.
         text: String,
-        /// Whether it carries the reason why the answer is finished.
+        /// Whether the chunk has a `finish_reason`, which marks the completion as finished.
         finished: bool,
     },
-    /// The last event.
+    /// The `[DONE]` event, which ends the stream.
     Done {
-        /// The event as received.
+        /// The bytes as received from the engine.
         raw: Bytes,
     },
 }
 
-/// Takes the bytes of a stream and gives its events in order, each once.
+/// Parses the bytes of a stream and returns its events in order and without duplicates.
 #[derive(Debug)]
 pub struct StreamCheck {
     cutter: EventCutter,
@@ -53,8 +56,9 @@
 }
 
 impl StreamCheck {
-    /// A stream of the request that the engine knows as `expected_id`; its next event has
-    /// `next_ordinal`.
+    /// Creates a check for a stream whose events must carry `expected_id`, see
+    /// [`completion_id`](crate::client::completion_id). `next_ordinal` is the ordinal of the first
+    /// event: 1, or one more than the last event received before the stream was resumed.
     pub fn new(expected_id: String, next_ordinal: u64) -> Self {
         StreamCheck {
             cutter: EventCutter::default(),
@@ -66,7 +70,8 @@
         }
     }
 
-    /// Takes the next bytes in.
+    /// Appends received bytes. Fails when the buffered event exceeds
+    /// [`MAX_EVENT_BYTES`](crate::sse::MAX_EVENT_BYTES).
     pub fn push(&mut self, bytes: &[u8]) -> Result<()> {
         self.cutter.push(bytes);
         if self.cutter.is_oversized() {
@@ -75,13 +80,13 @@
         Ok(())
     }
 
-    /// Whether the last event was given.
+    /// Whether [`next_event`](Self::next_event) has returned the `[DONE]` event.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// The next event in order, `None` where more bytes are needed. An event received before is
-    /// passed over; an early one is held until its turn.
+    /// Returns the next event in order, or `None` if more bytes are needed. Duplicate events are
+    /// skipped, and out-of-order events are buffered until the events before them have arrived.
     pub fn next_event(&mut self) -> Result<Option<TokenEvent>> {
         while !self.ended {
             if let Some(event) = self.out_of_order.remove(&self.next_ordinal) {
@@ -170,7 +175,7 @@
         .ok_or_else(|| malformed("an event has no ordinal"))
 }
 
-/// Checks an answer that came in one piece: readable, of this request, finished.
+/// Checks an unstreamed answer: it must be a JSON completion, carry `expected_id` and be finished.
 pub fn check_unstreamed(expected_id: &str, body: &[u8]) -> Result<()> {
     let answer: Chunk<'_> = serde_json::from_slice(body).map_err(malformed)?;
     let id = answer.id.as_deref().unwrap_or_default();
--- a/crates/foxtailhold-engine/src/chunk.rs
+++ b/crates/foxtailhold-engine/src/chunk.rs
@@ -1,33 +1,35 @@
-//! The part of a completion chunk that the system looks at, borrowed from the event's bytes.
+//! The fields of a completion chunk that the system reads, borrowed from the bytes of the event.
 //!
-//! The visitors are written by hand: a chunk is read for each token of each stream.
+//! The visitors are hand-written to save time and allocations, because a chunk is parsed for each
+//! token of each stream.
 
 use std::borrow::Cow;
 use std::fmt;
 
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// A chunk of a streamed completion.
+/// A chunk of a streamed completion, or a whole unstreamed completion.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Chunk<'a> {
-    /// Identifier of the request, as the engine echoes it.
+    /// Completion identifier, which the engine derives from the request identifier.
     pub id: Option<Cow<'a, str>>,
-    /// The first choice.
+    /// The first entry of `choices`; the default if the list is empty or missing.
     pub choice: Choice<'a>,
-    /// Message of the error object that stands in place of a chunk.
+    /// Message of the error object that an engine sends instead of a chunk. `None` if there is no
+    /// error.
     pub error: Option<Cow<'a, str>>,
 }
 
-/// The first choice of a chunk.
+/// One entry of `choices`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Choice<'a> {
-    /// Text added by this chunk.
+    /// `text` of a text completion or `delta.content` of a chat completion.
     pub text: Option<Cow<'a, str>>,
-    /// Set on the last chunk with text.
+    /// Whether `finish_reason` is set, which it is on the last chunk of the completion.
     pub finished: bool,
 }
 
-/// A string that borrows where it has no escapes; `null` is `None`.
+/// A JSON string or `null`. Borrows from the input unless the string contains escapes.
 struct Text<'a>(Option<Cow<'a, str>>);
 
 struct TextVisitor;
--- a/crates/foxtailhold-engine/src/client.rs
+++ b/crates/foxtailhold-engine/src/client.rs
@@ -1,8 +1,11 @@
-//! Requests to engines.
+//! HTTP client for inference requests to engines.
 //!
-//! An engine takes the OpenAI HTTP form. `x-request-id` names the request; the engine echoes it as
-//! `chatcmpl-` or `cmpl-` plus that name in every chunk. Each streamed event carries its ordinal in
-//! the `id` field. `continuation` in the body resumes a stream that another engine began.
+//! Engines serve the OpenAI HTTP API with these additions:
+//!
+//! - The `x-request-id` header carries the request identifier. The engine returns it with the
+//!   prefix `chatcmpl-` or `cmpl-` as the `id` of every chunk.
+//! - Each streamed event carries its ordinal in the SSE `id` field.
+//! - The `continuation` field of the request body resumes a stream that another engine started.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,62 +25,62 @@
 use crate::error::{EngineError, Result};
 use crate::stream::EngineStream;
 
-/// Largest whole answer accepted.
+/// Maximum size of an unstreamed answer.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Header with the request's identifier.
+/// Request header that carries the request identifier.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Limit for a load report.
+/// Timeout for reading a load report.
 pub const LOAD_TIMEOUT_MS: u64 = 1_000;
 
-/// A request to an engine.
+/// An inference request to an engine.
 #[derive(Debug, Clone)]
 pub struct EngineRequest<'a> {
-    /// Its identifier.
+    /// Request identifier, sent in [`REQUEST_ID_HEADER`].
     pub id: &'a RequestId,
     /// `/v1/chat/completions` or `/v1/completions`.
     pub path: &'a str,
-    /// The caller's body.
+    /// JSON body as sent by the caller.
     pub body: &'a Bytes,
     /// Whether the body asks for a stream.
     pub streamed: bool,
-    /// What was received before, for a resumed stream.
+    /// The output received so far, if the request resumes an interrupted stream.
     pub resume: Option<Resume<'a>>,
-    /// Limit for the wait for the head of a stream, or for the whole of an unstreamed answer.
+    /// Maximum wait for the response head of a stream, or for the complete unstreamed answer.
     pub timeout_ms: u64,
-    /// It is sent before this time or not at all.
+    /// Send deadline: the body is not sent at or after this time. `None` means no deadline.
     pub not_after: Option<Instant>,
 }
 
-/// Where a resumed stream goes on.
+/// The position from which an engine continues an interrupted stream.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Resume<'a> {
-    /// Events received.
+    /// Number of chunks received so far; the engine sends one per token.
     pub tokens: u64,
-    /// Their text.
+    /// Concatenated text of these chunks.
     pub text: &'a str,
 }
 
-/// An answer that came in one piece.
+/// An unstreamed answer of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WholeAnswer {
-    /// Status.
+    /// HTTP status: 2xx, 3xx or 4xx. A 5xx or 429 is returned as an [`EngineError`].
     pub status: StatusCode,
-    /// Content type, where given.
+    /// Content type, if the engine sent one.
     pub content_type: Option<HeaderValue>,
-    /// Body.
+    /// Complete body. A 2xx body has passed [`check_unstreamed`].
     pub body: Bytes,
 }
 
-/// An engine's answer.
+/// The answer of an engine to an inference request.
 #[derive(Debug)]
 pub enum EngineAnswer {
-    /// In one piece: an unstreamed answer, or a 4xx.
+    /// Answer to an unstreamed request, or a status other than 2xx, such as 4xx.
     Whole(WholeAnswer),
-    /// A stream of tokens.
+    /// Token stream of a streamed request.
     Stream(EngineStream),
 }
 
-/// A client of all engines.
+/// HTTP client with pooled connections, shared for all engines.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     http: BodyClient<DeadlineBody>,
@@ -91,7 +94,7 @@
     }
 }
 
-/// The identifier by which an engine answers on `path`.
+/// Returns the completion identifier that an engine uses in its answer to request `id` on `path`.
 pub fn completion_id(path: &str, id: &RequestId) -> String {
     if path.ends_with("/chat/completions") {
         return format!("chatcmpl-{id}");
@@ -100,8 +103,8 @@
 }
 
 impl EngineClient {
-    /// Sends a request and waits for the head of the answer, and for the whole of an unstreamed one,
-    /// for the request's `timeout_ms` in all.
+    /// Sends a request and waits for the response head of a stream or for the complete unstreamed
+    /// answer. The request's `timeout_ms` covers both the send and the wait.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -154,7 +157,7 @@
         }))
     }
 
-    /// Reads the load report.
+    /// Reads the engine's load report.
     pub async fn load(&self, address: SocketAddr) -> Result<LoadReport> {
         let mut call = Call::new(Method::GET, address, "/load");
         call.timeout_ms = LOAD_TIMEOUT_MS;
--- a/crates/foxtailhold-engine/src/deadline_body.rs
+++ b/crates/foxtailhold-engine/src/deadline_body.rs
@@ -1,4 +1,4 @@
-//! A body that is sent before a moment or not at all.
+//! A request body that is sent before a deadline or not at all.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,13 +8,15 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// It was too late to send the body.
+/// The send deadline had passed before the body was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("it is too late to send the request")]
 pub struct SendDeadlinePassed;
 
-/// The body. The time is looked at when the connection asks for the bytes, right before it writes
-/// them, so that a process that was paused after it began to send ends the request without them.
+/// A request body with a send deadline.
+///
+/// The deadline is checked when the connection polls for the bytes, right before it writes them.
+/// So a process that was paused after it started the request aborts it without sending the body.
 #[derive(Debug, Clone)]
 pub struct DeadlineBody {
     bytes: Bytes,
@@ -22,7 +24,7 @@
 }
 
 impl DeadlineBody {
-    /// Bytes that may be sent until `not_after`, at any time where there is none.
+    /// Creates a body that may be sent before `not_after`, or at any time if that is `None`.
     pub fn new(bytes: Bytes, not_after: Option<Instant>) -> Self {
         DeadlineBody { bytes, not_after }
     }
--- a/crates/foxtailhold-engine/src/error.rs
+++ b/crates/foxtailhold-engine/src/error.rs
@@ -1,74 +1,78 @@
-//! Errors of the exchange with an engine.
+//! Errors of requests to engines.
+//!
+//! The `Display` texts can reach clients as the detail of a failed request.
 
 use foxtailhold_http::client::SendError;
 use thiserror::Error;
 
-/// Result of an exchange with an engine.
+/// Result of a request to an engine.
 pub type Result<T> = std::result::Result<T, EngineError>;
 
-/// Why an engine did not answer in whole.
+/// Why an engine did not give a complete, valid answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EngineError {
-    /// The request could not be sent or its answer did not begin.
+    /// The request could not be sent, or no response head was received.
     #[error(transparent)]
     Send(#[from] SendError),
-    /// The engine refused before it ran anything; come back later.
+    /// The engine has no free slot (status 429) and did not run the request.
     #[error("the engine is full")]
     Full,
-    /// The engine is leaving and refused before it ran anything.
+    /// The engine is draining (status 503) and did not run the request.
     #[error("the engine is leaving")]
     Leaving,
-    /// The engine failed with a 5xx status.
+    /// The engine answered with a 5xx status other than 503. A load report or engine state request
+    /// also returns this for any other status than 2xx.
     #[error("the engine failed with status {status}")]
     Failed {
-        /// The status.
+        /// HTTP status code.
         status: u16,
     },
-    /// The stream ended before its last event.
+    /// The connection ended before the last event of a stream or the end of a body.
     #[error("the stream was cut: {detail}")]
     Cut {
-        /// What was seen.
+        /// Cause, such as the transport error.
         detail: String,
     },
-    /// An event belongs to another request.
+    /// An event or unstreamed answer carries the identifier of another request.
     #[error("an event of request {found:?} came in the stream of another")]
     Foreign {
-        /// The identifier found.
+        /// Identifier in the event; empty if it has none.
         found: String,
     },
-    /// Events are missing.
+    /// Events are missing from the stream.
     #[error("event {found} came where {expected} was due")]
     Gap {
-        /// The ordinal due.
+        /// Ordinal of the first missing event.
         expected: u64,
-        /// The ordinal found.
+        /// Ordinal of the event that arrived instead.
         found: u64,
     },
-    /// The engine said that it is done before the answer was finished.
+    /// The answer ended normally but without a `finish_reason`.
     #[error("the engine ended the answer before it was finished")]
     Unfinished,
-    /// The engine reported an error in place of the next event.
+    /// The engine sent an error object instead of the next chunk.
     #[error("the engine reported an error in the stream: {detail}")]
     InStream {
-        /// Its message.
+        /// Message of the error object.
         detail: String,
     },
-    /// No event came for longer than the engine's load explains.
+    /// No event arrived for longer than the engine's load explains.
     #[error("the engine sent nothing for {bound_ms} ms")]
     Stalled {
-        /// The bound.
+        /// Maximum wait for the next event that applied, in milliseconds.
         bound_ms: u64,
     },
-    /// An event cannot be read.
+    /// An event, answer or request body is not in the expected format.
     #[error("an event cannot be read: {detail}")]
     Malformed {
-        /// What is wrong.
+        /// Description of the format error.
         detail: String,
     },
 }
 
 impl EngineError {
-    /// Whether it is certain that the engine ran nothing of the request.
+    /// Whether it is certain that the engine did not run any part of the request, so that another
+    /// attempt cannot run it twice.
     pub fn is_not_run(&self) -> bool {
         match self {
             EngineError::Send(error) => error.is_not_sent(),
--- a/crates/foxtailhold-engine/src/lib.rs
+++ b/crates/foxtailhold-engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client of model engines: requests, token streams, load reports.
+//! Client for model engines: inference requests, token streams, load reports and orders.
 #![warn(clippy::unwrap_used)]
 
 pub mod check;
--- a/crates/foxtailhold-engine/src/orders.rs
+++ b/crates/foxtailhold-engine/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to engines.
+//! Client for orders, which tell an engine what to load and which role to take.
 //!
-//! `POST /orders` takes an order: 2xx where it was taken, 409 where its fencing number is old.
-//! `GET /orders` answers with the engine's state.
+//! `POST /orders` sends an order. The engine answers 2xx if it accepts the order, and 409 if the
+//! order's fencing number is out of date. `GET /orders` returns the engine's state.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,13 @@
 
 use crate::error::{EngineError, Result};
 
-/// Path of orders at an engine.
+/// HTTP path of orders at an engine.
 pub const ORDERS_PATH: &str = "/orders";
-/// Limit for one call; well under the longest flight that is assumed of an order.
+/// Timeout for one call. It is well below the longest time that an order is assumed to be in
+/// transit.
 pub const CALL_TIMEOUT_MS: u64 = 2_000;
 
-/// A client that gives orders. Each call has a connection of its own.
+/// Sends orders to engines and reads their state. Each call opens a new connection.
 #[derive(Debug, Clone)]
 pub struct OrderClient {
     http: HttpClient,
@@ -31,7 +32,8 @@
 }
 
 impl OrderClient {
-    /// Gives an order.
+    /// Sends an order. The outcome is `Unknown` if the engine may have received the order but gave
+    /// no usable answer.
     pub async fn order(&self, address: SocketAddr, order: &Order) -> OrderOutcome {
         let mut call = Call::new(Method::POST, address, ORDERS_PATH);
         call.timeout_ms = CALL_TIMEOUT_MS;
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Reads the engine's state.
+    /// Reads the state of the engine at `address`.
     pub async fn state(&self, address: SocketAddr) -> Result<EngineState> {
         let mut call = Call::new(Method::GET, address, ORDERS_PATH);
         call.timeout_ms = CALL_TIMEOUT_MS;
--- a/crates/foxtailhold-engine/src/sse.rs
+++ b/crates/foxtailhold-engine/src/sse.rs
@@ -1,19 +1,22 @@
-//! Server-sent events (WHATWG HTML, section 9.2), cut out of a byte stream without copying.
+//! Splits a byte stream into server-sent events (WHATWG HTML, section 9.2).
+//!
+//! Events are split off the receive buffer without copying.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event accepted.
+/// Maximum size of an event.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event: its raw bytes with the blank line that ends it.
+/// A complete event that has not been parsed yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RawEvent {
-    /// The bytes as received.
+    /// The bytes as received, including the blank line that ends the event.
     pub raw: Bytes,
 }
 
 impl RawEvent {
-    /// The value of the first line with `field`, without leading space.
+    /// Returns the value of the first line with the field name `field`, without the leading space,
+    /// or `None` if there is no such line.
     pub fn field(&self, field: &str) -> Option<&[u8]> {
         for line in self.raw.split(|byte| *byte == b'\n') {
             let Some(rest) = line.strip_prefix(field.as_bytes()) else {
@@ -29,7 +32,7 @@
     }
 }
 
-/// Cuts events out of bytes as they come.
+/// Incremental splitter: collects received bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventCutter {
     buffer: BytesMut,
@@ -37,22 +40,22 @@
 }
 
 impl EventCutter {
-    /// Takes the next bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether more is buffered than any event may have.
+    /// Whether more than [`MAX_EVENT_BYTES`] are buffered.
     pub fn is_oversized(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Bytes that do not make a whole event yet.
+    /// Number of buffered bytes that have not been returned as events.
     pub fn pending_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, or `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<RawEvent> {
         let start = self.scanned_bytes.saturating_sub(3);
         let Some(end) = event_end(&self.buffer[start..]) else {
--- a/crates/foxtailhold-engine/src/stream.rs
+++ b/crates/foxtailhold-engine/src/stream.rs
@@ -1,4 +1,4 @@
-//! A token stream of one request, checked event by event.
+//! The token stream of one request, validated event by event.
 
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -8,7 +8,8 @@
 
 pub use crate::check::TokenEvent;
 
-/// An open stream. Dropping it closes the connection, which cancels the request at the engine.
+/// An open token stream. Dropping it closes the connection and so cancels the request at the
+/// engine.
 #[derive(Debug)]
 pub struct EngineStream {
     body: Incoming,
@@ -16,7 +17,7 @@
 }
 
 impl EngineStream {
-    /// A stream of the request that the engine knows as `expected_id`.
+    /// Wraps the body of a streamed response. For the parameters see [`StreamCheck::new`].
     pub(crate) fn new(body: Incoming, expected_id: String, next_ordinal: u64) -> Self {
         EngineStream {
             body,
@@ -24,8 +25,9 @@
         }
     }
 
-    /// The next event in order, `None` after the last one. An event of another request, a gap that
-    /// is not filled, or an end before the last event is an error. Cancel safe.
+    /// Returns the next event in order, or `None` after the last one. Fails if an event belongs to
+    /// another request, if events are missing, or if the connection ends before the last event.
+    /// Cancel safe.
     pub async fn next(&mut self) -> Result<Option<TokenEvent>> {
         loop {
             if let Some(event) = self.check.next_event()? {
--- a/crates/foxtailhold-engine/tests/deadline_body.rs
+++ b/crates/foxtailhold-engine/tests/deadline_body.rs
@@ -1,4 +1,5 @@
-//! A request that may be sent only until a moment, over a real connection.
+//! The body of a request whose send deadline has passed must not reach the engine. Checked over a
+//! TCP connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +14,8 @@
 
 const BODY: &str = "{\"prompt\":\"a walk along the ridge\"}";
 
-/// What an engine that never answers receives, of a request that may be sent until then.
+/// Sends a request with the given send deadline to an engine that never answers, and returns what
+/// the engine received.
 async fn bytes_received_by_engine(not_after: Option<Instant>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
--- a/crates/foxtailhold-engine/tests/event_order.rs
+++ b/crates/foxtailhold-engine/tests/event_order.rs
@@ -1,4 +1,5 @@
-//! Events of a stream are given in order, each once, or not at all.
+//! Engines may send the events of a stream out of order, twice, or with gaps. The check must return
+//! them in order and without duplicates, or report an error.
 
 use foxtailhold_engine::check::{MAX_OUT_OF_ORDER_EVENTS, StreamCheck, check_unstreamed};
 use foxtailhold_engine::{EngineError, TokenEvent};
@@ -22,7 +23,8 @@
     event_of(ID, ordinal, true)
 }
 
-/// Feeds the bytes in pieces and gives the text, and how the stream stands after them.
+/// Feeds the bytes to a check, `piece_bytes` at a time. Returns the text received, and whether the
+/// stream has ended or its error.
 fn read(bytes: &str, piece_bytes: usize) -> (String, Result<bool, EngineError>) {
     let mut check = StreamCheck::new(ID.to_owned(), 1);
     let mut text = String::new();
