--- a/crates/foxtailhold-caller/src/batches.rs
+++ b/crates/foxtailhold-caller/src/batches.rs
@@ -1,4 +1,4 @@
-//! Batch jobs in the OpenAI form.
+//! Batch jobs in the format of the OpenAI API.
 
 use bytes::Bytes;
 use foxtailhold::ids::{FileId, JobId};
@@ -10,11 +10,11 @@
 use crate::gateway::{BatchObject, BatchRequest, RequestContext};
 use crate::list::{self, ListLimits};
 
-/// Largest body of a batch request.
+/// Maximum size of the body of a request that creates a batch job.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Endpoints whose requests may be items.
+/// Endpoints that the items of a batch job may use.
 pub const ENDPOINTS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// Sizes of pages of jobs.
+/// Page sizes for listing batch jobs.
 pub const LIST_LIMITS: ListLimits = ListLimits {
     default: 20,
     max: 100,
@@ -29,7 +29,7 @@
     metadata: serde_json::Value,
 }
 
-/// A window such as `24h`, `90m` or `600s`, in seconds.
+/// Parses a completion window such as `24h`, `90m` or `600s` into seconds.
 fn window_s(text: &str) -> Result<u64> {
     let invalid = || {
         Refusal::invalid(format!(
@@ -50,7 +50,7 @@
         .ok_or_else(invalid)
 }
 
-/// The shortest text that [`window_s`] reads as `window_s` seconds.
+/// Formats a completion window with the largest unit that divides it; the inverse of [`window_s`].
 fn window_text(window_s: u64) -> String {
     for (factor, unit) in [(3_600, 'h'), (60, 'm')] {
         if window_s > 0 && window_s.is_multiple_of(factor) {
@@ -60,7 +60,8 @@
     format!("{window_s}s")
 }
 
-/// Checks a body and makes the request of it.
+/// Parses and validates the body of a request that creates a batch job. `digest` is the digest of
+/// the body, see [`Gateway::digest`](crate::Gateway::digest).
 pub fn read(context: RequestContext, body: &Bytes, digest: String) -> Result<BatchRequest> {
     let raw: RawBatch = serde_json::from_slice(body)
         .map_err(|error| Refusal::invalid(format!("the body cannot be read: {error}")))?;
@@ -82,7 +83,7 @@
     })
 }
 
-/// Checks a job's identifier in a path.
+/// Parses the job identifier in a path. An invalid one is refused as not found.
 pub fn id(text: &str) -> Result<JobId> {
     JobId::try_from(text).map_err(|_| {
         Refusal::not_run(RefusalReason::NotFound {
@@ -92,7 +93,6 @@
     })
 }
 
-/// The counts of a batch object.
 #[derive(Debug, Serialize)]
 struct RequestCounts {
     total: u64,
@@ -100,7 +100,7 @@
     failed: u64,
 }
 
-/// The batch object.
+/// The batch object of the OpenAI API. Times are in seconds since the Unix epoch.
 #[derive(Debug, Serialize)]
 pub struct BatchBody {
     id: String,
@@ -160,12 +160,13 @@
     }
 }
 
-/// The answer with one batch object.
+/// Builds the response with one batch object.
 pub fn object(batch: &BatchObject) -> Response<AnswerBody> {
     body::json(StatusCode::OK, &BatchBody::from(batch))
 }
 
-/// A page of batch objects.
+/// Builds the response with a page of at most `limit` batch objects. `batches` has one entry more
+/// if there are further pages.
 pub fn list(batches: &[BatchObject], limit: usize) -> Response<AnswerBody> {
     list::page(batches, limit, |batch| batch.job.as_str(), BatchBody::from)
 }
--- a/crates/foxtailhold-caller/src/error_body.rs
+++ b/crates/foxtailhold-caller/src/error_body.rs
@@ -1,30 +1,31 @@
-//! A refusal as the documented error object.
+//! Converts refusals to the documented JSON error object.
 
 use foxtailhold::refusal::{ExecutionStatus, Refusal, RefusalReason};
 use foxtailhold_http::body::{self, AnswerBody};
 use http::{HeaderValue, Response, StatusCode, header};
 use serde::Serialize;
 
-/// The body of every refusal.
+/// The response body of a refused request.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Details of the error.
     pub error: ErrorObject,
 }
 
-/// The error object.
+/// The error object of the caller API.
 #[derive(Debug, Serialize)]
 pub struct ErrorObject {
-    /// ErrorClass of the error.
+    /// Error class, such as `invalid_request_error`.
     #[serde(rename = "type")]
     pub kind: &'static str,
-    /// A stable code.
+    /// Stable code of the reason, such as `body_too_large`.
     pub code: &'static str,
-    /// A sentence.
+    /// Human-readable description.
     pub message: String,
-    /// What is known of the effect.
+    /// Whether the request ran, as far as it is known.
     pub ran: ExecutionStatus,
-    /// When to come back; the `Retry-After` header says the same in whole seconds.
+    /// Delay after which a retry may succeed. The `Retry-After` header carries the same value,
+    /// rounded up to whole seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -101,12 +102,12 @@
     }
 }
 
-/// The stable code of a refusal.
+/// Returns the stable code of a refusal, as in [`ErrorObject::code`].
 pub fn code(refusal: &Refusal) -> &'static str {
     error_class(&refusal.reason).code
 }
 
-/// The error object of a refusal.
+/// Builds the response body of a refusal.
 pub fn object(refusal: &Refusal) -> ErrorBody {
     let error_class = error_class(&refusal.reason);
     ErrorBody {
@@ -120,7 +121,7 @@
     }
 }
 
-/// The whole answer to a refused request.
+/// Builds the complete response to a refused request, with the `Retry-After` and `Allow` headers.
 pub fn response(refusal: &Refusal) -> Response<AnswerBody> {
     let mut response = body::json(error_class(&refusal.reason).status, &object(refusal));
     if let Some(after_ms) = refusal.retry_after_ms {
@@ -135,7 +136,8 @@
     response
 }
 
-/// The event that ends a stream that cannot be finished.
+/// Builds the server-sent event that reports a refusal after a stream has started. The stream then
+/// ends without `[DONE]`.
 pub fn event(refusal: &Refusal) -> Vec<u8> {
     let mut event = b"data: ".to_vec();
     if serde_json::to_writer(&mut event, &object(refusal)).is_err() {
--- a/crates/foxtailhold-caller/src/files.rs
+++ b/crates/foxtailhold-caller/src/files.rs
@@ -1,4 +1,4 @@
-//! Files in the OpenAI form: upload as `multipart/form-data`, description, content.
+//! Files in the format of the OpenAI API: upload as `multipart/form-data`, metadata, content.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 use crate::gateway::{Download, FileObject, Gateway, RequestContext, Upload};
 use crate::list::{self, ListLimits};
 
-/// The purpose an upload must have.
+/// The only accepted value of the `purpose` field of an upload.
 pub const BATCH_PURPOSE: &str = "batch";
-/// Longest `purpose` field read.
+/// Maximum length of the `purpose` field.
 const MAX_FIELD_BYTES: usize = 256;
 
-/// Sizes of pages of files.
+/// Page sizes for listing files.
 pub const LIST_LIMITS: ListLimits = ListLimits {
     default: 100,
     max: 1_000,
@@ -50,17 +50,18 @@
     deleted: bool,
 }
 
-/// The answer with one file object.
+/// Builds the response with one file object.
 pub fn object(file: &FileObject) -> Response<AnswerBody> {
     body::json(StatusCode::OK, &FileBody::from(file))
 }
 
-/// A page of file objects.
+/// Builds the response with a page of at most `limit` file objects. `files` has one entry more if
+/// there are further pages.
 pub fn list(files: &[FileObject], limit: usize) -> Response<AnswerBody> {
     list::page(files, limit, |file| file.id.as_str(), FileBody::from)
 }
 
-/// The answer to the removal of a file.
+/// Builds the response to the deletion of a file.
 pub fn deleted(id: &FileId) -> Response<AnswerBody> {
     let body = DeletedBody {
         id,
@@ -70,7 +71,7 @@
     body::json(StatusCode::OK, &body)
 }
 
-/// Checks a file's identifier in a path.
+/// Parses the file identifier in a path. An invalid one is refused as not found.
 pub fn id(text: &str) -> Result<FileId> {
     FileId::try_from(text).map_err(|_| {
         Refusal::not_run(RefusalReason::NotFound {
@@ -84,7 +85,7 @@
     Refusal::invalid(format!("the multipart form cannot be read: {error}"))
 }
 
-/// Waits for a part of a form, at most for `idle_ms`.
+/// Waits for the next part of a multipart form; fails with `BodyTimeout` after `idle_ms`.
 async fn with_idle_timeout<T>(
     part: impl Future<Output = multer::Result<T>>,
     idle_ms: u64,
@@ -118,7 +119,8 @@
     Ok(purpose)
 }
 
-/// Takes an upload in.
+/// Reads a multipart upload and streams its `file` field to the gateway. The form must have the
+/// fields `purpose` and `file`. The caller may pause between two parts for at most `idle_ms`.
 pub async fn upload<G: Gateway>(
     gateway: &G,
     context: &RequestContext,
@@ -150,8 +152,8 @@
     upload.close(filename, purpose).await
 }
 
-/// Streams a file's content. The first part is read before the answer begins, so that a store
-/// that is down is still answered with an error object.
+/// Builds the response that streams the content of a file. The first part is read before the
+/// response starts, so that an unavailable store still results in an error object.
 pub async fn content<D: Download>(mut source: D) -> Result<Response<AnswerBody>> {
     let mut response = match source.next().await.transpose()? {
         None => Response::new(body::whole(Bytes::new())),
@@ -176,7 +178,9 @@
             None => return,
             Some(Ok(part)) => part,
             Some(Err(refusal)) => {
-                log::warn!("a file's content was cut: {refusal}");
+                log::warn!(
+                    "file download failed after the response had started, closing the connection: {refusal}"
+                );
                 sender.cut().await;
                 return;
             }
--- a/crates/foxtailhold-caller/src/gateway.rs
+++ b/crates/foxtailhold-caller/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the caller side needs of the rest of the system.
+//! The interface between the caller API and the rest of the system.
 
 use std::future::Future;
 use std::net::{IpAddr, SocketAddr};
@@ -15,22 +15,23 @@
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use serde::Serialize;
 
-/// Who asks, and under which conditions.
+/// The caller of a request, and the conditions set in the request's headers.
 #[derive(Debug, Clone)]
 pub struct RequestContext {
-    /// Identifier given to the request by this instance.
+    /// Request identifier, assigned by this instance.
     pub id: RequestId,
-    /// The caller's contract.
+    /// Contract of the customer that the API key belongs to.
     pub contract: Arc<Contract>,
-    /// The caller's idempotency key.
+    /// Value of the `idempotency-key` header, if sent.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Whether the request must run at most once.
+    /// Whether the request must run at most once (`foxtailhold-repeat: never`).
     pub never_repeat: bool,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer (`foxtailhold-deadline-ms`). `None` means that the
+    /// header is missing.
     pub deadline_ms: Option<u64>,
 }
 
-/// A request to a model.
+/// An inference request.
 #[derive(Debug, Clone)]
 pub struct Inference {
     /// Who asks.
@@ -39,102 +40,103 @@
     pub path: &'static str,
     /// The model named in the body.
     pub model: TargetName,
-    /// Whether a stream is asked for.
+    /// Whether the caller requested a streamed answer.
     pub streamed: bool,
-    /// Most tokens to generate, where the body says so.
+    /// Maximum number of tokens to generate, if the body sets one.
     pub max_tokens: Option<u64>,
-    /// The body, passed through.
+    /// The JSON body as sent by the caller.
     pub body: Bytes,
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Debug, Clone)]
 pub struct PlainCall {
     /// Who asks.
     pub context: RequestContext,
-    /// The service.
+    /// Name of the service.
     pub service: TargetName,
-    /// Method.
+    /// HTTP method, passed through.
     pub method: Method,
-    /// Path and query at the service.
+    /// Path and query at the service, with a leading slash.
     pub path_and_query: String,
-    /// Headers passed through.
+    /// Headers to pass to the service, without connection headers and credentials.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// An answer in one piece.
+/// An unstreamed answer.
 #[derive(Debug, Clone)]
 pub struct Whole {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Content type, where given.
+    /// Content type, if the backend server sent one.
     pub content_type: Option<HeaderValue>,
     /// Body.
     pub body: Bytes,
 }
 
-/// An answer to a request to a model.
+/// The answer to an inference request. `S` is the event stream.
 #[derive(Debug)]
 pub enum InferenceAnswer<S> {
-    /// In one piece.
+    /// An unstreamed answer.
     Whole(Whole),
-    /// As events.
+    /// A stream of server-sent events.
     Stream(S),
 }
 
 /// A source of server-sent events.
 pub trait EventSource: Send + 'static {
-    /// The next event with its blank line; `None` after the last. An error ends the stream.
+    /// Returns the next event, including the blank line that ends it, or `None` after the last
+    /// event. An error ends the stream.
     fn next(&mut self) -> impl Future<Output = Option<Result<Bytes>>> + Send;
 }
 
-/// One address that a caller may use.
+/// One instance that a caller may send requests to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EntryAddress {
-    /// The instance.
+    /// Instance identifier.
     pub instance: InstanceId,
-    /// Where it takes requests.
+    /// Address where it accepts requests of callers.
     pub address: SocketAddr,
     /// Its availability zone.
     pub availability_zone: AvailabilityZone,
 }
 
-/// The addresses to use.
+/// The instances that a caller may send requests to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Entries {
-    /// The addresses, best first.
+    /// The instances, in the order in which the caller should try them.
     pub entries: Vec<EntryAddress>,
-    /// How long the answer may be kept.
+    /// How long the caller may cache this list.
     pub keep_for_ms: u64,
 }
 
-/// What is known of the caller that asks for addresses.
+/// Properties of the caller that requests the list of instances.
 #[derive(Debug, Clone)]
 pub struct EntriesQuery {
-    /// The availability zone it names.
+    /// Availability zone given in the request, if any.
     pub availability_zone: Option<AvailabilityZone>,
-    /// Where it connects from.
+    /// Remote IP address of the connection.
     pub remote: IpAddr,
 }
 
-/// An uploaded or written file.
+/// A file that a caller uploaded or a batch job wrote, as callers see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FileObject {
-    /// Its identifier.
+    /// File identifier.
     pub id: FileId,
-    /// Size.
+    /// Size in bytes.
     pub bytes: u64,
-    /// When it was made, in seconds since the Unix epoch.
+    /// Creation time in seconds since the Unix epoch.
     pub created_at: u64,
-    /// Its name.
+    /// File name; for an upload, the name that the caller gave.
     pub filename: String,
     /// `batch` or `batch_output`.
     pub purpose: String,
 }
 
-/// A request for a batch job.
+/// A request to create a batch job.
 #[derive(Debug, Clone)]
 pub struct BatchRequest {
     /// Who asks.
@@ -143,51 +145,52 @@
     pub input_file: FileId,
     /// Endpoint of every item.
     pub endpoint: String,
-    /// Window asked for, where given.
+    /// Requested completion window in seconds, if given.
     pub window_s: Option<u64>,
     /// The caller's metadata.
     pub metadata: serde_json::Value,
-    /// Digest of the request's body.
+    /// Digest of the request body, see [`Gateway::digest`].
     pub digest: String,
 }
 
 /// A batch job as callers see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BatchObject {
-    /// The job.
+    /// Job identifier.
     pub job: JobId,
     /// Endpoint of every item.
     pub endpoint: String,
-    /// Where it stands.
+    /// Current status.
     pub status: JobStatus,
     /// The input.
     pub input_file: FileId,
-    /// The items with an answer, once the job has ended with any.
+    /// File with the answers. `None` until the job has ended, and if no item was answered.
     pub output_file: Option<FileId>,
-    /// The failed items, once the job has ended with any.
+    /// File with the failed items. `None` until the job has ended, and if no item failed.
     pub error_file: Option<FileId>,
-    /// When it was accepted.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub created_wall_ms: u64,
-    /// When it must be finished.
+    /// Deadline of the job, in milliseconds since the Unix epoch.
     pub deadline_wall_ms: u64,
-    /// When it ended.
+    /// When the job ended, in milliseconds since the Unix epoch; `None` while it is open.
     pub ended_wall_ms: Option<u64>,
-    /// All items.
+    /// Total number of items.
     pub items: u64,
-    /// Items answered.
+    /// Number of items with an answer.
     pub completed: u64,
-    /// Items that ended as failed.
+    /// Number of failed items.
     pub failed: u64,
     /// The caller's metadata.
     pub metadata: serde_json::Value,
 }
 
-/// A file being uploaded, part by part, so that a large one is never held whole.
+/// An upload in progress. The content is passed on in parts, so that a large file is never held in
+/// memory as a whole.
 pub trait Upload: Send {
-    /// Takes the next bytes.
+    /// Appends bytes to the file.
     fn push(&mut self, bytes: &[u8]) -> impl Future<Output = Result<()>> + Send;
 
-    /// Stores what is left and makes the file readable.
+    /// Stores the remaining bytes and makes the file readable.
     fn close(
         self,
         filename: String,
@@ -195,33 +198,33 @@
     ) -> impl Future<Output = Result<FileObject>> + Send;
 }
 
-/// A file being read, part by part.
+/// A download in progress. The content is read in parts.
 pub trait Download: Send + 'static {
-    /// The next bytes; `None` at the end.
+    /// Returns the next part of the content, or `None` at the end of the file.
     fn next(&mut self) -> impl Future<Output = Option<Result<Bytes>>> + Send;
 }
 
-/// Kind of a request, as metrics tell them apart.
+/// Kind of a request in metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// Addresses.
+    /// List of instances to use.
     Entries,
-    /// Completions.
+    /// Chat and text completions.
     Inference,
-    /// Models.
+    /// Lists of models.
     Models,
-    /// Files.
+    /// Uploaded files and batch output.
     Files,
     /// Batch jobs.
     Batches,
-    /// Plain services.
+    /// Calls to plain services.
     Service,
-    /// No resource of the API.
+    /// The path is not part of the API.
     Unknown,
 }
 
 impl RequestKind {
-    /// The label of metrics.
+    /// Value of the metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             RequestKind::Entries => "entries",
@@ -235,31 +238,32 @@
     }
 }
 
-/// What is done with callers' requests.
+/// Processes the requests that the caller API has parsed and validated.
 pub trait Gateway: Clone + Send + Sync + 'static {
-    /// Events of a streamed answer.
+    /// Event stream of a streamed answer.
     type Stream: EventSource;
-    /// A file being uploaded.
+    /// An upload in progress.
     type Upload: Upload;
-    /// A file being read.
+    /// A download in progress.
     type Download: Download;
 
-    /// The addresses a caller may use.
+    /// Returns the instances that the caller may send requests to.
     fn entries(&self, query: &EntriesQuery) -> Entries;
 
-    /// The contract that an API key names.
+    /// Returns the contract that an API key belongs to, or `None` if the key is unknown.
     fn contract_of(&self, api_key: &str) -> Option<Arc<Contract>>;
 
-    /// A new identifier for a request.
+    /// Returns a new unique request identifier.
     fn request_id(&self) -> RequestId;
 
-    /// Digest of a body, to tell a repeated request from another one under the same key.
+    /// Computes the digest of a body. It distinguishes a retry from a different request with the
+    /// same idempotency key.
     fn digest(&self, body: &[u8]) -> String;
 
-    /// Models now served, among those the contract allows.
+    /// Returns the models that are currently served and allowed by the contract.
     fn models(&self, contract: &Contract) -> Vec<TargetName>;
 
-    /// Runs a request on a model.
+    /// Runs an inference request.
     fn infer(
         &self,
         request: Inference,
@@ -268,17 +272,18 @@
     /// Calls a plain service.
     fn call_service(&self, call: PlainCall) -> impl Future<Output = Result<Whole>> + Send;
 
-    /// Begins an upload.
+    /// Starts an upload.
     fn upload(&self, context: &RequestContext) -> Result<Self::Upload>;
 
-    /// Describes a file.
+    /// Returns the metadata of a file.
     fn file(
         &self,
         contract: &Contract,
         id: &FileId,
     ) -> impl Future<Output = Result<FileObject>> + Send;
 
-    /// The customer's uploaded files after `after`, in the order of their identifiers.
+    /// Lists at most `limit` uploaded files of the customer whose identifiers are greater than
+    /// `after`, ordered by identifier.
     fn files(
         &self,
         contract: &Contract,
@@ -286,34 +291,36 @@
         limit: usize,
     ) -> impl Future<Output = Result<Vec<FileObject>>> + Send;
 
-    /// Removes an uploaded file; jobs accepted with it still run.
+    /// Deletes an uploaded file. Batch jobs that were already accepted with it still run.
     fn delete_file(
         &self,
         contract: &Contract,
         id: &FileId,
     ) -> impl Future<Output = Result<()>> + Send;
 
-    /// Reads a file.
+    /// Starts the download of a file.
     fn download(
         &self,
         contract: &Contract,
         id: &FileId,
     ) -> impl Future<Output = Result<Self::Download>> + Send;
 
-    /// Accepts a batch job, or gives the one accepted before under the same idempotency key.
+    /// Creates a batch job, or returns the job that was created before with the same idempotency
+    /// key.
     fn create_batch(
         &self,
         request: BatchRequest,
     ) -> impl Future<Output = Result<BatchObject>> + Send;
 
-    /// Describes a batch job.
+    /// Returns a batch job.
     fn batch(
         &self,
         contract: &Contract,
         job: &JobId,
     ) -> impl Future<Output = Result<BatchObject>> + Send;
 
-    /// The customer's batch jobs after `after`, in the order of their identifiers.
+    /// Lists at most `limit` batch jobs of the customer whose identifiers are greater than `after`,
+    /// ordered by identifier.
     fn batches(
         &self,
         contract: &Contract,
@@ -328,13 +335,14 @@
         job: &JobId,
     ) -> impl Future<Output = Result<BatchObject>> + Send;
 
-    /// Notes a refusal that is about to be answered.
+    /// Records a refusal that is about to be sent to the caller.
     fn refused(&self, request: &RequestId, refusal: &Refusal);
 
-    /// Notes the head of an answer, `wait` after the request's.
+    /// Records, for metrics, that the response head is ready `wait` after the request head was
+    /// received.
     fn answered(&self, kind: RequestKind, refusal: Option<&Refusal>, wait: Duration);
 
-    /// Notes an event of a stream that was sent to its caller, `wait` after the one before it, or
-    /// after the request where it is the first one.
+    /// Records, for metrics, that a stream event was sent to its caller. `wait` is the time since
+    /// the previous event, or since the start of the request for the first event.
     fn streamed(&self, first: bool, wait: Duration);
 }
--- a/crates/foxtailhold-caller/src/handler.rs
+++ b/crates/foxtailhold-caller/src/handler.rs
@@ -1,4 +1,4 @@
-//! Answers callers' requests, resource by resource.
+//! HTTP handler of the caller API: authenticates and routes requests and writes the responses.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -16,12 +16,12 @@
 use crate::route::{ENTRIES_PATH, Route};
 use crate::{batches, error_body, files, head, inference, list, models, service};
 
-/// Longest pause between two parts of a body.
+/// Maximum pause between two parts of a request body.
 pub const BODY_IDLE_MS: u64 = 30_000;
-/// Header of every answer with the request's identifier.
+/// Response header that carries the request identifier; set on every response.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// The caller side of one instance.
+/// HTTP handler of the caller API of one instance.
 #[derive(Debug, Clone)]
 pub struct CallerHandler<G> {
     gateway: G,
@@ -29,7 +29,7 @@
 }
 
 impl<G: Gateway> CallerHandler<G> {
-    /// A handler in front of `gateway`.
+    /// Creates a handler that passes requests to `gateway`.
     pub fn new(gateway: G) -> Self {
         CallerHandler {
             gateway,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The same handler with another limit for pauses between two parts of a body.
+    /// Overrides [`BODY_IDLE_MS`].
     pub fn body_idle_ms(self, body_idle_ms: u64) -> Self {
         CallerHandler {
             body_idle_ms,
--- a/crates/foxtailhold-caller/src/head.rs
+++ b/crates/foxtailhold-caller/src/head.rs
@@ -1,4 +1,4 @@
-//! What the system reads from a request's headers.
+//! Parses the request headers that the system interprets.
 
 use foxtailhold::ids::{IdempotencyKey, RequestId};
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
@@ -6,11 +6,11 @@
 
 use crate::gateway::{Gateway, RequestContext};
 
-/// Header with the caller's idempotency key.
+/// Header that carries the caller's idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Header that marks a request that must not be repeated; its only value is `never`.
 pub const REPEAT: &str = "foxtailhold-repeat";
-/// Header with the time the caller waits, in milliseconds.
+/// Header that carries the time for which the caller waits, in milliseconds.
 pub const DEADLINE_MS: &str = "foxtailhold-deadline-ms";
 
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>> {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads the head of a request and finds the caller's contract.
+/// Authenticates the caller by its API key and parses the request headers.
 pub fn context<G: Gateway>(
     gateway: &G,
     id: &RequestId,
--- a/crates/foxtailhold-caller/src/inference.rs
+++ b/crates/foxtailhold-caller/src/inference.rs
@@ -13,10 +13,11 @@
 use crate::error_body;
 use crate::gateway::{EventSource, Gateway, Inference, InferenceAnswer, RequestContext, Whole};
 
-/// Largest body of a completion request.
+/// Maximum size of the body of a completion request.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The fields of a completion request that the system reads; the rest passes through.
+/// The fields of a completion request that the system interprets. The body is passed to the engine
+/// unchanged.
 #[derive(Debug, Deserialize)]
 struct RawInference<'a> {
     #[serde(borrow)]
@@ -29,7 +30,7 @@
     max_completion_tokens: Option<u64>,
 }
 
-/// Checks a body and makes the request of it.
+/// Parses and validates the body of a completion request.
 pub fn read(context: RequestContext, path: &'static str, body: Bytes) -> Result<Inference> {
     let raw: RawInference<'_> = serde_json::from_slice(&body)
         .map_err(|error| Refusal::invalid(format!("the body cannot be read: {error}")))?;
@@ -48,7 +49,8 @@
     })
 }
 
-/// Runs a request and writes its answer.
+/// Runs a request and builds its response. The events of a streamed answer are sent by a separate
+/// task.
 pub async fn answer<G: Gateway>(gateway: &G, request: Inference) -> Result<Response<AnswerBody>> {
     let id = request.context.id.clone();
     let start = Instant::now();
@@ -75,7 +77,7 @@
     Ok(response)
 }
 
-/// Writes an answer that came in one piece.
+/// Builds the response for an unstreamed answer.
 pub fn whole(answer: Whole) -> Response<AnswerBody> {
     let mut response = Response::new(body::whole(answer.body));
     *response.status_mut() = if answer.status.is_informational() {
@@ -91,8 +93,9 @@
     response
 }
 
-/// Sends events until the last one, or until the caller is gone; dropping the source cancels the
-/// request at the engine. A stream that fails ends with an error event and without `[DONE]`.
+/// Sends events to the caller until the last one, or until the caller has disconnected. Dropping
+/// the source then cancels the request at the engine. If the stream fails, it ends with an error
+/// event and without `[DONE]`, and the refusal is returned.
 async fn relay<G: Gateway>(
     gateway: &G,
     start: Instant,
--- a/crates/foxtailhold-caller/src/lib.rs
+++ b/crates/foxtailhold-caller/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP towards callers: the OpenAI form for models, files and batches, plain services, and the
-//! list of addresses to use.
+//! HTTP API for callers: models, completions, files and batch jobs in the format of the OpenAI API,
+//! calls to plain services, and the list of instances to use.
 //!
-//! This crate reads requests and writes answers; what is done with them is behind [`Gateway`].
+//! This crate parses and validates requests and writes responses. A [`Gateway`] processes them.
 #![warn(clippy::unwrap_used)]
 
 pub mod batches;
--- a/crates/foxtailhold-caller/src/list.rs
+++ b/crates/foxtailhold-caller/src/list.rs
@@ -1,30 +1,30 @@
-//! Lists with pages in the OpenAI form.
+//! Paginated lists in the format of the OpenAI API.
 
 use foxtailhold::refusal::{Refusal, Result};
 use foxtailhold_http::body::{self, AnswerBody};
 use http::{Response, StatusCode, Uri};
 use serde::Serialize;
 
-/// How many entries a page may have.
+/// Page sizes of one kind of list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListLimits {
-    /// Entries of a page that asks for no other number.
+    /// Page size if the request has no `limit`.
     pub default: usize,
-    /// Most entries of a page.
+    /// Largest accepted `limit`.
     pub max: usize,
 }
 
-/// The page asked for.
+/// The page requested by the query parameters `after` and `limit`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Page<'a> {
     /// Identifier of the last entry before the page; empty for the first page.
     pub after: &'a str,
-    /// Most entries.
+    /// Maximum number of entries on the page.
     pub limit: usize,
 }
 
 impl<'a> Page<'a> {
-    /// Reads `after` and `limit`.
+    /// Parses the query parameters. A `limit` of 0 or above `limits.max` is refused.
     pub fn read(uri: &'a Uri, limits: ListLimits) -> Result<Self> {
         let after = query_value(uri, "after").unwrap_or_default();
         let Some(text) = query_value(uri, "limit") else {
@@ -41,7 +41,6 @@
     }
 }
 
-/// A list object.
 #[derive(Debug, Serialize)]
 struct ListBody<'a, T> {
     object: &'static str,
@@ -51,7 +50,8 @@
     has_more: bool,
 }
 
-/// The page of at most `limit` of `entries`; one entry more tells that there are more.
+/// Builds the response with the first `limit` of `entries`. Callers fetch one entry more than
+/// `limit` so that `has_more` can be set.
 pub fn page<'a, E, T: Serialize>(
     entries: &'a [E],
     limit: usize,
@@ -69,7 +69,7 @@
     body::json(StatusCode::OK, &list)
 }
 
-/// The value of a query parameter, as sent.
+/// Returns the value of a query parameter without percent-decoding it.
 pub fn query_value<'a>(uri: &'a Uri, name: &str) -> Option<&'a str> {
     for pair in uri.query()?.split('&') {
         let Some((key, value)) = pair.split_once('=') else {
--- a/crates/foxtailhold-caller/src/models.rs
+++ b/crates/foxtailhold-caller/src/models.rs
@@ -1,4 +1,4 @@
-//! Models in the OpenAI form.
+//! Models in the format of the OpenAI API.
 
 use foxtailhold::contract::Contract;
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
@@ -31,7 +31,7 @@
     }
 }
 
-/// The models that the contract's holder may use now.
+/// Builds the response with the models that are served now and allowed by the contract.
 pub fn list<G: Gateway>(gateway: &G, contract: &Contract) -> Response<AnswerBody> {
     let names = gateway.models(contract);
     let list = ModelList {
@@ -41,7 +41,8 @@
     body::json(StatusCode::OK, &list)
 }
 
-/// One of them.
+/// Builds the response with one model. A model that is not served or not allowed is refused as
+/// unknown.
 pub fn get<G: Gateway>(
     gateway: &G,
     contract: &Contract,
--- a/crates/foxtailhold-caller/src/route.rs
+++ b/crates/foxtailhold-caller/src/route.rs
@@ -1,4 +1,4 @@
-//! Which resource a path names, and which methods it takes.
+//! Routing: the resource that a path refers to, and the methods that it accepts.
 
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
 use http::Method;
@@ -6,42 +6,42 @@
 use crate::gateway::RequestKind;
 use crate::service;
 
-/// Path of the list of addresses, the only one that needs no key.
+/// Path of the list of instances to use. It is the only path that needs no API key.
 pub const ENTRIES_PATH: &str = "/v1/entries";
 /// Path of chat completions.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 /// Path of text completions.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// A resource of the caller's API.
+/// A resource of the caller API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// Addresses to use.
+    /// List of instances to use.
     Entries,
-    /// Completions; the path is the engine's as well.
+    /// Completions. The path is the same at the engine.
     Inference(&'static str),
-    /// All models.
+    /// List of models.
     Models,
-    /// One model.
+    /// One model, by name.
     Model(&'a str),
-    /// All files.
+    /// List of files; upload.
     Files,
-    /// One file.
+    /// Metadata of one file, by identifier.
     File(&'a str),
-    /// A file's content.
+    /// Content of one file, by identifier.
     FileContent(&'a str),
-    /// All batch jobs.
+    /// List of batch jobs; creation.
     Batches,
-    /// One batch job.
+    /// One batch job, by identifier.
     Batch(&'a str),
-    /// Cancels a batch job.
+    /// Cancellation of a batch job, by identifier.
     BatchCancel(&'a str),
-    /// Anything at a plain service.
+    /// Any path below [`service::PREFIX`], passed to a plain service.
     Service,
 }
 
 impl<'a> Route<'a> {
-    /// The resource at `path`.
+    /// Returns the resource at `path`, or a not-found refusal.
     pub fn of(path: &'a str) -> Result<Self> {
         if path.starts_with(service::PREFIX) {
             return Ok(Route::Service);
@@ -65,7 +65,7 @@
         })
     }
 
-    /// The kind of its requests.
+    /// Returns the request kind under which metrics count the route.
     pub fn kind(&self) -> RequestKind {
         match self {
             Route::Entries => RequestKind::Entries,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The methods the resource takes; empty means any.
+    /// Returns the methods that the resource accepts. An empty list means any method.
     pub fn methods(&self) -> &'static [Method] {
         match self {
             Route::Service => &[],
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Refuses a method that the resource does not take.
+    /// Refuses a method that the resource does not accept.
     pub fn check_method(&self, method: &Method) -> Result<()> {
         let methods = self.methods();
         if methods.is_empty() || methods.contains(method) {
--- a/crates/foxtailhold-caller/src/service.rs
+++ b/crates/foxtailhold-caller/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls to plain services.
 
 use bytes::Bytes;
 use foxtailhold::ids::TargetName;
@@ -7,12 +7,13 @@
 
 use crate::gateway::{PlainCall, RequestContext};
 
-/// Path before the service's name.
+/// Path prefix that is followed by the name of the service.
 pub const PREFIX: &str = "/v1/services/";
-/// Largest body of a call.
+/// Maximum size of the body of a call.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Headers that belong to one connection or to this system and are not passed on (RFC 9110, 7.6.1).
+/// Headers that are not forwarded: connection headers (RFC 9110, section 7.6.1), and headers that
+/// are meant for this system.
 const NOT_FORWARDED: [HeaderName; 9] = [
     header::AUTHORIZATION,
     header::CONNECTION,
@@ -36,7 +37,7 @@
     forwarded_headers
 }
 
-/// Reads a call from its path, headers and body.
+/// Builds the call from the path, headers and body of a request.
 pub fn read(context: RequestContext, head: &request::Parts, body: Bytes) -> Result<PlainCall> {
     let path = head.uri.path();
     let rest = path.strip_prefix(PREFIX).unwrap_or_default();
--- a/crates/foxtailhold-caller/tests/bodies.rs
+++ b/crates/foxtailhold-caller/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Oversized bodies, slow and vanished callers.
+//! Oversized bodies, callers that send slowly, and callers that disconnect early.
 
 mod common;
 
--- a/crates/foxtailhold-caller/tests/common/mod.rs
+++ b/crates/foxtailhold-caller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A caller side with a small fake gateway behind it, and a raw client.
+//! A caller API server with a fake gateway, and a raw HTTP client.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -23,22 +23,22 @@
 pub const BODY_IDLE_MS: u64 = 300;
 const WAIT: Duration = Duration::from_secs(20);
 
-/// What the fake was asked, and what it answers.
+/// A fake gateway that records its calls and returns configured results.
 #[derive(Debug, Clone, Default)]
 pub struct Fake {
-    /// Refusal of everything, where set.
+    /// If set, every call fails with this refusal.
     pub refusal: Arc<Mutex<Option<Refusal>>>,
-    /// Bodies of requests to models.
+    /// Inference requests received.
     pub inferences: Arc<Mutex<Vec<Inference>>>,
-    /// Codes of refusals noted.
+    /// Codes of the refusals recorded by `Gateway::refused`.
     pub recorded_refusals: Arc<Mutex<Vec<String>>>,
-    /// Kinds and outcomes of answers.
+    /// Kind, and `ok` or error code, of each call to `Gateway::answered`.
     pub answers: Arc<Mutex<Vec<(&'static str, String)>>>,
-    /// Events sent to callers, and whether each was the first.
+    /// Calls to `Gateway::streamed`: whether the event was the first of its stream.
     pub streamed: Arc<Mutex<Vec<bool>>>,
-    /// Endless streams dropped.
+    /// Number of streams dropped before their end.
     pub dropped: Arc<AtomicUsize>,
-    /// Uploads closed, and uploads dropped before.
+    /// Number of uploads closed.
     pub uploads_closed: Arc<AtomicUsize>,
 }
 
@@ -269,7 +269,7 @@
     }
 }
 
-/// A caller side on loopback.
+/// A caller API server on the loopback interface.
 pub struct Served {
     pub server: Server,
     pub fake: Fake,
@@ -283,7 +283,7 @@
     Served { server, fake }
 }
 
-/// An answer as the caller sees it.
+/// An HTTP response as the caller receives it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -309,7 +309,7 @@
     }
 }
 
-/// The text of a request with a known key; `headers` end with `\r\n` each.
+/// Builds a request with a valid API key. Each line of `headers` must end with `\r\n`.
 pub fn request(method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
@@ -324,7 +324,7 @@
         TcpStream::connect(self.server.address()).await.unwrap()
     }
 
-    /// Writes everything first and reads only then, as simple clients do.
+    /// Writes the complete request before it reads the response, as simple clients do.
     pub async fn send(&self, bytes: &[u8]) -> Answer {
         let mut stream = self.connect().await;
         stream.write_all(bytes).await.unwrap();
@@ -332,7 +332,7 @@
     }
 }
 
-/// Reads one answer with a length, or a chunked one up to its end.
+/// Reads one response with a `content-length`, or a chunked one up to its end.
 pub async fn read_answer(stream: &mut TcpStream) -> Answer {
     let mut bytes = Vec::new();
     let read = async {
@@ -365,7 +365,7 @@
     whole.then_some(answer)
 }
 
-/// Waits until `done` holds.
+/// Waits until `done` returns true; panics after 10 s.
 pub async fn until(what: &str, done: impl Fn() -> bool) {
     for _ in 0..1_000 {
         if done() {
--- a/crates/foxtailhold-caller/tests/refusals.rs
+++ b/crates/foxtailhold-caller/tests/refusals.rs
@@ -1,4 +1,5 @@
-//! Every refusal is the documented error object, and docs/API.md says the same.
+//! Every refusal must be sent as the error object that docs/API.md documents, with the same status,
+//! code and type.
 
 mod common;
 
--- a/crates/foxtailhold-caller/tests/requests.rs
+++ b/crates/foxtailhold-caller/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What callers send, right and wrong.
+//! Valid and invalid requests of callers, and the format of the responses.
 
 mod common;
 
