--- a/crates/foxtailhold-operator/src/client.rs
+++ b/crates/foxtailhold-operator/src/client.rs
@@ -101,7 +101,7 @@
         let path = format!("/v1/contracts/{customer}");
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
-        *request.uri_mut() = uri(self.address, &path).map_err(|e| self.unreachable(&e))?;
+        *request.uri_mut() = uri(self.address, &path).map_err(|e| self.send_error(&e))?;
         let headers = request.headers_mut();
         headers.insert(EXPECTED_VERSION, HeaderValue::from(expected_version));
         let bearer = HeaderValue::try_from(format!("Bearer {}", self.token));
@@ -109,13 +109,13 @@
         bearer.set_sensitive(true);
         headers.insert(header::AUTHORIZATION, bearer);
         let sent = self.http.send(self.address, request, CALL_TIMEOUT_MS).await;
-        let response = sent.map_err(|error| self.unanswered(&error))?;
+        let response = sent.map_err(|error| self.change_send_error(&error))?;
         let status = response.status();
         let bytes = read_whole(response.into_body(), MAX_ANSWER_BYTES)
             .await
-            .map_err(|error| self.lost(error.to_string()))?;
+            .map_err(|error| self.answer_lost_error(error.to_string()))?;
         match self.read(status.is_success(), &bytes) {
-            Err(OperatorError::Unreachable { detail, .. }) => Err(self.lost(detail)),
+            Err(OperatorError::Unreachable { detail, .. }) => Err(self.answer_lost_error(detail)),
             read => read,
         }
     }
@@ -142,7 +142,7 @@
         call.bearer = Some(&self.token);
         call.timeout_ms = CALL_TIMEOUT_MS;
         let answer = self.http.call(&call, Some(setup)).await;
-        let (status, bytes) = answer.map_err(|error| self.unreachable(&error))?;
+        let (status, bytes) = answer.map_err(|error| self.send_error(&error))?;
         self.read(status.is_success(), &bytes)
     }
 
@@ -161,40 +161,41 @@
         call.bearer = Some(&self.token);
         call.timeout_ms = CALL_TIMEOUT_MS;
         let answer = self.http.call::<()>(&call, None).await;
-        let (status, bytes) = answer.map_err(|error| self.unreachable(&error))?;
+        let (status, bytes) = answer.map_err(|error| self.send_error(&error))?;
         self.read(status.is_success(), &bytes)
     }
 
     fn read<T: DeserializeOwned>(&self, success: bool, bytes: &[u8]) -> Result<T> {
         if success {
-            return serde_json::from_slice(bytes).map_err(|error| self.broken(error.to_string()));
+            return serde_json::from_slice(bytes)
+                .map_err(|error| self.unreachable_error(error.to_string()));
         }
         match serde_json::from_slice::<OperatorErrorBody>(bytes) {
             Ok(body) => Err(body.error),
-            Err(error) => Err(self.broken(error.to_string())),
+            Err(error) => Err(self.unreachable_error(error.to_string())),
         }
     }
 
     /// The error of a change that got no answer: without a byte sent it has no effect.
-    fn unanswered(&self, error: &SendError) -> OperatorError {
+    fn change_send_error(&self, error: &SendError) -> OperatorError {
         if error.is_not_sent() {
-            return self.unreachable(error);
+            return self.send_error(error);
         }
-        self.lost(error.to_string())
+        self.answer_lost_error(error.to_string())
     }
 
-    fn lost(&self, detail: String) -> OperatorError {
+    fn answer_lost_error(&self, detail: String) -> OperatorError {
         OperatorError::AnswerLost {
             address: self.address.to_string(),
             detail,
         }
     }
 
-    fn unreachable(&self, error: &SendError) -> OperatorError {
-        self.broken(error.to_string())
+    fn send_error(&self, error: &SendError) -> OperatorError {
+        self.unreachable_error(error.to_string())
     }
 
-    fn broken(&self, detail: String) -> OperatorError {
+    fn unreachable_error(&self, detail: String) -> OperatorError {
         OperatorError::Unreachable {
             address: self.address.to_string(),
             detail,
--- a/crates/foxtailhold-operator/src/command.rs
+++ b/crates/foxtailhold-operator/src/command.rs
@@ -52,12 +52,12 @@
 /// Does what the options say.
 pub async fn run(options: &Options) -> Result<String> {
     match &options.task {
-        Task::Instances(access, command) => at_instances(access, command, options.json).await,
+        Task::Instances(access, command) => run_at_instance(access, command, options.json).await,
         Task::Logs(query) => Ok(lines::run(query, options.json)?),
     }
 }
 
-async fn at_instances(access: &Access, command: &Command, as_json: bool) -> Result<String> {
+async fn run_at_instance(access: &Access, command: &Command, as_json: bool) -> Result<String> {
     let client = OperatorClient::new(access.instance, &access.token);
     match command {
         Command::GetContract(customer) => {
@@ -176,9 +176,9 @@
 }
 
 async fn instance_rows(client: &OperatorClient) -> Result<Vec<InstanceRow>> {
-    let seen = client.instances().await?;
+    let known = client.instances().await?;
     let mut rows = Vec::new();
-    for view in seen.instances {
+    for view in known.instances {
         let own = client.at(view.operator_address).instances().await;
         let contracts_number = own.ok().map(|own| own.contracts_number);
         rows.push(InstanceRow {
--- a/crates/foxtailhold-operator/src/handler.rs
+++ b/crates/foxtailhold-operator/src/handler.rs
@@ -95,10 +95,10 @@
 
     fn check_token(&self, head: &request::Parts) -> Result<()> {
         let value = head.headers.get(header::AUTHORIZATION);
-        let given = value.and_then(|value| value.to_str().ok());
-        let given = given.and_then(|text| text.strip_prefix("Bearer "));
-        let given = given.unwrap_or_default().as_bytes();
-        if bool::from(given.ct_eq(self.token.as_bytes())) {
+        let token = value.and_then(|value| value.to_str().ok());
+        let token = token.and_then(|text| text.strip_prefix("Bearer "));
+        let token = token.unwrap_or_default().as_bytes();
+        if bool::from(token.ct_eq(self.token.as_bytes())) {
             return Ok(());
         }
         Err(OperatorError::Unauthorized)
@@ -165,17 +165,17 @@
         let (head, mut incoming) = request.into_parts();
         let answer = self.route(&head, &mut incoming).await;
         body::drain(incoming);
-        answer.unwrap_or_else(refusal)
+        answer.unwrap_or_else(error_response)
     }
 }
 
-fn refusal(error: OperatorError) -> Response<AnswerBody> {
+fn error_response(error: OperatorError) -> Response<AnswerBody> {
     let allow = match &error {
         OperatorError::MethodNotAllowed { allow, .. } => HeaderValue::try_from(allow).ok(),
         _ => None,
     };
     let message = error.to_string();
-    let mut response = body::json(status(&error), &OperatorErrorBody { error, message });
+    let mut response = body::json(status_code(&error), &OperatorErrorBody { error, message });
     if let Some(allow) = allow {
         response.headers_mut().insert(header::ALLOW, allow);
     }
@@ -209,22 +209,22 @@
 }
 
 async fn read_contract(customer: &CustomerId, incoming: &mut Incoming) -> Result<Contract> {
-    let bad = |detail: String| OperatorError::BadContract { detail };
+    let bad_contract = |detail: String| OperatorError::BadContract { detail };
     let bytes = body::read_patiently(incoming, MAX_DOCUMENT_BYTES, BODY_IDLE_MS)
         .await
-        .map_err(|error| bad(error.to_string()))?;
-    let document = std::str::from_utf8(&bytes).map_err(|error| bad(error.to_string()))?;
+        .map_err(|error| bad_contract(error.to_string()))?;
+    let document = std::str::from_utf8(&bytes).map_err(|error| bad_contract(error.to_string()))?;
     let contract = Contract::try_from(document)?;
     if contract.customer != *customer {
-        let named = &contract.customer;
-        return Err(bad(format!(
-            "field `customer` is {named}, the contract to be set is {customer}'s"
+        let found_customer = &contract.customer;
+        return Err(bad_contract(format!(
+            "field `customer` is {found_customer}, the contract to be set is {customer}'s"
         )));
     }
     Ok(contract)
 }
 
-fn status(error: &OperatorError) -> StatusCode {
+fn status_code(error: &OperatorError) -> StatusCode {
     match error {
         OperatorError::Unauthorized => StatusCode::UNAUTHORIZED,
         OperatorError::BadContract { .. } | OperatorError::BadRequest { .. } => {
--- a/crates/foxtailhold-operator/src/options.rs
+++ b/crates/foxtailhold-operator/src/options.rs
@@ -46,7 +46,7 @@
     },
     /// Related lines of nothing, or of no files.
     #[error("--related needs --of and log files")]
-    RelatedToNothing,
+    RelatedWithoutTarget,
     /// The customer is wrong.
     #[error(transparent)]
     BadCustomer(#[from] IdError),
@@ -126,7 +126,11 @@
     pub task: Task,
 }
 
-fn given(value: Option<String>, option: &'static str, variable: &'static str) -> Result<String> {
+fn flag_or_env(
+    value: Option<String>,
+    option: &'static str,
+    variable: &'static str,
+) -> Result<String> {
     value
         .or_else(|| std::env::var(variable).ok())
         .ok_or(OptionsError::Missing { option, variable })
@@ -152,11 +156,11 @@
 
 impl Access {
     fn from_flags(instance: Option<String>, token: Option<String>) -> Result<Self> {
-        let instance = given(instance, "instance", INSTANCE_VARIABLE)?;
+        let instance = flag_or_env(instance, "instance", INSTANCE_VARIABLE)?;
         let instance = instance
             .parse()
             .map_err(|_| OptionsError::BadAddress { text: instance })?;
-        let token = given(token, "token", TOKEN_VARIABLE)?;
+        let token = flag_or_env(token, "token", TOKEN_VARIABLE)?;
         Ok(Access { instance, token })
     }
 }
@@ -166,7 +170,7 @@
 
     fn try_from(raw: TimelineCommand) -> Result<Self> {
         if raw.related && raw.of.is_none() {
-            return Err(OptionsError::RelatedToNothing);
+            return Err(OptionsError::RelatedWithoutTarget);
         }
         Ok(LogQuery {
             files: raw.files.into_iter().map(PathBuf::from).collect(),
@@ -200,7 +204,7 @@
             RawCommand::Jobs(_) => Command::Jobs,
             RawCommand::Order(order) => Command::Order(OrderCommand::try_from(order)?),
             RawCommand::Timeline(timeline) if timeline.related => {
-                return Err(OptionsError::RelatedToNothing);
+                return Err(OptionsError::RelatedWithoutTarget);
             }
             RawCommand::Timeline(timeline) => Command::Timeline { of: timeline.of },
         })
--- a/crates/foxtailhold-operator/tests/commands.rs
+++ b/crates/foxtailhold-operator/tests/commands.rs
@@ -23,7 +23,7 @@
     String::from_utf8_lossy(bytes).replace("\n  │ ", " ")
 }
 
-async fn shown(served: &Served, arguments: &[&str]) -> String {
+async fn stdout_of(served: &Served, arguments: &[&str]) -> String {
     let output = foxtail(served, arguments).await;
     assert!(output.status.success(), "{}", text(&output.stderr));
     text(&output.stdout)
@@ -39,32 +39,32 @@
 #[tokio::test]
 async fn contract_is_shown_listed_set_and_removed() {
     let served = serve().await;
-    let get = shown(&served, &["contract", "get", "c"]).await;
+    let get = stdout_of(&served, &["contract", "get", "c"]).await;
     assert!(get.starts_with("# version 4, change 9\n"), "{get}");
     assert!(get.contains("requests_per_s = 5.0"), "{get}");
-    let list = shown(&served, &["contract", "list"]).await;
+    let list = stdout_of(&served, &["contract", "list"]).await;
     assert!(list.starts_with("CUSTOMER  VERSION"), "{list}");
     let list: Value =
-        serde_json::from_str(&shown(&served, &["--json", "contract", "list"]).await).unwrap();
+        serde_json::from_str(&stdout_of(&served, &["--json", "contract", "list"]).await).unwrap();
     assert_eq!(list[0]["version"], 4);
     let file = file_with("set", &document("7"));
-    let set = shown(&served, &["contract", "set", file.to_str().unwrap()]).await;
+    let set = stdout_of(&served, &["contract", "set", file.to_str().unwrap()]).await;
     assert_eq!(set, "contract of c is at version 5 (change 10)\n");
     std::fs::remove_file(file).unwrap();
-    let removed = shown(&served, &["contract", "remove", "c"]).await;
+    let removed = stdout_of(&served, &["contract", "remove", "c"]).await;
     assert_eq!(removed, "contract of c is removed (version 5, change 10)\n");
-    let removed = shown(
+    let removed = stdout_of(
         &served,
         &["contract", "remove", "c", "--expected-version", "7"],
     )
     .await;
     assert!(removed.contains("version 8"), "{removed}");
     let updates = served.fake.updates.lock().unwrap();
-    let seen: Vec<(u64, bool)> = updates
+    let recorded: Vec<(u64, bool)> = updates
         .iter()
         .map(|update| (update.expected_version, update.contract.is_some()))
         .collect();
-    assert_eq!(seen, [(4, true), (4, false), (7, false)]);
+    assert_eq!(recorded, [(4, true), (4, false), (7, false)]);
 }
 
 #[tokio::test]
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn wrong_document_is_found_before_it_is_sent_and_its_line_is_named() {
+async fn invalid_document_is_rejected_with_its_line_before_it_is_sent() {
     let served = serve().await;
     let file = file_with("wrong", &document("0"));
     let output = foxtail(&served, &["contract", "set", file.to_str().unwrap()]).await;
@@ -151,7 +151,7 @@
         accepted("entry-1", 9, 0, "r-1"),
     ];
     second.fake.timeline.lock().unwrap().dropped = 3;
-    let all = shown(&first, &["timeline"]).await;
+    let all = stdout_of(&first, &["timeline"]).await;
     let lines: Vec<&str> = all.lines().collect();
     assert_eq!(
         lines[..2],
@@ -162,7 +162,7 @@
         .map(|line| line.split(' ').next().unwrap())
         .collect();
     assert_eq!(order, ["5.0000", "5.0001", "7.0000", "9.0000"]);
-    let one = shown(&first, &["--json", "timeline", "--of", "r-1"]).await;
+    let one = stdout_of(&first, &["--json", "timeline", "--of", "r-1"]).await;
     let one: Value = serde_json::from_str(&one).unwrap();
     let at = |index: usize| one["entries"][index]["at"]["wall_ms"].as_u64();
     assert_eq!((at(0), at(1), at(2)), (Some(5), Some(9), None));
--- a/crates/foxtailhold-operator/tests/common/mod.rs
+++ b/crates/foxtailhold-operator/tests/common/mod.rs
@@ -38,7 +38,7 @@
 }
 
 impl Fake {
-    fn outcome(&self) -> Result<()> {
+    fn check_failure(&self) -> Result<()> {
         match self.failure.lock().unwrap().clone() {
             Some(error) => Err(error),
             None => Ok(()),
@@ -64,7 +64,7 @@
     }
 
     async fn update_contract(&self, update: ContractUpdate) -> Result<AcceptedChange> {
-        self.outcome()?;
+        self.check_failure()?;
         let accepted = AcceptedChange {
             customer: update.customer.clone(),
             version: update.expected_version + 1,
@@ -87,12 +87,12 @@
     }
 
     async fn jobs(&self) -> Result<Vec<JobView>> {
-        self.outcome()?;
+        self.check_failure()?;
         Ok(Vec::new())
     }
 
     async fn set_order(&self, backend: &BackendId, setup: &EngineSetup) -> Result<OrderView> {
-        self.outcome()?;
+        self.check_failure()?;
         Ok(OrderView {
             backend: backend.clone(),
             version: 1,
@@ -101,7 +101,7 @@
     }
 
     async fn orders(&self) -> Result<Vec<OrderView>> {
-        self.outcome()?;
+        self.check_failure()?;
         Ok(Vec::new())
     }
 
--- a/crates/foxtailhold-operator/tests/foxtail.rs
+++ b/crates/foxtailhold-operator/tests/foxtail.rs
@@ -17,7 +17,7 @@
 )]
 #[test_case(&["timeline", "--related", "missing.log"], "--related needs --of"; "related to nothing")]
 #[test_case(&["timeline", "missing.log"], "cannot read log lines from missing.log"; "no such file")]
-fn wrong_use_is_explained_with_status_1(arguments: &[&str], says: &str) {
+fn invalid_arguments_are_explained_with_status_1(arguments: &[&str], message_part: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_foxtail"))
         .args(arguments)
         .env_remove("FOXTAIL_INSTANCE")
@@ -26,7 +26,7 @@
         .unwrap();
     let message = String::from_utf8_lossy(&output.stderr).replace("\n  │ ", " ");
     assert_eq!(output.status.code(), Some(1), "{message}");
-    assert!(message.contains(says), "{message}");
+    assert!(message.contains(message_part), "{message}");
 }
 
 #[test]
--- a/crates/foxtailhold-operator/tests/lost_answers.rs
+++ b/crates/foxtailhold-operator/tests/lost_answers.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const OVER: usize = 2 << 20;
+const OVERSIZED_BYTES: usize = 2 << 20;
 
 /// What the instance does once it has read a call.
 #[derive(Debug, Clone, Copy)]
@@ -31,8 +31,8 @@
             Fault::ResetAfter => "HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{".to_owned(),
             Fault::Malformed => "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\noops".to_owned(),
             Fault::Oversized => {
-                let body = " ".repeat(OVER);
-                format!("HTTP/1.1 200 OK\r\ncontent-length: {OVER}\r\n\r\n{body}")
+                let body = " ".repeat(OVERSIZED_BYTES);
+                format!("HTTP/1.1 200 OK\r\ncontent-length: {OVERSIZED_BYTES}\r\n\r\n{body}")
             }
         };
         let _ = stream.write_all(text.as_bytes()).await;
@@ -44,7 +44,7 @@
 #[test_case(Fault::Malformed; "malformed")]
 #[test_case(Fault::Oversized; "oversized")]
 #[tokio::test]
-async fn change_whose_answer_is_lost_is_not_called_without_effect(fault: Fault) {
+async fn change_whose_answer_is_lost_is_reported_as_possibly_effective(fault: Fault) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = OperatorClient::new(listener.local_addr().unwrap(), "token-of-tests");
     let server = tokio::spawn(answer(listener, fault));
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn change_that_nobody_got_is_unreachable() {
+async fn change_that_was_not_sent_is_unreachable() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
--- a/crates/foxtailhold-operator/tests/operator_api.rs
+++ b/crates/foxtailhold-operator/tests/operator_api.rs
@@ -77,7 +77,7 @@
 #[test_case("customer = \"c\"\napi_keys = [\"12345678\"]\nrequests_per_s = 1\nbatch_items_queued = 0", "line 4: field `batch_items_queued`"; "queue of zero")]
 #[test_case("customer = \"c\"\napi_keys = [\"12345678\"]\nrequests_per_s = 1\nbatch_items_queued = -4", "line 4, column 22"; "negative count")]
 #[tokio::test]
-async fn wrong_document_is_refused_and_the_field_is_named(document: &str, says: &str) {
+async fn wrong_document_is_refused_and_the_field_is_named(document: &str, message_part: &str) {
     let served = serve().await;
     let answer = served
         .send_known(Method::PUT, CONTRACT, Some("0"), document.as_bytes())
@@ -86,7 +86,7 @@
     let body = answer.json();
     assert_eq!(body["error"]["code"], "bad_contract");
     let detail = body["error"]["detail"].as_str().unwrap();
-    assert!(detail.contains(says), "{detail}");
+    assert!(detail.contains(message_part), "{detail}");
     assert!(served.fake.updates.lock().unwrap().is_empty());
 }
 
@@ -104,14 +104,17 @@
     version: Option<&str>,
     status: u16,
     code: &str,
-    says: &str,
+    message_part: &str,
 ) {
     let served = serve().await;
     let answer = served.send_known(method, path, version, b"").await;
     assert_eq!(answer.status, status, "{answer:?}");
     let body = answer.json();
     assert_eq!(body["error"]["code"], code);
-    assert!(body["message"].as_str().unwrap().contains(says), "{body}");
+    assert!(
+        body["message"].as_str().unwrap().contains(message_part),
+        "{body}"
+    );
     assert_eq!(answer.headers.contains_key("allow"), status == 405);
 }
 
@@ -137,7 +140,7 @@
     "x-1 may be in force"; "effect unknown"
 )]
 #[tokio::test]
-async fn failed_change_says_what_became_of_it(failure: OperatorError, status: u16, says: &str) {
+async fn failed_change_reports_its_effect(failure: OperatorError, status: u16, message_part: &str) {
     let served = serve().await;
     *served.fake.failure.lock().unwrap() = Some(failure.clone());
     for (method, body) in [
@@ -151,7 +154,10 @@
         let body = answer.json();
         let error: OperatorError = serde_json::from_value(body["error"].clone()).unwrap();
         assert_eq!(error, failure);
-        assert!(body["message"].as_str().unwrap().contains(says), "{body}");
+        assert!(
+            body["message"].as_str().unwrap().contains(message_part),
+            "{body}"
+        );
     }
 }
 
