--- a/crates/foxtailhold-operator/src/bin/foxtail.rs
+++ b/crates/foxtailhold-operator/src/bin/foxtail.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! The `foxtail` command line for operators.
 
 use std::process::ExitCode;
 
--- a/crates/foxtailhold-operator/src/cli.rs
+++ b/crates/foxtailhold-operator/src/cli.rs
@@ -1,4 +1,7 @@
-//! The raw command line of `foxtail`.
+//! Command line of `foxtail` as parsed by argh, before validation.
+//!
+//! The doc comments of the structs and of their fields are the help texts that `foxtail --help`
+//! prints.
 
 use argh::FromArgs;
 
@@ -19,21 +22,21 @@
     pub command: RawCommand,
 }
 
-/// What to do.
+/// Subcommands of `foxtail`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum RawCommand {
-    /// Contracts.
+    /// `foxtail contract`.
     Contract(ContractCommand),
-    /// Instances.
+    /// `foxtail instances`.
     Instances(InstancesCommand),
-    /// Backend servers.
+    /// `foxtail backends`.
     Backends(BackendsCommand),
-    /// Batch jobs.
+    /// `foxtail jobs`.
     Jobs(JobsCommand),
-    /// Wanted states of engines.
+    /// `foxtail order`.
     Order(RawOrderCommand),
-    /// The time line.
+    /// `foxtail timeline`.
     Timeline(TimelineCommand),
 }
 
@@ -46,17 +49,17 @@
     pub command: ContractSubcommand,
 }
 
-/// What to do with contracts.
+/// Subcommands of `foxtail contract`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum ContractSubcommand {
-    /// Show one.
+    /// `foxtail contract get`.
     Get(GetCommand),
-    /// Set one.
+    /// `foxtail contract set`.
     Set(SetCommand),
-    /// List all.
+    /// `foxtail contract list`.
     List(ListCommand),
-    /// Remove one.
+    /// `foxtail contract remove`.
     Remove(RemoveCommand),
 }
 
@@ -138,13 +141,13 @@
     pub command: RawOrderSubcommand,
 }
 
-/// What to do with wanted states.
+/// Subcommands of `foxtail order`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum RawOrderSubcommand {
-    /// Set one.
+    /// `foxtail order set`.
     Set(RawSetOrder),
-    /// List all.
+    /// `foxtail order list`.
     List(RawListOrders),
 }
 
--- a/crates/foxtailhold-operator/src/client.rs
+++ b/crates/foxtailhold-operator/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the operator API.
+//! HTTP client for the operator API.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
     AcceptedChange, BackendView, ContractView, InstancesView, JobView, TimelineView,
 };
 
-/// Limit for one call.
+/// Timeout for one call.
 pub const CALL_TIMEOUT_MS: u64 = 10_000;
 
-/// Largest answer to a change.
+/// Maximum size of the answer to a contract change.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// A client of one instance's operator API.
+/// Client for the operator API of one instance.
 #[derive(Clone)]
 pub struct OperatorClient {
     http: HttpClient,
@@ -34,7 +34,7 @@
 }
 
 impl fmt::Debug for OperatorClient {
-    /// Leaves the token out.
+    /// Omits the token, so that it does not appear in logs and error messages.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = formatter.debug_struct("OperatorClient");
         text.field("address", &self.address).finish_non_exhaustive()
@@ -42,7 +42,7 @@
 }
 
 impl OperatorClient {
-    /// A client of the instance at `address`.
+    /// Creates a client for the instance with the operator address `address`.
     pub fn new(address: SocketAddr, token: &str) -> Self {
         OperatorClient {
             http: HttpClient::new(Reuse::Pooled),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A client of another instance with the same token.
+    /// Returns a client for another instance, with the same token.
     pub fn at(&self, address: SocketAddr) -> Self {
         OperatorClient {
             address,
@@ -59,17 +59,18 @@
         }
     }
 
-    /// All contracts.
+    /// Lists all contracts.
     pub async fn contracts(&self) -> Result<Vec<ContractView>> {
         self.get("/v1/contracts").await
     }
 
-    /// One contract.
+    /// Reads the contract of a customer.
     pub async fn contract(&self, customer: &CustomerId) -> Result<ContractView> {
         self.get(&format!("/v1/contracts/{customer}")).await
     }
 
-    /// Sets a contract from its document.
+    /// Sets a contract from a TOML document. Fails with `Conflict` unless the contract is at
+    /// `expected_version`; 0 stands for no contract.
     pub async fn set_contract(
         &self,
         customer: &CustomerId,
@@ -81,7 +82,7 @@
             .await
     }
 
-    /// Removes a contract.
+    /// Removes a contract. Fails with `Conflict` unless it is at `expected_version`.
     pub async fn remove_contract(
         &self,
         customer: &CustomerId,
@@ -120,22 +121,22 @@
         }
     }
 
-    /// Instances as this one sees them.
+    /// Lists the instances known to this instance.
     pub async fn instances(&self) -> Result<InstancesView> {
         self.get("/v1/instances").await
     }
 
-    /// Backend servers as this instance sees them.
+    /// Lists the backend servers known to this instance.
     pub async fn backends(&self) -> Result<Vec<BackendView>> {
         self.get("/v1/backends").await
     }
 
-    /// Batch jobs that are not finished.
+    /// Lists the batch jobs that are not finished.
     pub async fn jobs(&self) -> Result<Vec<JobView>> {
         self.get("/v1/jobs").await
     }
 
-    /// Sets the wanted state of an engine.
+    /// Sets the desired state of an engine.
     pub async fn set_order(&self, backend: &BackendId, setup: &EngineSetup) -> Result<OrderView> {
         let path = format!("/v1/orders/{backend}");
         let mut call = Call::new(Method::PUT, self.address, &path);
@@ -146,12 +147,12 @@
         self.read(status.is_success(), &bytes)
     }
 
-    /// Wanted states of all engines.
+    /// Lists the desired states of all engines.
     pub async fn orders(&self) -> Result<Vec<OrderView>> {
         self.get("/v1/orders").await
     }
 
-    /// Recent events of this instance.
+    /// Reads the recent events of this instance.
     pub async fn timeline(&self) -> Result<TimelineView> {
         self.get("/v1/timeline").await
     }
@@ -176,7 +177,8 @@
         }
     }
 
-    /// The error of a change that got no answer: without a byte sent it has no effect.
+    /// Converts the transport error of a change. If no byte was sent, the change has no effect;
+    /// otherwise it may have taken effect.
     fn change_send_error(&self, error: &SendError) -> OperatorError {
         if error.is_not_sent() {
             return self.send_error(error);
--- a/crates/foxtailhold-operator/src/command.rs
+++ b/crates/foxtailhold-operator/src/command.rs
@@ -1,4 +1,4 @@
-//! What `foxtail` does. Every command returns the text to print.
+//! The commands of `foxtail`. Each command returns the text to print.
 
 use std::path::{Path, PathBuf};
 
@@ -23,16 +23,16 @@
 /// Why a command failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum CommandError {
-    /// The instance refused or cannot be reached.
+    /// The instance refused the call or cannot be reached.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Operator(#[from] OperatorError),
-    /// The document cannot be read from its file.
+    /// The contract document cannot be read from its file.
     #[error("cannot read {}: {source}", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// Log files cannot be read.
@@ -41,7 +41,8 @@
     Lines(#[from] LinesError),
 }
 
-/// An instance with what it says of itself.
+/// An instance as listed by the instance that was asked, with the number of the last contract
+/// change that the instance itself reports as in force. The number is `None` if it did not answer.
 #[derive(Debug, Serialize)]
 struct InstanceRow {
     #[serde(flatten)]
@@ -49,7 +50,7 @@
     contracts_number: Option<u64>,
 }
 
-/// Does what the options say.
+/// Runs the task given by the options and returns the text to print.
 pub async fn run(options: &Options) -> Result<String> {
     match &options.task {
         Task::Instances(access, command) => run_at_instance(access, command, options.json).await,
@@ -189,7 +190,7 @@
     Ok(rows)
 }
 
-/// The events of all instances in one order.
+/// The events of all instances, merged and sorted by their hybrid logical timestamps.
 #[derive(Debug, Default, Serialize)]
 struct MergedTimeline {
     entries: Vec<TimelineEntry>,
--- a/crates/foxtailhold-operator/src/error.rs
+++ b/crates/foxtailhold-operator/src/error.rs
@@ -1,4 +1,5 @@
-//! Errors of the operator API, as they go over the wire and to the terminal.
+//! Errors of the operator API. They are sent as JSON and are printed by `foxtail`, so the codes and
+//! texts are part of the interface.
 
 use foxtailhold::contract::ContractError;
 use miette::Diagnostic;
@@ -16,49 +17,50 @@
     #[error("the operator token is missing or wrong")]
     #[diagnostic(help("pass the instance's token with --token or FOXTAIL_TOKEN"))]
     Unauthorized,
-    /// The document is not a contract.
+    /// The document is not a valid contract.
     #[error("{detail}")]
     #[diagnostic(help("the contract in force is unchanged; mend the field and set it again"))]
     BadContract {
-        /// What is wrong, with field and line.
+        /// Description of the error, with field and line.
         detail: String,
     },
-    /// Another change came first.
+    /// The contract is not at the expected version, because another change was made before.
     #[error("customer {customer} is at version {current}, the change expected version {expected}")]
     #[diagnostic(help("read the current contract with `foxtail contract get {customer}`"))]
     Conflict {
-        /// The customer.
+        /// Customer whose contract was to be changed.
         customer: String,
-        /// The version the change expected; 0 for no contract.
+        /// Version that the change expected; 0 stands for no contract.
         expected: u64,
-        /// The version in force; 0 for no contract.
+        /// Version in force; 0 stands for no contract.
         current: u64,
     },
-    /// An API key belongs to another customer.
+    /// An API key of the contract already belongs to another customer.
     #[error("an API key of the contract belongs to customer {customer}")]
     KeyTaken {
-        /// Whose key it is.
+        /// Customer that the key belongs to.
         customer: String,
     },
     /// The object does not exist.
     #[error("there is no {kind} {id}")]
     NotFound {
-        /// Kind of object.
+        /// Kind of the object, such as `contract` or `path`.
         kind: String,
-        /// Its identifier.
+        /// Identifier of the object, shortened if it is long.
         id: String,
     },
-    /// The call cannot be understood.
+    /// The path, a header or the body is invalid.
     #[error("{detail}")]
     BadRequest {
-        /// What is wrong.
+        /// Description of the error.
         detail: String,
     },
-    /// The platform's store did not answer and the change has no effect.
+    /// The platform's store is unavailable. The change did not take effect.
     #[error("the platform's store is unavailable; the change has no effect")]
     #[diagnostic(help("try again"))]
     StoreUnavailable,
-    /// The platform's answer was lost and could not be read back.
+    /// The platform's answer was lost, and reading the store did not show whether the change took
+    /// effect.
     #[error(
         "the platform's answer was lost; change {change_id} may be in force or come into force"
     )]
@@ -69,32 +71,32 @@
         /// Identifier of the change.
         change_id: String,
     },
-    /// The method does not fit the path.
+    /// The resource does not accept the method.
     #[error("{method} is not allowed here, {allow} is")]
     MethodNotAllowed {
-        /// The method of the call.
+        /// Method of the call.
         method: String,
-        /// The methods allowed.
+        /// Accepted methods, separated by commas.
         allow: String,
     },
-    /// The instance got a change and its answer was lost.
+    /// A change was sent to the instance, but no valid answer was received. Set by the client.
     #[error("{address}: the answer was lost, the change may be in force: {detail}")]
     #[diagnostic(help(
         "look with `foxtail contract get`; setting it again with the same --expected-version is safe"
     ))]
     AnswerLost {
-        /// The instance.
+        /// Operator address of the instance.
         address: String,
-        /// What was seen.
+        /// Cause, such as the transport error.
         detail: String,
     },
-    /// The instance cannot be reached.
+    /// The instance cannot be reached, or its answer cannot be parsed. Set by the client.
     #[error("{address}: {detail}")]
     #[diagnostic(help("pass another instance's operator address with --instance"))]
     Unreachable {
-        /// The instance.
+        /// Operator address of the instance.
         address: String,
-        /// What was seen.
+        /// Cause, such as the transport error.
         detail: String,
     },
 }
--- a/crates/foxtailhold-operator/src/gateway.rs
+++ b/crates/foxtailhold-operator/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the operator API needs of the instance.
+//! The interface between the operator API and the instance.
 
 use std::future::Future;
 
@@ -12,56 +12,57 @@
     AcceptedChange, BackendView, ContractView, InstancesView, JobView, Readiness, TimelineView,
 };
 
-/// A change an operator asks for.
+/// A contract change requested by an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ContractUpdate {
-    /// Whose contract.
+    /// Customer whose contract is changed.
     pub customer: CustomerId,
-    /// The version it replaces; 0 for none.
+    /// Version that the change replaces; 0 stands for no contract.
     pub expected_version: u64,
-    /// The new contract; `None` removes it.
+    /// New contract; `None` removes the contract.
     pub contract: Option<Contract>,
 }
 
-/// The instance behind the operator API.
+/// Provides the state of an instance and processes the requests of operators.
 pub trait OperatorGateway: Clone + Send + Sync + 'static {
-    /// All contracts in force here, keys unmasked.
+    /// Returns all contracts in force at this instance. API keys are not masked yet.
     fn contracts(&self) -> Vec<ContractView>;
 
-    /// One contract in force here, keys unmasked.
+    /// Returns the contract of a customer that is in force at this instance, or `None`. API keys
+    /// are not masked yet.
     fn contract(&self, customer: &CustomerId) -> Option<ContractView>;
 
-    /// Changes a contract everywhere.
+    /// Changes a contract on all instances.
     fn update_contract(
         &self,
         update: ContractUpdate,
     ) -> impl Future<Output = Result<AcceptedChange>> + Send;
 
-    /// The instances known here.
+    /// Returns the instances known to this instance.
     fn instances(&self) -> InstancesView;
 
-    /// The backend servers known here.
+    /// Returns the backend servers known to this instance.
     fn backends(&self) -> Vec<BackendView>;
 
-    /// Batch jobs that are not finished.
+    /// Returns the batch jobs that are not finished.
     fn jobs(&self) -> impl Future<Output = Result<Vec<JobView>>> + Send;
 
-    /// Sets the wanted state of an engine.
+    /// Sets the desired state of an engine.
     fn set_order(
         &self,
         backend: &BackendId,
         setup: &EngineSetup,
     ) -> impl Future<Output = Result<OrderView>> + Send;
 
-    /// Wanted states of all engines.
+    /// Returns the desired states of all engines.
     fn orders(&self) -> impl Future<Output = Result<Vec<OrderView>>> + Send;
 
-    /// Recent events here.
+    /// Returns the recent events of this instance.
     fn timeline(&self) -> TimelineView;
 
-    /// Metrics in the OpenMetrics text form.
+    /// Returns the metrics in the OpenMetrics text format.
     fn metrics(&self) -> String;
 
-    /// Whether this instance should get requests.
+    /// Returns whether this instance should receive requests.
     fn readiness(&self) -> Readiness;
 }
--- a/crates/foxtailhold-operator/src/handler.rs
+++ b/crates/foxtailhold-operator/src/handler.rs
@@ -1,6 +1,6 @@
-//! The operator API over HTTP.
+//! HTTP handler of the operator API.
 //!
-//! `/health`, `/ready` and `/metrics` need no token; everything else does.
+//! All paths except `/health`, `/ready` and `/metrics` require the operator token.
 
 use std::net::SocketAddr;
 
@@ -18,33 +18,32 @@
 use crate::gateway::{ContractUpdate, OperatorGateway};
 use crate::route::Route;
 
-/// Largest contract document.
+/// Maximum size of a contract document or of the body of an order.
 pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
-/// Longest pause between two parts of a document.
+/// Maximum pause between two parts of a contract document.
 pub const BODY_IDLE_MS: u64 = 10_000;
-/// Header with the version that a change replaces.
+/// Request header that carries the contract version that a change replaces.
 pub const EXPECTED_VERSION: &str = "foxtailhold-expected-version";
-/// Content type of OpenMetrics text.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The operator side of one instance.
+/// HTTP handler of the operator API of one instance.
 #[derive(Clone)]
 pub struct OperatorHandler<G> {
     gateway: G,
     token: std::sync::Arc<str>,
 }
 
-/// The body of a failed call.
+/// Response body of a failed call.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct OperatorErrorBody {
-    /// The error.
+    /// Error code and details.
     pub error: OperatorError,
-    /// The error as a sentence.
+    /// Human-readable description.
     pub message: String,
 }
 
 impl<G: OperatorGateway> OperatorHandler<G> {
-    /// A handler that asks for `token`.
+    /// Creates a handler that requires `token`.
     pub fn new(gateway: G, token: &str) -> Self {
         OperatorHandler {
             gateway,
@@ -241,14 +240,14 @@
     }
 }
 
-/// Reads the identifier of an engine in a path.
+/// Parses the identifier of an engine in a path.
 fn backend_id(text: &str) -> Result<BackendId> {
     BackendId::try_from(text).map_err(|error| OperatorError::BadRequest {
         detail: error.to_string(),
     })
 }
 
-/// Reads the wanted state in a body.
+/// Parses the desired state of an engine in a body.
 fn read_setup(bytes: &[u8]) -> Result<EngineSetup> {
     serde_json::from_slice(bytes).map_err(|error| OperatorError::BadRequest {
         detail: error.to_string(),
--- a/crates/foxtailhold-operator/src/lib.rs
+++ b/crates/foxtailhold-operator/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operator API and the `foxtail` command line.
+//! The operator API (server and client) and the `foxtail` command line.
 #![warn(clippy::unwrap_used)]
 
 pub mod cli;
--- a/crates/foxtailhold-operator/src/lines.rs
+++ b/crates/foxtailhold-operator/src/lines.rs
@@ -1,4 +1,4 @@
-//! The time line from log files, without asking an instance.
+//! Builds the timeline from log files, without a call to an instance.
 
 use std::fs::File;
 use std::io::{self, BufReader};
@@ -18,9 +18,9 @@
 #[derive(Debug, Error, Diagnostic)]
 #[error("cannot read log lines from {}: {source}", file.display())]
 pub struct LinesError {
-    /// The file.
+    /// Path of the file, `-` for standard input.
     file: PathBuf,
-    /// What the system said.
+    /// Error of the operating system.
     source: io::Error,
 }
 
@@ -31,7 +31,7 @@
     book.read(BufReader::new(File::open(file)?))
 }
 
-/// The lines asked for, as text or JSON.
+/// Reads the files of the query and returns the matching lines as text or JSON.
 pub fn run(query: &LogQuery, as_json: bool) -> Result<String> {
     let mut book = LogBook::default();
     for file in &query.files {
--- a/crates/foxtailhold-operator/src/options.rs
+++ b/crates/foxtailhold-operator/src/options.rs
@@ -1,4 +1,4 @@
-//! Checked options of `foxtail`.
+//! Validated options of `foxtail`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,63 +12,64 @@
     Cli, ContractSubcommand, RawCommand, RawOrderCommand, RawOrderSubcommand, TimelineCommand,
 };
 
-/// Environment variable with the operator address.
+/// Environment variable that holds the operator address; used if `--instance` is not given.
 pub const INSTANCE_VARIABLE: &str = "FOXTAIL_INSTANCE";
-/// Environment variable with the operator token.
+/// Environment variable that holds the operator token; used if `--token` is not given.
 pub const TOKEN_VARIABLE: &str = "FOXTAIL_TOKEN";
 
-/// Result of checking the command line.
+/// Result of validating the command line.
 pub type Result<T> = std::result::Result<T, OptionsError>;
 
-/// What is wrong with the command line.
+/// Why the command line is invalid.
 #[derive(Debug, Error, Diagnostic)]
 pub enum OptionsError {
-    /// An option is missing.
+    /// Neither a required option nor its environment variable is set.
     #[error("--{option} is missing")]
     #[diagnostic(help("give --{option} or set {variable}"))]
     Missing {
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// Its environment variable.
+        /// Environment variable that can replace the option.
         variable: &'static str,
     },
-    /// The address is wrong.
+    /// `--instance` is not an IP address with a port.
     #[error("--instance is {text:?}, it must be an IP address and a port such as 127.0.0.1:7102")]
     BadAddress {
-        /// The text given.
+        /// Value of the option.
         text: String,
     },
-    /// The role is wrong.
+    /// `--role` is unknown.
     #[error("--role is {text:?}, it must be mixed, online or batch")]
     BadRole {
-        /// The text given.
+        /// Value of the option.
         text: String,
     },
-    /// Related lines of nothing, or of no files.
+    /// `--related` was given without `--of` or without log files.
     #[error("--related needs --of and log files")]
     RelatedWithoutTarget,
-    /// The customer is wrong.
+    /// A customer, backend server or model name is invalid.
     #[error(transparent)]
     BadCustomer(#[from] IdError),
 }
 
-/// What to do.
+/// A command that is run at an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Show one contract.
+    /// Show the contract of a customer.
     GetContract(CustomerId),
-    /// Set a contract.
+    /// Set a contract from a TOML document.
     SetContract {
-        /// The document's file.
+        /// Path of the document.
         file: PathBuf,
-        /// The version replaced; asked for where not given.
+        /// Version that the change replaces. If `None`, the current version is read from the
+        /// instance.
         expected_version: Option<u64>,
     },
     /// Remove a contract.
     RemoveContract {
-        /// Whose.
+        /// Customer whose contract is removed.
         customer: CustomerId,
-        /// The version removed; asked for where not given.
+        /// Version that is removed. If `None`, the current version is read from the instance.
         expected_version: Option<u64>,
     },
     /// List contracts.
@@ -77,29 +78,30 @@
     Instances,
     /// List backend servers.
     Backends,
-    /// List jobs.
+    /// List batch jobs that are not finished.
     Jobs,
-    /// Wanted states of engines.
+    /// Set or list desired states of engines.
     Order(OrderCommand),
-    /// Show the time line, of one request, job, customer or instance where given.
+    /// Show the timeline, optionally of one request, job, customer or instance.
     Timeline {
-        /// Identifier that an event must have.
+        /// Identifier that an event must contain; `None` shows all events.
         of: Option<String>,
     },
 }
 
-/// Lines to show of log files.
+/// Which lines of which log files to show.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogQuery {
-    /// The files; `-` is the standard input.
+    /// Paths of the files; `-` stands for standard input.
     pub files: Vec<PathBuf>,
-    /// Identifier that a line must name.
+    /// Identifier that a line must be about; `None` shows all lines.
     pub of: Option<String>,
-    /// Whether lines about what these lines name are shown too.
+    /// Whether to also show lines from about the same time about the backend servers and instances
+    /// that are named in the matching lines.
     pub related: bool,
 }
 
-/// How an instance is reached.
+/// Address and credentials for an instance.
 #[derive(Debug, Clone)]
 pub struct Access {
     /// Operator address of an instance.
@@ -108,21 +110,21 @@
     pub token: String,
 }
 
-/// What is to be done, and where.
+/// What `foxtail` is to do.
 #[derive(Debug, Clone)]
 pub enum Task {
-    /// At instances.
+    /// Run a command at an instance.
     Instances(Access, Command),
-    /// With log files.
+    /// Show lines of log files.
     Logs(LogQuery),
 }
 
-/// Checked options.
+/// Validated options.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Whether to print JSON.
+    /// Whether to print JSON instead of tables and text.
     pub json: bool,
-    /// What to do.
+    /// The task to run.
     pub task: Task,
 }
 
@@ -211,12 +213,12 @@
     }
 }
 
-/// What to do with wanted states, checked.
+/// A validated `foxtail order` command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderCommand {
-    /// Set one.
+    /// Set the desired state of an engine.
     Set(BackendId, EngineSetup),
-    /// List all.
+    /// List the desired states of all engines.
     List,
 }
 
--- a/crates/foxtailhold-operator/src/order.rs
+++ b/crates/foxtailhold-operator/src/order.rs
@@ -1,4 +1,4 @@
-//! Wanted states of engines: setting and listing them.
+//! The `foxtail order` command, which sets and lists the desired states of engines.
 
 use crate::client::OperatorClient;
 use crate::error::Result;
@@ -6,7 +6,7 @@
 use crate::output::{Table, json};
 use crate::view::OrderView;
 
-/// Runs a command and returns the text to print.
+/// Runs the command and returns the text to print.
 pub async fn run(client: &OperatorClient, order: &OrderCommand, as_json: bool) -> Result<String> {
     let views = match order {
         OrderCommand::Set(backend, setup) => vec![client.set_order(backend, setup).await?],
--- a/crates/foxtailhold-operator/src/output.rs
+++ b/crates/foxtailhold-operator/src/output.rs
@@ -1,15 +1,15 @@
-//! Tables for people, JSON for programs.
+//! Output formats: tables and JSON.
 
 use serde::Serialize;
 
-/// A table whose columns are as wide as their widest cell.
+/// A text table. Each column is as wide as its widest cell.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with a head.
+    /// Creates a table with a header row.
     pub fn new(head: &[&str]) -> Self {
         let head = head.iter().map(ToString::to_string).collect();
         Table { rows: vec![head] }
@@ -20,7 +20,7 @@
         self.rows.push(cells.into());
     }
 
-    /// The table as text, a line a row.
+    /// Formats the table, with one line per row.
     pub fn render(&self) -> String {
         let columns = self.rows.first().map_or(0, Vec::len);
         let mut widths = vec![0; columns];
@@ -42,7 +42,7 @@
     }
 }
 
-/// A value as JSON over several lines.
+/// Formats a value as indented JSON with a final newline.
 pub fn json<T: Serialize>(value: &T) -> String {
     let mut text = serde_json::to_string_pretty(value).unwrap_or_default();
     text.push('\n');
--- a/crates/foxtailhold-operator/src/route.rs
+++ b/crates/foxtailhold-operator/src/route.rs
@@ -1,4 +1,5 @@
-//! Which resource a path of the operator API names, and which methods it takes.
+//! Routing: the resource that a path of the operator API refers to, and the methods that it
+//! accepts.
 
 use http::Method;
 
@@ -7,32 +8,32 @@
 /// A resource of the operator API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// Whether the process runs.
+    /// Liveness of the process.
     Health,
-    /// Whether it should get requests.
+    /// Readiness of the instance to receive requests.
     Ready,
-    /// Metrics.
+    /// Metrics in the OpenMetrics text format.
     Metrics,
-    /// All contracts.
+    /// List of contracts.
     Contracts,
-    /// One customer's contract.
+    /// Contract of a customer, by customer identifier.
     Contract(&'a str),
-    /// Instances.
+    /// List of instances.
     Instances,
-    /// Backend servers.
+    /// List of backend servers.
     Backends,
-    /// Batch jobs that are not finished.
+    /// List of batch jobs that are not finished.
     Jobs,
-    /// Wanted states of engines.
+    /// List of desired states of engines.
     Orders,
-    /// The wanted state of one engine.
+    /// Desired state of an engine, by backend server identifier.
     Order(&'a str),
-    /// Recent events.
+    /// Recent events of the instance.
     Timeline,
 }
 
 impl<'a> Route<'a> {
-    /// The resource at `path`.
+    /// Returns the resource at `path`, or a not-found error.
     pub fn of(path: &'a str) -> Result<Self> {
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
         Ok(match segments.as_slice() {
@@ -54,12 +55,12 @@
         })
     }
 
-    /// Whether it needs no token.
+    /// Whether the resource can be read without the operator token.
     pub fn is_open(&self) -> bool {
         matches!(self, Route::Health | Route::Ready | Route::Metrics)
     }
 
-    /// Refuses a method that the resource does not take.
+    /// Refuses a method that the resource does not accept.
     pub fn check_method(&self, method: &Method) -> Result<()> {
         let methods: &[Method] = match self {
             Route::Contract(_) => &[Method::GET, Method::PUT, Method::DELETE],
--- a/crates/foxtailhold-operator/src/view.rs
+++ b/crates/foxtailhold-operator/src/view.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! JSON objects of the operator API.
 
 use std::net::SocketAddr;
 
@@ -10,21 +10,21 @@
 use foxtailhold::timeline::TimelineEntry;
 use serde::{Deserialize, Serialize};
 
-/// A contract with its version. Of API keys the start of the digest is shown.
+/// A contract with its version. In answers, API keys are replaced by the start of their digest.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ContractView {
-    /// The customer.
+    /// Customer that the contract belongs to.
     pub customer: CustomerId,
-    /// Its version.
+    /// Version of the contract.
     pub version: u64,
-    /// Number of the change that set it.
+    /// Number of the contract change that set this version, counted over all customers.
     pub number: u64,
-    /// The contract.
+    /// Content of the contract.
     pub contract: Contract,
 }
 
 impl ContractView {
-    /// The same view with API keys masked.
+    /// Returns the view with masked API keys.
     pub fn masked(mut self) -> Self {
         for key in &mut self.contract.api_keys {
             *key = key.masked();
@@ -33,86 +33,86 @@
     }
 }
 
-/// A change that was accepted.
+/// An accepted contract change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The customer.
+    /// Customer whose contract was changed.
     pub customer: CustomerId,
-    /// The version now in force.
+    /// Version of the contract after the change.
     pub version: u64,
-    /// Number of the change.
+    /// Number of the change, counted over all customers.
     pub number: u64,
 }
 
-/// One instance as the asked one sees it.
+/// An instance as seen by the instance that answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceView {
-    /// The instance.
+    /// Instance identifier.
     pub instance: InstanceId,
-    /// Its state.
+    /// Membership state.
     pub state: MemberState,
     /// Its availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Where it takes requests of callers.
+    /// Address where it accepts requests of callers.
     pub caller_address: SocketAddr,
-    /// Where it takes operator calls.
+    /// Address of its operator API.
     pub operator_address: SocketAddr,
 }
 
-/// What the asked instance says of itself and of the others.
+/// The instances known to the instance that answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstancesView {
     /// The instance that answers.
     pub me: InstanceId,
-    /// Number of the last contract change in force here.
+    /// Number of the last contract change in force at the instance that answers.
     pub contracts_number: u64,
-    /// All instances it knows, itself first.
+    /// All known instances, starting with the one that answers.
     pub instances: Vec<InstanceView>,
 }
 
-/// One backend server as the asked instance sees it.
+/// A backend server as seen by the instance that answers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BackendView {
-    /// The backend server.
+    /// Backend server identifier.
     pub backend: BackendId,
-    /// Engine or service.
+    /// Whether it is an engine or a plain service.
     pub kind: BackendKind,
-    /// Live or leaving.
+    /// Whether it is live or leaving.
     pub state: FleetState,
     /// Its availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Its address.
+    /// Address where it accepts requests.
     pub address: SocketAddr,
-    /// What it serves.
+    /// Models or services that it serves.
     pub targets: Vec<TargetName>,
-    /// Requests it reported as running.
+    /// Number of running requests in its last load report.
     pub running: u32,
-    /// Requests it reported as waiting.
+    /// Number of waiting requests in its last load report.
     pub waiting: u32,
-    /// Own requests in flight.
+    /// Number of requests that the answering instance has in flight at it.
     pub in_flight: u32,
-    /// Whether failures set it aside.
+    /// Whether the breaker has ejected it because of failures.
     pub set_aside: bool,
 }
 
-/// One batch job.
+/// A batch job that is not finished.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job.
+    /// Job identifier.
     pub job: JobId,
-    /// Whose.
+    /// Customer that the job belongs to.
     pub customer: CustomerId,
-    /// Its status.
+    /// Status of the job.
     pub status: String,
-    /// Items.
+    /// Total number of items.
     pub items: u64,
-    /// Chunks finished.
+    /// Number of finished chunks.
     pub chunks_done: u32,
-    /// Chunks in all.
+    /// Total number of chunks.
     pub chunks: u32,
-    /// The instance that runs it.
+    /// Instance that runs the job; `None` if no instance holds its lease.
     pub owner: Option<InstanceId>,
-    /// When it must be finished, Unix milliseconds.
+    /// Deadline in milliseconds since the Unix epoch.
     pub deadline_wall_ms: u64,
 }
 
@@ -121,26 +121,26 @@
 pub struct TimelineView {
     /// Events, oldest first.
     pub entries: Vec<TimelineEntry>,
-    /// Events dropped because the buffer was full.
+    /// Number of events dropped because the buffer was full.
     pub dropped: u64,
 }
 
-/// Whether an instance should get requests.
+/// Readiness of an instance to receive requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Readiness {
-    /// Whether it should.
+    /// Whether the instance should receive requests.
     pub ready: bool,
-    /// Why not.
+    /// Why the instance is not ready; empty if it is ready.
     pub reasons: Vec<String>,
 }
 
-/// The wanted state of one engine.
+/// The desired state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderView {
-    /// The engine.
+    /// Backend server identifier of the engine.
     pub backend: BackendId,
-    /// Version of the wanted state.
+    /// Version of the desired state.
     pub version: u64,
-    /// The wanted state.
+    /// Model, weights, adapters and role that the engine is to have.
     pub setup: EngineSetup,
 }
--- a/crates/foxtailhold-operator/tests/commands.rs
+++ b/crates/foxtailhold-operator/tests/commands.rs
@@ -1,4 +1,4 @@
-//! `foxtail` through the real binary, against a fake instance.
+//! Runs the `foxtail` binary against a fake instance.
 
 mod common;
 
--- a/crates/foxtailhold-operator/tests/common/mod.rs
+++ b/crates/foxtailhold-operator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An operator side with a small fake instance behind it.
+//! An operator API server with a fake instance.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     format!("customer = \"c\"\napi_keys = [\"{KEY}\"]\nrequests_per_s = {requests_per_s}\n")
 }
 
-/// What the fake answers and what it was asked.
+/// A fake instance that records contract updates and returns configured results.
 #[derive(Debug, Clone, Default)]
 pub struct Fake {
     pub failure: Arc<Mutex<Option<OperatorError>>>,
@@ -120,7 +120,7 @@
     }
 }
 
-/// An operator side on loopback.
+/// An operator API server on the loopback interface.
 pub struct Served {
     pub server: Server,
     pub fake: Fake,
@@ -134,7 +134,7 @@
     Served { server, fake }
 }
 
-/// An answer.
+/// An HTTP response with its body as text.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -149,7 +149,8 @@
 }
 
 impl Served {
-    /// Sends a request; `authorization` is the header's value.
+    /// Sends a request. `authorization` is the value of that header, `version` the value of
+    /// `foxtailhold-expected-version`.
     pub async fn send(
         &self,
         method: &Method,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Sends a request with the right token.
+    /// Sends a request with the valid token.
     pub async fn send_known(
         &self,
         method: Method,
--- a/crates/foxtailhold-operator/tests/foxtail.rs
+++ b/crates/foxtailhold-operator/tests/foxtail.rs
@@ -1,4 +1,4 @@
-//! The command line of `foxtail`, through the real binary.
+//! Runs the `foxtail` binary without an instance: invalid arguments and log files.
 
 use std::process::Command;
 
--- a/crates/foxtailhold-operator/tests/lost_answers.rs
+++ b/crates/foxtailhold-operator/tests/lost_answers.rs
@@ -1,4 +1,5 @@
-//! The operator's client against instances that refuse, fall silent or answer nonsense.
+//! An instance may apply a change and then fail before its answer arrives complete. The client must
+//! report such a change as possibly in force, not as without effect.
 
 use foxtailhold_operator::client::OperatorClient;
 use foxtailhold_operator::error::OperatorError;
@@ -8,16 +9,16 @@
 
 const OVERSIZED_BYTES: usize = 2 << 20;
 
-/// What the instance does once it has read a call.
+/// How the instance fails after it has read a call.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// It closes the connection.
+    /// Closes the connection before the answer.
     ResetBefore,
-    /// It closes the connection within the answer.
+    /// Closes the connection in the middle of the answer.
     ResetAfter,
-    /// It answers with text that is not the answer.
+    /// Answers with a body that is not JSON.
     Malformed,
-    /// It answers with more than a client takes.
+    /// Answers with a body above the client's size limit.
     Oversized,
 }
 
--- a/crates/foxtailhold-operator/tests/operator_api.rs
+++ b/crates/foxtailhold-operator/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operator API over HTTP, in front of a fake instance.
+//! The operator API over HTTP with a fake instance: authentication, validation and error responses.
 
 mod common;
 
