--- a/crates/foxtailhold-operator/src/view.rs
+++ b/crates/foxtailhold-operator/src/view.rs
@@ -110,7 +110,7 @@
     pub chunks_done: u32,
     /// Total number of chunks.
     pub chunks: u32,
-    /// Instance that runs the job; `None` if no instance holds its lease.
+    /// Instance that runs the job; `None` if it has no owner now.
     pub owner: Option<InstanceId>,
     /// Deadline in milliseconds since the Unix epoch.
     pub deadline_wall_ms: u64,
