--- a/crates/foxtailhold-logs/src/read.rs
+++ b/crates/foxtailhold-logs/src/read.rs
@@ -69,7 +69,8 @@
     /// Number of input lines that could not be parsed as log lines.
     pub unreadable: u64,
     /// Number of lines that processes dropped because of their rate limit.
-    pub left_out: u64,
+    #[serde(rename = "left_out")]
+    pub dropped: u64,
 }
 
 impl LogBook {
@@ -90,7 +91,7 @@
             };
             if line.message == crate::DROPPED_LINES_MESSAGE {
                 let counts = line.fields.values().filter_map(Value::as_u64);
-                self.left_out += counts.sum::<u64>();
+                self.dropped += counts.sum::<u64>();
             }
             self.lines.push(line);
         }
@@ -102,7 +103,7 @@
     }
 
     /// Keeps only the lines about an identifier.
-    pub fn keep_of(&mut self, id: &str) {
+    pub fn keep_about(&mut self, id: &str) {
         self.lines.retain(|line| line.names(id));
     }
 
@@ -123,11 +124,11 @@
         };
         let related_period = from.saturating_sub(RELATED_WINDOW_MS)..=to + RELATED_WINDOW_MS;
         self.lines.retain(|line| {
-            let is_of_another = ["request", "item", "job"]
+            let is_about_other_work = ["request", "item", "job"]
                 .iter()
                 .any(|name| line.fields.contains_key(*name));
             let is_related = related_period.contains(&line.at_ms)
-                && !is_of_another
+                && !is_about_other_work
                 && names.iter().any(|name| line.names(name));
             line.names(id) || is_related
         });
--- a/crates/foxtailhold-logs/tests/read.rs
+++ b/crates/foxtailhold-logs/tests/read.rs
@@ -33,7 +33,7 @@
     let book = book();
     let expected = [900, 1_000, 1_300, 1_350, 1_400, 1_500, 9_000];
     assert_eq!(times(&book), expected);
-    assert_eq!((book.unreadable, book.left_out), (1, 8));
+    assert_eq!((book.unreadable, book.dropped), (1, 8));
 }
 
 #[test_case("r1", &[1_000, 1_400]; "a request")]
@@ -42,7 +42,7 @@
 #[test_case("e", &[]; "the beginning of a name")]
 fn lines_about_an_identifier(id: &str, expected: &[u64]) {
     let mut book = book();
-    book.keep_of(id);
+    book.keep_about(id);
     assert_eq!(times(&book), expected);
 }
 
--- a/crates/foxtailhold-operator/src/cli.rs
+++ b/crates/foxtailhold-operator/src/cli.rs
@@ -121,8 +121,8 @@
 #[argh(subcommand, name = "timeline")]
 pub struct TimelineCommand {
     /// show only events of this request, job, customer or instance
-    #[argh(option)]
-    pub of: Option<String>,
+    #[argh(option, long = "of")]
+    pub id: Option<String>,
     /// with files and --of: show also lines of the same seconds about the backend servers and
     /// instances named
     #[argh(switch)]
--- a/crates/foxtailhold-operator/src/command.rs
+++ b/crates/foxtailhold-operator/src/command.rs
@@ -110,8 +110,8 @@
             })
         }
         Command::Order(order) => Ok(order::run(&client, order, as_json).await?),
-        Command::Timeline { of } => {
-            let merged = timeline(&client, of.as_deref()).await?;
+        Command::Timeline { id } => {
+            let merged = timeline(&client, id.as_deref()).await?;
             Ok(if as_json {
                 json(&merged)
             } else {
@@ -200,7 +200,7 @@
     dropped: u64,
 }
 
-async fn timeline(client: &OperatorClient, of: Option<&str>) -> Result<MergedTimeline> {
+async fn timeline(client: &OperatorClient, id: Option<&str>) -> Result<MergedTimeline> {
     let mut merged = MergedTimeline::default();
     for view in client.instances().await?.instances {
         let Ok(part) = client.at(view.operator_address).timeline().await else {
@@ -212,7 +212,7 @@
     }
     let entries = &mut merged.entries;
     entries.sort_by(|a, b| (a.at, &a.instance).cmp(&(b.at, &b.instance)));
-    if let Some(id) = of {
+    if let Some(id) = id {
         entries.retain(|entry| entry.has_id(id));
     }
     Ok(merged)
--- a/crates/foxtailhold-operator/src/lines.rs
+++ b/crates/foxtailhold-operator/src/lines.rs
@@ -41,9 +41,9 @@
         })?;
     }
     book.sort();
-    match &query.of {
+    match &query.id {
         Some(id) if query.related => book.keep_related(id),
-        Some(id) => book.keep_of(id),
+        Some(id) => book.keep_about(id),
         None => {}
     }
     Ok(if as_json { json(&book) } else { text(&book) })
@@ -54,10 +54,10 @@
     if book.unreadable > 0 {
         text.push_str(&format!("# {} lines are no log lines\n", book.unreadable));
     }
-    if book.left_out > 0 {
+    if book.dropped > 0 {
         text.push_str(&format!(
             "# {} lines were left out by their processes\n",
-            book.left_out
+            book.dropped
         ));
     }
     for line in &book.lines {
--- a/crates/foxtailhold-operator/src/options.rs
+++ b/crates/foxtailhold-operator/src/options.rs
@@ -85,7 +85,7 @@
     /// Show the timeline, optionally of one request, job, customer or instance.
     Timeline {
         /// Identifier that an event must contain; `None` shows all events.
-        of: Option<String>,
+        id: Option<String>,
     },
 }
 
@@ -95,7 +95,7 @@
     /// Paths of the files; `-` stands for standard input.
     pub files: Vec<PathBuf>,
     /// Identifier that a line must be about; `None` shows all lines.
-    pub of: Option<String>,
+    pub id: Option<String>,
     /// Whether to also show lines from about the same time about the backend servers and instances
     /// that are named in the matching lines.
     pub related: bool,
@@ -171,12 +171,12 @@
     type Error = OptionsError;
 
     fn try_from(raw: TimelineCommand) -> Result<Self> {
-        if raw.related && raw.of.is_none() {
+        if raw.related && raw.id.is_none() {
             return Err(OptionsError::RelatedWithoutTarget);
         }
         Ok(LogQuery {
             files: raw.files.into_iter().map(PathBuf::from).collect(),
-            of: raw.of,
+            id: raw.id,
             related: raw.related,
         })
     }
@@ -208,7 +208,7 @@
             RawCommand::Timeline(timeline) if timeline.related => {
                 return Err(OptionsError::RelatedWithoutTarget);
             }
-            RawCommand::Timeline(timeline) => Command::Timeline { of: timeline.of },
+            RawCommand::Timeline(timeline) => Command::Timeline { id: timeline.id },
         })
     }
 }
