--- a/crates/foxtailhold-caller/src/batches.rs
+++ b/crates/foxtailhold-caller/src/batches.rs
@@ -1,4 +1,4 @@
-//! Batch jobs in the OpenAI form.
+//! Batch jobs in the format of the OpenAI API.
 
 use bytes::Bytes;
 use foxtailhold::ids::{FileId, JobId};
@@ -10,14 +10,14 @@
 use crate::gateway::{BatchObject, BatchRequest, RequestContext};
 use crate::list::{self, ListLimits};
 
-/// Largest body of a batch request.
+/// Maximum size of the body of a request that creates a batch job.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Endpoints whose requests may be items.
+/// Endpoints that the items of a batch job may use.
 pub const ENDPOINTS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// Sizes of pages of jobs.
+/// Page sizes for listing batch jobs.
 pub const LIST_LIMITS: ListLimits = ListLimits {
     default: 20,
-    most: 100,
+    max: 100,
 };
 
 #[derive(Debug, Deserialize)]
@@ -29,28 +29,28 @@
     metadata: serde_json::Value,
 }
 
-/// A window such as `24h`, `90m` or `600s`, in seconds.
+/// Parses a completion window such as `24h`, `90m` or `600s` into seconds.
 fn window_s(text: &str) -> Result<u64> {
-    let bad = || {
+    let invalid = || {
         Refusal::invalid(format!(
             "completion_window is {text:?}, it must be a number and h, m or s, such as \"24h\""
         ))
     };
-    let unit = text.chars().last().ok_or_else(bad)?;
+    let unit = text.chars().last().ok_or_else(invalid)?;
     let factor = match unit {
         'h' => 3_600,
         'm' => 60,
         's' => 1,
-        _ => return Err(bad()),
+        _ => return Err(invalid()),
     };
-    let number: u64 = text[..text.len() - 1].parse().map_err(|_| bad())?;
+    let number: u64 = text[..text.len() - 1].parse().map_err(|_| invalid())?;
     number
         .checked_mul(factor)
         .filter(|s| *s > 0)
-        .ok_or_else(bad)
+        .ok_or_else(invalid)
 }
 
-/// The shortest text that [`window_s`] reads as `window_s` seconds.
+/// Formats a completion window with the largest unit that divides it; the inverse of [`window_s`].
 fn window_text(window_s: u64) -> String {
     for (factor, unit) in [(3_600, 'h'), (60, 'm')] {
         if window_s > 0 && window_s.is_multiple_of(factor) {
@@ -60,7 +60,8 @@
     format!("{window_s}s")
 }
 
-/// Checks a body and makes the request of it.
+/// Parses and validates the body of a request that creates a batch job. `digest` is the digest of
+/// the body, see [`Gateway::digest`](crate::Gateway::digest).
 pub fn read(context: RequestContext, body: &Bytes, digest: String) -> Result<BatchRequest> {
     let raw: RawBatch = serde_json::from_slice(body)
         .map_err(|error| Refusal::invalid(format!("the body cannot be read: {error}")))?;
@@ -82,7 +83,7 @@
     })
 }
 
-/// Checks a job's identifier in a path.
+/// Parses the job identifier in a path. An invalid one is refused as not found.
 pub fn id(text: &str) -> Result<JobId> {
     JobId::try_from(text).map_err(|_| {
         Refusal::not_run(RefusalReason::NotFound {
@@ -92,7 +93,6 @@
     })
 }
 
-/// The counts of a batch object.
 #[derive(Debug, Serialize)]
 struct RequestCounts {
     total: u64,
@@ -100,7 +100,7 @@
     failed: u64,
 }
 
-/// The batch object.
+/// The batch object of the OpenAI API. Times are in seconds since the Unix epoch.
 #[derive(Debug, Serialize)]
 pub struct BatchBody {
     id: String,
@@ -129,7 +129,7 @@
     fn from(batch: &BatchObject) -> Self {
         use foxtailhold::batch::JobStatus;
         let ended_s = batch.ended_wall_ms.map(|ms| ms / 1_000);
-        let when = |status| ended_s.filter(|_| batch.status == status);
+        let ended_at_if = |status| ended_s.filter(|_| batch.status == status);
         let window_s = batch.deadline_wall_ms.saturating_sub(batch.created_wall_ms) / 1_000;
         BatchBody {
             id: batch.job.to_string(),
@@ -145,11 +145,11 @@
             in_progress_at: batch.created_wall_ms / 1_000,
             finalizing_at: None,
             failed_at: None,
-            cancelling_at: when(JobStatus::Cancelled),
+            cancelling_at: ended_at_if(JobStatus::Cancelled),
             expires_at: batch.deadline_wall_ms / 1_000,
-            completed_at: when(JobStatus::Completed),
-            cancelled_at: when(JobStatus::Cancelled),
-            expired_at: when(JobStatus::Expired),
+            completed_at: ended_at_if(JobStatus::Completed),
+            cancelled_at: ended_at_if(JobStatus::Cancelled),
+            expired_at: ended_at_if(JobStatus::Expired),
             request_counts: RequestCounts {
                 total: batch.items,
                 completed: batch.completed,
@@ -160,12 +160,13 @@
     }
 }
 
-/// The answer with one batch object.
+/// Builds the response with one batch object.
 pub fn object(batch: &BatchObject) -> Response<AnswerBody> {
     body::json(StatusCode::OK, &BatchBody::from(batch))
 }
 
-/// A page of batch objects.
+/// Builds the response with a page of at most `limit` batch objects. `batches` has one entry more
+/// if there are further pages.
 pub fn list(batches: &[BatchObject], limit: usize) -> Response<AnswerBody> {
     list::page(batches, limit, |batch| batch.job.as_str(), BatchBody::from)
 }
--- a/crates/foxtailhold-caller/src/files.rs
+++ b/crates/foxtailhold-caller/src/files.rs
@@ -1,4 +1,4 @@
-//! Files in the OpenAI form: upload as `multipart/form-data`, description, content.
+//! Files in the format of the OpenAI API: upload as `multipart/form-data`, metadata, content.
 
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
 use crate::gateway::{Download, FileObject, Gateway, RequestContext, Upload};
 use crate::list::{self, ListLimits};
 
-/// The purpose an upload must have.
+/// The only accepted value of the `purpose` field of an upload.
 pub const BATCH_PURPOSE: &str = "batch";
-/// Longest `purpose` field read.
+/// Maximum length of the `purpose` field.
 const MAX_FIELD_BYTES: usize = 256;
 
-/// Sizes of pages of files.
+/// Page sizes for listing files.
 pub const LIST_LIMITS: ListLimits = ListLimits {
     default: 100,
-    most: 1_000,
+    max: 1_000,
 };
 
 #[derive(Serialize)]
@@ -50,17 +50,18 @@
     deleted: bool,
 }
 
-/// The answer with one file object.
+/// Builds the response with one file object.
 pub fn object(file: &FileObject) -> Response<AnswerBody> {
     body::json(StatusCode::OK, &FileBody::from(file))
 }
 
-/// A page of file objects.
+/// Builds the response with a page of at most `limit` file objects. `files` has one entry more if
+/// there are further pages.
 pub fn list(files: &[FileObject], limit: usize) -> Response<AnswerBody> {
     list::page(files, limit, |file| file.id.as_str(), FileBody::from)
 }
 
-/// The answer to the removal of a file.
+/// Builds the response to the deletion of a file.
 pub fn deleted(id: &FileId) -> Response<AnswerBody> {
     let body = DeletedBody {
         id,
@@ -70,7 +71,7 @@
     body::json(StatusCode::OK, &body)
 }
 
-/// Checks a file's identifier in a path.
+/// Parses the file identifier in a path. An invalid one is refused as not found.
 pub fn id(text: &str) -> Result<FileId> {
     FileId::try_from(text).map_err(|_| {
         Refusal::not_run(RefusalReason::NotFound {
@@ -80,26 +81,29 @@
     })
 }
 
-fn bad_form(error: multer::Error) -> Refusal {
+fn invalid_form(error: multer::Error) -> Refusal {
     Refusal::invalid(format!("the multipart form cannot be read: {error}"))
 }
 
-/// Waits for a part of a form, at most for `idle_ms`.
-async fn patiently<T>(part: impl Future<Output = multer::Result<T>>, idle_ms: u64) -> Result<T> {
+/// Waits for the next part of a multipart form; fails with `BodyTimeout` after `idle_ms`.
+async fn with_idle_timeout<T>(
+    part: impl Future<Output = multer::Result<T>>,
+    idle_ms: u64,
+) -> Result<T> {
     let idle = Duration::from_millis(idle_ms);
     match tokio::time::timeout(idle, part).await {
-        Ok(part) => part.map_err(bad_form),
+        Ok(part) => part.map_err(invalid_form),
         Err(_) => Err(Refusal::not_run(RefusalReason::BodyTimeout { idle_ms })),
     }
 }
 
-async fn chunk(field: &mut multer::Field<'_>, idle_ms: u64) -> Result<Option<Bytes>> {
-    patiently(field.chunk(), idle_ms).await
+async fn read_chunk(field: &mut multer::Field<'_>, idle_ms: u64) -> Result<Option<Bytes>> {
+    with_idle_timeout(field.chunk(), idle_ms).await
 }
 
 async fn read_purpose(mut field: multer::Field<'_>, idle_ms: u64) -> Result<String> {
     let mut text = Vec::new();
-    while let Some(bytes) = chunk(&mut field, idle_ms).await? {
+    while let Some(bytes) = read_chunk(&mut field, idle_ms).await? {
         text.extend_from_slice(&bytes);
         if text.len() > MAX_FIELD_BYTES {
             return Err(Refusal::invalid("field `purpose` is too long"));
@@ -115,7 +119,8 @@
     Ok(purpose)
 }
 
-/// Takes an upload in.
+/// Reads a multipart upload and streams its `file` field to the gateway. The form must have the
+/// fields `purpose` and `file`. The caller may pause between two parts for at most `idle_ms`.
 pub async fn upload<G: Gateway>(
     gateway: &G,
     context: &RequestContext,
@@ -125,16 +130,17 @@
 ) -> Result<FileObject> {
     let content_type = head.headers.get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
-    let boundary = multer::parse_boundary(content_type.unwrap_or_default()).map_err(bad_form)?;
+    let boundary =
+        multer::parse_boundary(content_type.unwrap_or_default()).map_err(invalid_form)?;
     let mut form = multer::Multipart::new(incoming.into_data_stream(), boundary);
     let mut upload = gateway.upload(context)?;
     let (mut filename, mut purpose) = (None, None);
-    while let Some(mut field) = patiently(form.next_field(), idle_ms).await? {
+    while let Some(mut field) = with_idle_timeout(form.next_field(), idle_ms).await? {
         match field.name() {
             Some("purpose") => purpose = Some(read_purpose(field, idle_ms).await?),
             Some("file") => {
                 filename = Some(field.file_name().unwrap_or("file").to_owned());
-                while let Some(bytes) = chunk(&mut field, idle_ms).await? {
+                while let Some(bytes) = read_chunk(&mut field, idle_ms).await? {
                     upload.push(&bytes).await?;
                 }
             }
@@ -146,14 +152,14 @@
     upload.close(filename, purpose).await
 }
 
-/// Streams a file's content. The first part is read before the answer begins, so that a store
-/// that is down is still answered with an error object.
+/// Builds the response that streams the content of a file. The first part is read before the
+/// response starts, so that an unavailable store still results in an error object.
 pub async fn content<D: Download>(mut source: D) -> Result<Response<AnswerBody>> {
     let mut response = match source.next().await.transpose()? {
         None => Response::new(body::whole(Bytes::new())),
         Some(first) => {
             let (sender, body) = body::streamed();
-            tokio::spawn(relay(first, source, sender));
+            tokio::spawn(send_content(first, source, sender));
             Response::new(body)
         }
     };
@@ -162,7 +168,7 @@
     Ok(response)
 }
 
-async fn relay<D: Download>(first: Bytes, mut source: D, sender: AnswerSender) {
+async fn send_content<D: Download>(first: Bytes, mut source: D, sender: AnswerSender) {
     let mut part = first;
     loop {
         if !sender.send(part).await {
@@ -172,7 +178,9 @@
             None => return,
             Some(Ok(part)) => part,
             Some(Err(refusal)) => {
-                log::warn!("a file's content was cut: {refusal}");
+                log::warn!(
+                    "file download failed after the response had started, closing the connection: {refusal}"
+                );
                 sender.cut().await;
                 return;
             }
--- a/crates/foxtailhold-caller/src/service.rs
+++ b/crates/foxtailhold-caller/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls to plain services.
 
 use bytes::Bytes;
 use foxtailhold::ids::TargetName;
@@ -7,13 +7,14 @@
 
 use crate::gateway::{PlainCall, RequestContext};
 
-/// Path before the service's name.
+/// Path prefix that is followed by the name of the service.
 pub const PREFIX: &str = "/v1/services/";
-/// Largest body of a call.
+/// Maximum size of the body of a call.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Headers that belong to one connection or to this system and are not passed on (RFC 9110, 7.6.1).
-const NOT_PASSED: [HeaderName; 9] = [
+/// Headers that are not forwarded: connection headers (RFC 9110, section 7.6.1), and headers that
+/// are meant for this system.
+const NOT_FORWARDED: [HeaderName; 9] = [
     header::AUTHORIZATION,
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -25,18 +26,18 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-fn passed(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded_headers = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if NOT_PASSED.contains(name) {
+        if NOT_FORWARDED.contains(name) {
             continue;
         }
-        passed.append(name.clone(), value.clone());
+        forwarded_headers.append(name.clone(), value.clone());
     }
-    passed
+    forwarded_headers
 }
 
-/// Reads a call from its path, headers and body.
+/// Builds the call from the path, headers and body of a request.
 pub fn read(context: RequestContext, head: &request::Parts, body: Bytes) -> Result<PlainCall> {
     let path = head.uri.path();
     let rest = path.strip_prefix(PREFIX).unwrap_or_default();
@@ -54,7 +55,7 @@
         service,
         method: head.method.clone(),
         path_and_query,
-        headers: passed(&head.headers),
+        headers: forwarded_headers(&head.headers),
         body,
     })
 }
--- a/crates/foxtailhold-caller/tests/common/mod.rs
+++ b/crates/foxtailhold-caller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A caller side with a small fake gateway behind it, and a raw client.
+//! A caller API server with a fake gateway, and a raw HTTP client.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -23,22 +23,22 @@
 pub const BODY_IDLE_MS: u64 = 300;
 const WAIT: Duration = Duration::from_secs(20);
 
-/// What the fake was asked, and what it answers.
+/// A fake gateway that records its calls and returns configured results.
 #[derive(Debug, Clone, Default)]
 pub struct Fake {
-    /// Refusal of everything, where set.
+    /// If set, every call fails with this refusal.
     pub refusal: Arc<Mutex<Option<Refusal>>>,
-    /// Bodies of requests to models.
+    /// Inference requests received.
     pub inferences: Arc<Mutex<Vec<Inference>>>,
-    /// Codes of refusals noted.
-    pub noted: Arc<Mutex<Vec<String>>>,
-    /// Kinds and outcomes of answers.
+    /// Codes of the refusals recorded by `Gateway::refused`.
+    pub recorded_refusals: Arc<Mutex<Vec<String>>>,
+    /// Kind, and `ok` or error code, of each call to `Gateway::answered`.
     pub answers: Arc<Mutex<Vec<(&'static str, String)>>>,
-    /// Events sent to callers, and whether each was the first.
+    /// Calls to `Gateway::streamed`: whether the event was the first of its stream.
     pub streamed: Arc<Mutex<Vec<bool>>>,
-    /// Endless streams dropped.
+    /// Number of streams dropped before their end.
     pub dropped: Arc<AtomicUsize>,
-    /// Uploads closed, and uploads dropped before.
+    /// Number of uploads closed.
     pub uploads_closed: Arc<AtomicUsize>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Fake {
-    fn outcome(&self) -> Result<()> {
+    fn check_refusal(&self) -> Result<()> {
         match self.refusal.lock().unwrap().clone() {
             Some(refusal) => Err(refusal),
             None => Ok(()),
@@ -159,7 +159,7 @@
     }
 
     async fn infer(&self, request: Inference) -> Result<InferenceAnswer<FakeStream>> {
-        self.outcome()?;
+        self.check_refusal()?;
         let (streamed, model) = (request.streamed, request.model.clone());
         self.inferences.lock().unwrap().push(request);
         let left = match model.as_str() {
@@ -182,7 +182,7 @@
     }
 
     async fn call_service(&self, call: PlainCall) -> Result<Whole> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(Whole {
             status: StatusCode::OK,
             content_type: None,
@@ -191,12 +191,12 @@
     }
 
     fn upload(&self, _: &RequestContext) -> Result<FakeUpload> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(FakeUpload(self.clone(), 0))
     }
 
     async fn file(&self, _: &Contract, id: &FileId) -> Result<FileObject> {
-        self.outcome()?;
+        self.check_refusal()?;
         FakeUpload(self.clone(), 7)
             .close(id.to_string(), "batch".into())
             .await
@@ -217,11 +217,11 @@
     }
 
     async fn delete_file(&self, _: &Contract, _: &FileId) -> Result<()> {
-        self.outcome()
+        self.check_refusal()
     }
 
     async fn download(&self, _: &Contract, id: &FileId) -> Result<FakeDownload> {
-        self.outcome()?;
+        self.check_refusal()?;
         let down = Refusal::not_run(RefusalReason::StoreUnavailable).retry_after_ms(2_000);
         Ok(FakeDownload(match id.as_str() {
             "file-down" => vec![Err(down)],
@@ -231,12 +231,12 @@
     }
 
     async fn create_batch(&self, _: BatchRequest) -> Result<BatchObject> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(batch("batch_1"))
     }
 
     async fn batch(&self, _: &Contract, job: &JobId) -> Result<BatchObject> {
-        self.outcome()?;
+        self.check_refusal()?;
         Ok(batch(job.as_str()))
     }
 
@@ -255,12 +255,12 @@
 
     fn refused(&self, _: &RequestId, refusal: &Refusal) {
         let code = foxtailhold_caller::error_body::code(refusal);
-        self.noted.lock().unwrap().push(code.to_owned());
+        self.recorded_refusals.lock().unwrap().push(code.to_owned());
     }
 
     fn answered(&self, kind: RequestKind, refusal: Option<&Refusal>, _: Duration) {
-        let outcome = refusal.map_or("ok", foxtailhold_caller::error_body::code);
-        let answer = (kind.as_str(), outcome.to_owned());
+        let check_refusal = refusal.map_or("ok", foxtailhold_caller::error_body::code);
+        let answer = (kind.as_str(), check_refusal.to_owned());
         self.answers.lock().unwrap().push(answer);
     }
 
@@ -269,7 +269,7 @@
     }
 }
 
-/// A caller side on loopback.
+/// A caller API server on the loopback interface.
 pub struct Served {
     pub server: Server,
     pub fake: Fake,
@@ -283,7 +283,7 @@
     Served { server, fake }
 }
 
-/// An answer as the caller sees it.
+/// An HTTP response as the caller receives it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -309,7 +309,7 @@
     }
 }
 
-/// The text of a request with a known key; `headers` end with `\r\n` each.
+/// Builds a request with a valid API key. Each line of `headers` must end with `\r\n`.
 pub fn request(method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
@@ -324,7 +324,7 @@
         TcpStream::connect(self.server.address()).await.unwrap()
     }
 
-    /// Writes everything first and reads only then, as simple clients do.
+    /// Writes the complete request before it reads the response, as simple clients do.
     pub async fn send(&self, bytes: &[u8]) -> Answer {
         let mut stream = self.connect().await;
         stream.write_all(bytes).await.unwrap();
@@ -332,7 +332,7 @@
     }
 }
 
-/// Reads one answer with a length, or a chunked one up to its end.
+/// Reads one response with a `content-length`, or a chunked one up to its end.
 pub async fn read_answer(stream: &mut TcpStream) -> Answer {
     let mut bytes = Vec::new();
     let read = async {
@@ -342,8 +342,8 @@
             }
             let mut part = [0; 4_096];
             let count = stream.read(&mut part).await.unwrap();
-            let so_far = String::from_utf8_lossy(&bytes);
-            assert!(count > 0, "the connection was dropped after {so_far:?}");
+            let received = String::from_utf8_lossy(&bytes);
+            assert!(count > 0, "the connection was dropped after {received:?}");
             bytes.extend_from_slice(&part[..count]);
         }
     };
@@ -365,7 +365,7 @@
     whole.then_some(answer)
 }
 
-/// Waits until `done` holds.
+/// Waits until `done` returns true; panics after 10 s.
 pub async fn until(what: &str, done: impl Fn() -> bool) {
     for _ in 0..1_000 {
         if done() {
--- a/crates/foxtailhold-caller/tests/refusals.rs
+++ b/crates/foxtailhold-caller/tests/refusals.rs
@@ -1,4 +1,5 @@
-//! Every refusal is the documented error object, and docs/API.md says the same.
+//! Every refusal must be sent as the error object that docs/API.md documents, with the same status,
+//! code and type.
 
 mod common;
 
@@ -74,6 +75,6 @@
         assert_eq!(error["ran"], ran.as_str());
         assert_eq!(error["message"], refusal.to_string());
         assert_eq!(error["retry_after_ms"].as_u64(), after_ms);
-        assert_eq!(*served.fake.noted.lock().unwrap(), [code]);
+        assert_eq!(*served.fake.recorded_refusals.lock().unwrap(), [code]);
     }
 }
--- a/crates/foxtailhold-engine/src/lib.rs
+++ b/crates/foxtailhold-engine/src/lib.rs
@@ -1,14 +1,14 @@
-//! Client of model engines: requests, token streams, load reports.
+//! Client for model engines: inference requests, token streams, load reports and orders.
 #![warn(clippy::unwrap_used)]
 
 pub mod check;
 pub mod chunk;
 pub mod client;
+pub mod deadline_body;
 pub mod error;
 pub mod orders;
 pub mod sse;
 pub mod stream;
-pub mod timely;
 
 pub use client::{EngineAnswer, EngineClient, EngineRequest, Resume, WholeAnswer};
 pub use error::{EngineError, Result};
--- a/crates/foxtailhold-logs/src/lib.rs
+++ b/crates/foxtailhold-logs/src/lib.rs
@@ -1,10 +1,10 @@
-//! Logs as JSON lines.
+//! Logging as JSON lines, and reading these lines back.
 
 mod read;
 mod sink;
 
 pub use read::{LogBook, LogLine};
-pub use sink::{LeftOut, LineQueue, LineSink, Weight};
+pub use sink::{DroppedLines, LinePriority, LineQueue, LineSink};
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -16,8 +16,9 @@
 use log::{Level, Record};
 use serde::Serialize;
 
-/// Message of the line that counts those left out.
-const LEFT_OUT: &str = "lines left out";
+/// Message of the line that reports how many lines were dropped. [`LogBook`] recognizes the line by
+/// this text, also in logs of instances that run another version.
+const DROPPED_LINES_MESSAGE: &str = "lines left out";
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -32,10 +33,10 @@
 
 type Fields = BTreeMap<String, serde_json::Value>;
 
-/// Collects the key-values of a record.
-struct Collect(Fields);
+/// Collects the key-value pairs of a log record as JSON.
+struct FieldCollector(Fields);
 
-impl<'kvs> VisitSource<'kvs> for Collect {
+impl<'kvs> VisitSource<'kvs> for FieldCollector {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let value = serde_json::to_value(&value).unwrap_or_else(|_| value.to_string().into());
         self.0.insert(key.to_string(), value);
@@ -44,31 +45,31 @@
 }
 
 fn fields(record: &Record<'_>) -> Fields {
-    let mut collect = Collect(Fields::new());
-    if record.key_values().visit(&mut collect).is_err() {
-        collect.0.clear();
+    let mut field_collector = FieldCollector(Fields::new());
+    if record.key_values().visit(&mut field_collector).is_err() {
+        field_collector.0.clear();
     }
-    collect.0
+    field_collector.0
 }
 
-/// Where lines go.
+/// Destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// Standard output, bounded in bytes a second; a reader that has stopped blocks nobody.
+    /// Standard output, with a rate limit. A reader that stops reading does not block the process.
     Stdout {
-        /// Bound; a second's bytes may come at once.
+        /// Rate limit; the bytes of one second may be written in a burst.
         bytes_per_s: u64,
     },
-    /// Standard error, as the lines come.
+    /// Standard error, unbuffered and without a rate limit.
     Stderr,
 }
 
-/// Keeps the logger's thread informed of the end of the process.
+/// Handle for flushing the log at the end of the process.
 #[derive(Debug, Default)]
 pub struct Logs(Option<LineSink>);
 
 impl Logs {
-    /// Writes what still waits.
+    /// Waits a short time until buffered lines have been written.
     pub fn close(self) {
         if let Some(sink) = self.0 {
             sink.close();
@@ -98,11 +99,11 @@
     })
 }
 
-/// The line that stands for those left out; none where it cannot be written as JSON.
-fn summary(instance: &InstanceId, left_out: LeftOut) -> Vec<u8> {
+/// Builds the line that reports dropped lines; empty if it cannot be encoded as JSON.
+fn summary(instance: &InstanceId, dropped: DroppedLines) -> Vec<u8> {
     let counts = [
-        ("ordinary", left_out.ordinary),
-        ("failures", left_out.failures),
+        ("ordinary", dropped.ordinary),
+        ("failures", dropped.failures),
     ];
     let counts = counts.map(|(name, count)| (name.to_owned(), count.into()));
     let line = Line {
@@ -110,20 +111,24 @@
         level: Level::Warn.as_str(),
         instance: instance.as_str(),
         target: module_path!(),
-        message: LEFT_OUT.to_owned(),
+        message: DROPPED_LINES_MESSAGE.to_owned(),
         fields: counts.into(),
     };
     encode(&line).unwrap_or_default()
 }
 
-/// Starts logging at the level in `RUST_LOG`, `info` where it is not set.
+/// Starts logging. The level is taken from `RUST_LOG`, with `info` as the default.
 pub fn init(instance: &InstanceId, output: Output) -> std::io::Result<Logs> {
     let sink = match output {
         Output::Stderr => None,
         Output::Stdout { bytes_per_s } => {
-            let named = instance.clone();
-            let words = move |left_out| summary(&named, left_out);
-            Some(LineSink::start(std::io::stdout(), bytes_per_s, words)?)
+            let instance_id = instance.clone();
+            let summary_line = move |dropped| summary(&instance_id, dropped);
+            Some(LineSink::start(
+                std::io::stdout(),
+                bytes_per_s,
+                summary_line,
+            )?)
         }
     };
     let (instance, lines) = (instance.clone(), sink.clone());
@@ -133,11 +138,11 @@
         let Some(sink) = &lines else {
             return buffer.write_all(&line);
         };
-        let weight = match record.level() {
-            Level::Error | Level::Warn => Weight::Failure,
-            _ => Weight::Ordinary,
+        let priority = match record.level() {
+            Level::Error | Level::Warn => LinePriority::Failure,
+            _ => LinePriority::Ordinary,
         };
-        sink.push(weight, line);
+        sink.push(priority, line);
         Ok(())
     });
     if builder.try_init().is_err() {
--- a/crates/foxtailhold-logs/src/read.rs
+++ b/crates/foxtailhold-logs/src/read.rs
@@ -1,4 +1,5 @@
-//! Reading the lines of many processes back, in one order, and finding those about one identifier.
+//! Reads the log lines of several processes, merges them by time, and finds the lines about one
+//! identifier.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead};
@@ -7,36 +8,38 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Lines about a backend server or instance count as related this long before and after the lines
-/// about the identifier itself: longer than any route's attempts are apart.
-const RELATED_MS: u64 = 5_000;
-/// Fields that name what decided a line's outcome and is worth following. Some hold several names
-/// with commas between them.
+/// Lines about a backend server or instance count as related up to this time before and after the
+/// lines about the identifier itself. The time is longer than the interval between two attempts on
+/// any route.
+const RELATED_WINDOW_MS: u64 = 5_000;
+/// Fields that name the backend servers and instances involved in an event. Some hold several
+/// names, separated by commas.
 const RELATED_FIELDS: [&str; 6] = ["backend", "lost", "missed", "tried", "from", "to"];
 
-/// A line as a process wrote it.
+/// A log line of one process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogLine {
-    /// When, in milliseconds since the Unix epoch by the process's clock.
+    /// Time in milliseconds since the Unix epoch, by the clock of the process.
     pub at_ms: u64,
-    /// Level.
+    /// Log level, such as `INFO`.
     pub level: String,
-    /// The process.
+    /// Instance that wrote the line.
     pub instance: InstanceId,
-    /// Where in the program.
+    /// Module that wrote the line; empty if the line has none.
     #[serde(default)]
     pub target: String,
-    /// What happened.
+    /// Log message.
     pub message: String,
-    /// With what.
+    /// Structured fields of the line.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub fields: BTreeMap<String, Value>,
 }
 
 impl LogLine {
-    /// Whether a field holds this identifier, alone or among others, or the process has it.
+    /// Whether the line is about `id`: the instance has this identifier, or a field contains it,
+    /// alone or in a comma-separated list.
     pub fn names(&self, id: &str) -> bool {
-        self.instance.as_str() == id || self.fields.values().any(|value| holds(value, id))
+        self.instance.as_str() == id || self.fields.values().any(|value| contains_name(value, id))
     }
 
     fn related(&self) -> impl Iterator<Item = &str> {
@@ -50,26 +53,28 @@
     }
 }
 
-fn holds(value: &Value, id: &str) -> bool {
+fn contains_name(value: &Value, id: &str) -> bool {
     match value.as_str() {
         Some(text) => text.split(',').any(|name| name == id),
         None => false,
     }
 }
 
-/// Lines of all processes.
+/// Log lines of several processes.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct LogBook {
-    /// In the order of their times; those of one process in the order written.
+    /// The lines. After [`sort`](Self::sort) they are in time order, and lines of one process with
+    /// the same time keep the order in which they were written.
     pub lines: Vec<LogLine>,
-    /// Lines that are no log lines.
+    /// Number of input lines that could not be parsed as log lines.
     pub unreadable: u64,
-    /// Lines that processes left out to stay within their bound.
-    pub left_out: u64,
+    /// Number of lines that processes dropped because of their rate limit.
+    #[serde(rename = "left_out")]
+    pub dropped: u64,
 }
 
 impl LogBook {
-    /// Reads one process's lines, or those of several.
+    /// Appends the lines of one or several processes.
     pub fn read(&mut self, mut input: impl BufRead) -> io::Result<()> {
         let mut bytes = Vec::new();
         loop {
@@ -84,26 +89,27 @@
                 self.unreadable += 1;
                 continue;
             };
-            if line.message == crate::LEFT_OUT {
+            if line.message == crate::DROPPED_LINES_MESSAGE {
                 let counts = line.fields.values().filter_map(Value::as_u64);
-                self.left_out += counts.sum::<u64>();
+                self.dropped += counts.sum::<u64>();
             }
             self.lines.push(line);
         }
     }
 
-    /// Brings the lines of all processes into one order.
+    /// Sorts the lines by time.
     pub fn sort(&mut self) {
         self.lines.sort_by_key(|line| line.at_ms);
     }
 
-    /// Keeps the lines about an identifier.
-    pub fn keep_of(&mut self, id: &str) {
+    /// Keeps only the lines about an identifier.
+    pub fn keep_about(&mut self, id: &str) {
         self.lines.retain(|line| line.names(id));
     }
 
-    /// Keeps the lines about an identifier, and those from the same seconds about the backend servers
-    /// and instances that they name, where these are not about another request or item.
+    /// Keeps only the lines about an identifier, and the lines from about the same time that are
+    /// about the backend servers and instances named in them, unless these lines are about another
+    /// request, item or job.
     pub fn keep_related(&mut self, id: &str) {
         let mut names = BTreeSet::new();
         let mut span: Option<(u64, u64)> = None;
@@ -116,13 +122,13 @@
             self.lines.clear();
             return;
         };
-        let near = from.saturating_sub(RELATED_MS)..=to + RELATED_MS;
+        let related_period = from.saturating_sub(RELATED_WINDOW_MS)..=to + RELATED_WINDOW_MS;
         self.lines.retain(|line| {
-            let is_of_another = ["request", "item", "job"]
+            let is_about_other_work = ["request", "item", "job"]
                 .iter()
                 .any(|name| line.fields.contains_key(*name));
-            let is_related = near.contains(&line.at_ms)
-                && !is_of_another
+            let is_related = related_period.contains(&line.at_ms)
+                && !is_about_other_work
                 && names.iter().any(|name| line.names(name));
             line.names(id) || is_related
         });
--- a/crates/foxtailhold-logs/src/sink.rs
+++ b/crates/foxtailhold-logs/src/sink.rs
@@ -1,4 +1,5 @@
-//! Where lines go: a bounded queue that a thread empties, so that no request ever waits for a reader.
+//! Writes log lines through a bounded queue and a separate thread, so that no request waits for the
+//! reader of the log.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -8,101 +9,105 @@
 
 use parking_lot::Mutex;
 
-/// Lines are written together so often: each write wakes a thread, and nobody reads logs faster.
+/// Interval at which queued lines are written together. Each write wakes a thread, and readers do
+/// not need log lines sooner.
 const FLUSH_MS: u64 = 50;
-/// A second's bytes may wait for a reader that has stopped, before lines are left out.
-const MOST_WAITING_S: u64 = 1;
-/// Share of the bytes a second that ordinary lines may use; the rest is for warnings and errors.
+/// How many seconds' worth of bytes are buffered for a reader that has stopped, before lines are
+/// dropped.
+const MAX_BUFFERED_S: u64 = 1;
+/// Share of the byte budget that ordinary lines may use. The rest is reserved for warnings and
+/// errors.
 const ORDINARY_SHARE: f64 = 0.8;
 
-/// How much a line matters when not all can be written.
+/// Priority of a line when not all lines can be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weight {
-    /// Left out first.
+pub enum LinePriority {
+    /// Lines below warning level, which are dropped first.
     Ordinary,
     /// Warnings and errors.
     Failure,
 }
 
-/// What was left out since the last summary.
+/// Number of lines dropped since the last summary line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LeftOut {
-    /// Ordinary lines.
+pub struct DroppedLines {
+    /// Dropped ordinary lines.
     pub ordinary: u64,
-    /// Warnings and errors.
+    /// Dropped warnings and errors.
     pub failures: u64,
 }
 
-/// A budget of bytes a second, with lines that wait to be written.
+/// Queue of lines to be written, with a token bucket that limits the bytes per second.
 #[derive(Debug)]
 pub struct LineQueue {
     bytes_per_s: u64,
-    level_bytes: f64,
-    filled_at: Instant,
+    budget_bytes: f64,
+    refilled_at: Instant,
     lines: VecDeque<Vec<u8>>,
-    waiting_bytes: u64,
-    left_out: LeftOut,
+    buffered_bytes: u64,
+    dropped: DroppedLines,
 }
 
 impl LineQueue {
-    /// An empty queue with a second's budget.
+    /// Creates an empty queue with the budget of one second.
     pub fn new(bytes_per_s: u64, now: Instant) -> Self {
         LineQueue {
             bytes_per_s,
-            level_bytes: bytes_per_s as f64,
-            filled_at: now,
+            budget_bytes: bytes_per_s as f64,
+            refilled_at: now,
             lines: VecDeque::new(),
-            waiting_bytes: 0,
-            left_out: LeftOut::default(),
+            buffered_bytes: 0,
+            dropped: DroppedLines::default(),
         }
     }
 
-    /// Takes a line, or leaves it out.
-    pub fn push(&mut self, now: Instant, weight: Weight, line: Vec<u8>) {
+    /// Queues a line, or drops and counts it if the budget or the buffer is exhausted.
+    pub fn push(&mut self, now: Instant, priority: LinePriority, line: Vec<u8>) {
         let rate = self.bytes_per_s as f64;
-        let elapsed_s = now.duration_since(self.filled_at).as_secs_f64();
-        self.level_bytes = (self.level_bytes + elapsed_s * rate).min(rate);
-        self.filled_at = now;
+        let elapsed_s = now.duration_since(self.refilled_at).as_secs_f64();
+        self.budget_bytes = (self.budget_bytes + elapsed_s * rate).min(rate);
+        self.refilled_at = now;
         let length = line.len() as u64;
-        let reserved = match weight {
-            Weight::Ordinary => rate * (1.0 - ORDINARY_SHARE),
-            Weight::Failure => 0.0,
+        let reserved = match priority {
+            LinePriority::Ordinary => rate * (1.0 - ORDINARY_SHARE),
+            LinePriority::Failure => 0.0,
         };
-        let has_budget = self.level_bytes - length as f64 >= reserved;
-        let has_room = self.waiting_bytes + length <= self.bytes_per_s * MOST_WAITING_S;
+        let has_budget = self.budget_bytes - length as f64 >= reserved;
+        let has_room = self.buffered_bytes + length <= self.bytes_per_s * MAX_BUFFERED_S;
         if !has_budget || !has_room {
-            match weight {
-                Weight::Ordinary => self.left_out.ordinary += 1,
-                Weight::Failure => self.left_out.failures += 1,
+            match priority {
+                LinePriority::Ordinary => self.dropped.ordinary += 1,
+                LinePriority::Failure => self.dropped.failures += 1,
             }
             return;
         }
-        self.level_bytes -= length as f64;
-        self.waiting_bytes += length;
+        self.budget_bytes -= length as f64;
+        self.buffered_bytes += length;
         self.lines.push_back(line);
     }
 
-    /// All lines that wait, as one piece, and what was left out before them.
-    pub fn take(&mut self) -> (Vec<u8>, LeftOut) {
-        self.waiting_bytes = 0;
+    /// Takes all queued lines, concatenated, and the counts of lines dropped since the last call.
+    pub fn take(&mut self) -> (Vec<u8>, DroppedLines) {
+        self.buffered_bytes = 0;
         let lines = std::mem::take(&mut self.lines);
         let bytes = lines.into_iter().flatten().collect();
-        (bytes, std::mem::take(&mut self.left_out))
+        (bytes, std::mem::take(&mut self.dropped))
     }
 }
 
-/// Takes lines of the logger; cheap to clone.
+/// Accepts lines of the logger and writes them on a separate thread. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct LineSink {
     queue: Arc<Mutex<LineQueue>>,
 }
 
 impl LineSink {
-    /// Starts the thread that writes to `output`; `summary` words what was left out.
+    /// Starts the thread that writes to `output`. `summary` builds the line that reports dropped
+    /// lines.
     pub fn start<W: Write + Send + 'static>(
         output: W,
         bytes_per_s: u64,
-        summary: impl Fn(LeftOut) -> Vec<u8> + Send + 'static,
+        summary: impl Fn(DroppedLines) -> Vec<u8> + Send + 'static,
     ) -> io::Result<Self> {
         let sink = LineSink {
             queue: Arc::new(Mutex::new(LineQueue::new(bytes_per_s, Instant::now()))),
@@ -115,22 +120,22 @@
         Ok(sink)
     }
 
-    /// Takes a line.
-    pub fn push(&self, weight: Weight, line: Vec<u8>) {
-        self.queue.lock().push(Instant::now(), weight, line);
+    /// Queues a line, or drops it; never waits for `output`.
+    pub fn push(&self, priority: LinePriority, line: Vec<u8>) {
+        self.queue.lock().push(Instant::now(), priority, line);
     }
 
-    fn write_lines<W: Write>(&self, mut output: W, summary: &impl Fn(LeftOut) -> Vec<u8>) {
+    fn write_lines<W: Write>(&self, mut output: W, summary: &impl Fn(DroppedLines) -> Vec<u8>) {
         loop {
             thread::sleep(Duration::from_millis(FLUSH_MS));
-            let (mut bytes, left_out) = self.queue.lock().take();
-            if left_out != LeftOut::default() {
-                bytes.extend(summary(left_out));
+            let (mut bytes, dropped) = self.queue.lock().take();
+            if dropped != DroppedLines::default() {
+                bytes.extend(summary(dropped));
             }
             if bytes.is_empty() {
                 continue;
             }
-            // Without a reader there is nobody left to tell; the next lines may find one.
+            // A failed write cannot be reported anywhere. Later lines may find a reader again.
             if output
                 .write_all(&bytes)
                 .and_then(|()| output.flush())
@@ -141,7 +146,8 @@
         }
     }
 
-    /// Waits until what was taken so far has been handed to the writer, at the end of a process.
+    /// Waits, at the end of a process, until the queued lines have been taken by the writer thread,
+    /// or until a time limit has passed.
     pub fn close(self) {
         let until = Instant::now() + Duration::from_millis(4 * FLUSH_MS);
         while Instant::now() < until && !self.queue.lock().lines.is_empty() {
--- a/crates/foxtailhold-operator/src/client.rs
+++ b/crates/foxtailhold-operator/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the operator API.
+//! HTTP client for the operator API.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
     AcceptedChange, BackendView, ContractView, InstancesView, JobView, TimelineView,
 };
 
-/// Limit for one call.
+/// Timeout for one call.
 pub const CALL_TIMEOUT_MS: u64 = 10_000;
 
-/// Largest answer to a change.
+/// Maximum size of the answer to a contract change.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// A client of one instance's operator API.
+/// Client for the operator API of one instance.
 #[derive(Clone)]
 pub struct OperatorClient {
     http: HttpClient,
@@ -34,7 +34,7 @@
 }
 
 impl fmt::Debug for OperatorClient {
-    /// Leaves the token out.
+    /// Omits the token, so that it does not appear in logs and error messages.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = formatter.debug_struct("OperatorClient");
         text.field("address", &self.address).finish_non_exhaustive()
@@ -42,7 +42,7 @@
 }
 
 impl OperatorClient {
-    /// A client of the instance at `address`.
+    /// Creates a client for the instance with the operator address `address`.
     pub fn new(address: SocketAddr, token: &str) -> Self {
         OperatorClient {
             http: HttpClient::new(Reuse::Pooled),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A client of another instance with the same token.
+    /// Returns a client for another instance, with the same token.
     pub fn at(&self, address: SocketAddr) -> Self {
         OperatorClient {
             address,
@@ -59,17 +59,18 @@
         }
     }
 
-    /// All contracts.
+    /// Lists all contracts.
     pub async fn contracts(&self) -> Result<Vec<ContractView>> {
         self.get("/v1/contracts").await
     }
 
-    /// One contract.
+    /// Reads the contract of a customer.
     pub async fn contract(&self, customer: &CustomerId) -> Result<ContractView> {
         self.get(&format!("/v1/contracts/{customer}")).await
     }
 
-    /// Sets a contract from its document.
+    /// Sets a contract from a TOML document. Fails with `Conflict` unless the contract is at
+    /// `expected_version`; 0 stands for no contract.
     pub async fn set_contract(
         &self,
         customer: &CustomerId,
@@ -81,7 +82,7 @@
             .await
     }
 
-    /// Removes a contract.
+    /// Removes a contract. Fails with `Conflict` unless it is at `expected_version`.
     pub async fn remove_contract(
         &self,
         customer: &CustomerId,
@@ -101,7 +102,7 @@
         let path = format!("/v1/contracts/{customer}");
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
-        *request.uri_mut() = uri(self.address, &path).map_err(|e| self.unreachable(&e))?;
+        *request.uri_mut() = uri(self.address, &path).map_err(|e| self.send_error(&e))?;
         let headers = request.headers_mut();
         headers.insert(EXPECTED_VERSION, HeaderValue::from(expected_version));
         let bearer = HeaderValue::try_from(format!("Bearer {}", self.token));
@@ -109,49 +110,49 @@
         bearer.set_sensitive(true);
         headers.insert(header::AUTHORIZATION, bearer);
         let sent = self.http.send(self.address, request, CALL_TIMEOUT_MS).await;
-        let response = sent.map_err(|error| self.unanswered(&error))?;
+        let response = sent.map_err(|error| self.change_send_error(&error))?;
         let status = response.status();
         let bytes = read_whole(response.into_body(), MAX_ANSWER_BYTES)
             .await
-            .map_err(|error| self.lost(error.to_string()))?;
+            .map_err(|error| self.answer_lost_error(error.to_string()))?;
         match self.read(status.is_success(), &bytes) {
-            Err(OperatorError::Unreachable { detail, .. }) => Err(self.lost(detail)),
+            Err(OperatorError::Unreachable { detail, .. }) => Err(self.answer_lost_error(detail)),
             read => read,
         }
     }
 
-    /// Instances as this one sees them.
+    /// Lists the instances known to this instance.
     pub async fn instances(&self) -> Result<InstancesView> {
         self.get("/v1/instances").await
     }
 
-    /// Backend servers as this instance sees them.
+    /// Lists the backend servers known to this instance.
     pub async fn backends(&self) -> Result<Vec<BackendView>> {
         self.get("/v1/backends").await
     }
 
-    /// Batch jobs that are not finished.
+    /// Lists the batch jobs that are not finished.
     pub async fn jobs(&self) -> Result<Vec<JobView>> {
         self.get("/v1/jobs").await
     }
 
-    /// Sets the wanted state of an engine.
+    /// Sets the desired state of an engine.
     pub async fn set_order(&self, backend: &BackendId, setup: &EngineSetup) -> Result<OrderView> {
         let path = format!("/v1/orders/{backend}");
         let mut call = Call::new(Method::PUT, self.address, &path);
         call.bearer = Some(&self.token);
         call.timeout_ms = CALL_TIMEOUT_MS;
         let answer = self.http.call(&call, Some(setup)).await;
-        let (status, bytes) = answer.map_err(|error| self.unreachable(&error))?;
+        let (status, bytes) = answer.map_err(|error| self.send_error(&error))?;
         self.read(status.is_success(), &bytes)
     }
 
-    /// Wanted states of all engines.
+    /// Lists the desired states of all engines.
     pub async fn orders(&self) -> Result<Vec<OrderView>> {
         self.get("/v1/orders").await
     }
 
-    /// Recent events of this instance.
+    /// Reads the recent events of this instance.
     pub async fn timeline(&self) -> Result<TimelineView> {
         self.get("/v1/timeline").await
     }
@@ -161,40 +162,42 @@
         call.bearer = Some(&self.token);
         call.timeout_ms = CALL_TIMEOUT_MS;
         let answer = self.http.call::<()>(&call, None).await;
-        let (status, bytes) = answer.map_err(|error| self.unreachable(&error))?;
+        let (status, bytes) = answer.map_err(|error| self.send_error(&error))?;
         self.read(status.is_success(), &bytes)
     }
 
     fn read<T: DeserializeOwned>(&self, success: bool, bytes: &[u8]) -> Result<T> {
         if success {
-            return serde_json::from_slice(bytes).map_err(|error| self.broken(error.to_string()));
+            return serde_json::from_slice(bytes)
+                .map_err(|error| self.unreachable_error(error.to_string()));
         }
         match serde_json::from_slice::<OperatorErrorBody>(bytes) {
             Ok(body) => Err(body.error),
-            Err(error) => Err(self.broken(error.to_string())),
+            Err(error) => Err(self.unreachable_error(error.to_string())),
         }
     }
 
-    /// The error of a change that got no answer: without a byte sent it has no effect.
-    fn unanswered(&self, error: &SendError) -> OperatorError {
+    /// Converts the transport error of a change. If no byte was sent, the change has no effect;
+    /// otherwise it may have taken effect.
+    fn change_send_error(&self, error: &SendError) -> OperatorError {
         if error.is_not_sent() {
-            return self.unreachable(error);
+            return self.send_error(error);
         }
-        self.lost(error.to_string())
+        self.answer_lost_error(error.to_string())
     }
 
-    fn lost(&self, detail: String) -> OperatorError {
+    fn answer_lost_error(&self, detail: String) -> OperatorError {
         OperatorError::AnswerLost {
             address: self.address.to_string(),
             detail,
         }
     }
 
-    fn unreachable(&self, error: &SendError) -> OperatorError {
-        self.broken(error.to_string())
+    fn send_error(&self, error: &SendError) -> OperatorError {
+        self.unreachable_error(error.to_string())
     }
 
-    fn broken(&self, detail: String) -> OperatorError {
+    fn unreachable_error(&self, detail: String) -> OperatorError {
         OperatorError::Unreachable {
             address: self.address.to_string(),
             detail,
--- a/crates/foxtailhold-operator/src/command.rs
+++ b/crates/foxtailhold-operator/src/command.rs
@@ -1,4 +1,4 @@
-//! What `foxtail` does. Every command returns the text to print.
+//! The commands of `foxtail`. Each command returns the text to print.
 
 use std::path::{Path, PathBuf};
 
@@ -23,16 +23,16 @@
 /// Why a command failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum CommandError {
-    /// The instance refused or cannot be reached.
+    /// The instance refused the call or cannot be reached.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Operator(#[from] OperatorError),
-    /// The document cannot be read from its file.
+    /// The contract document cannot be read from its file.
     #[error("cannot read {}: {source}", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// Log files cannot be read.
@@ -41,7 +41,8 @@
     Lines(#[from] LinesError),
 }
 
-/// An instance with what it says of itself.
+/// An instance as listed by the instance that was asked, with the number of the last contract
+/// change that the instance itself reports as in force. The number is `None` if it did not answer.
 #[derive(Debug, Serialize)]
 struct InstanceRow {
     #[serde(flatten)]
@@ -49,15 +50,15 @@
     contracts_number: Option<u64>,
 }
 
-/// Does what the options say.
+/// Runs the task given by the options and returns the text to print.
 pub async fn run(options: &Options) -> Result<String> {
     match &options.task {
-        Task::Instances(access, command) => at_instances(access, command, options.json).await,
+        Task::Instances(access, command) => run_at_instance(access, command, options.json).await,
         Task::Logs(query) => Ok(lines::run(query, options.json)?),
     }
 }
 
-async fn at_instances(access: &Access, command: &Command, as_json: bool) -> Result<String> {
+async fn run_at_instance(access: &Access, command: &Command, as_json: bool) -> Result<String> {
     let client = OperatorClient::new(access.instance, &access.token);
     match command {
         Command::GetContract(customer) => {
@@ -109,8 +110,8 @@
             })
         }
         Command::Order(order) => Ok(order::run(&client, order, as_json).await?),
-        Command::Timeline { of } => {
-            let merged = timeline(&client, of.as_deref()).await?;
+        Command::Timeline { id } => {
+            let merged = timeline(&client, id.as_deref()).await?;
             Ok(if as_json {
                 json(&merged)
             } else {
@@ -176,9 +177,9 @@
 }
 
 async fn instance_rows(client: &OperatorClient) -> Result<Vec<InstanceRow>> {
-    let seen = client.instances().await?;
+    let known = client.instances().await?;
     let mut rows = Vec::new();
-    for view in seen.instances {
+    for view in known.instances {
         let own = client.at(view.operator_address).instances().await;
         let contracts_number = own.ok().map(|own| own.contracts_number);
         rows.push(InstanceRow {
@@ -189,7 +190,7 @@
     Ok(rows)
 }
 
-/// The events of all instances in one order.
+/// The events of all instances, merged and sorted by their hybrid logical timestamps.
 #[derive(Debug, Default, Serialize)]
 struct MergedTimeline {
     entries: Vec<TimelineEntry>,
@@ -199,7 +200,7 @@
     dropped: u64,
 }
 
-async fn timeline(client: &OperatorClient, of: Option<&str>) -> Result<MergedTimeline> {
+async fn timeline(client: &OperatorClient, id: Option<&str>) -> Result<MergedTimeline> {
     let mut merged = MergedTimeline::default();
     for view in client.instances().await?.instances {
         let Ok(part) = client.at(view.operator_address).timeline().await else {
@@ -211,7 +212,7 @@
     }
     let entries = &mut merged.entries;
     entries.sort_by(|a, b| (a.at, &a.instance).cmp(&(b.at, &b.instance)));
-    if let Some(id) = of {
+    if let Some(id) = id {
         entries.retain(|entry| entry.has_id(id));
     }
     Ok(merged)
--- a/crates/foxtailhold-operator/src/handler.rs
+++ b/crates/foxtailhold-operator/src/handler.rs
@@ -1,13 +1,13 @@
-//! The operator API over HTTP.
+//! HTTP handler of the operator API.
 //!
-//! `/health`, `/ready` and `/metrics` need no token; everything else does.
+//! All paths except `/health`, `/ready` and `/metrics` require the operator token.
 
 use std::net::SocketAddr;
 
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{BackendId, CustomerId};
 use foxtailhold::orders::EngineSetup;
-use foxtailhold_http::body::{self, AnswerBody};
+use foxtailhold_http::body::{AnswerBody, self};
 use foxtailhold_http::server::Handler;
 use http::{HeaderValue, Method, Request, Response, StatusCode, header, request};
 use hyper::body::Incoming;
@@ -18,33 +18,32 @@
 use crate::gateway::{ContractUpdate, OperatorGateway};
 use crate::route::Route;
 
-/// Largest contract document.
+/// Maximum size of a contract document or of the body of an order.
 pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
-/// Longest pause between two parts of a document.
+/// Maximum pause between two parts of a contract document.
 pub const BODY_IDLE_MS: u64 = 10_000;
-/// Header with the version that a change replaces.
+/// Request header that carries the contract version that a change replaces.
 pub const EXPECTED_VERSION: &str = "foxtailhold-expected-version";
-/// Content type of OpenMetrics text.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The operator side of one instance.
+/// HTTP handler of the operator API of one instance.
 #[derive(Clone)]
 pub struct OperatorHandler<G> {
     gateway: G,
     token: std::sync::Arc<str>,
 }
 
-/// The body of a failed call.
+/// Response body of a failed call.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct OperatorErrorBody {
-    /// The error.
+    /// Error code and details.
     pub error: OperatorError,
-    /// The error as a sentence.
+    /// Human-readable description.
     pub message: String,
 }
 
 impl<G: OperatorGateway> OperatorHandler<G> {
-    /// A handler that asks for `token`.
+    /// Creates a handler that requires `token`.
     pub fn new(gateway: G, token: &str) -> Self {
         OperatorHandler {
             gateway,
@@ -95,10 +94,10 @@
 
     fn check_token(&self, head: &request::Parts) -> Result<()> {
         let value = head.headers.get(header::AUTHORIZATION);
-        let given = value.and_then(|value| value.to_str().ok());
-        let given = given.and_then(|text| text.strip_prefix("Bearer "));
-        let given = given.unwrap_or_default().as_bytes();
-        if bool::from(given.ct_eq(self.token.as_bytes())) {
+        let token = value.and_then(|value| value.to_str().ok());
+        let token = token.and_then(|text| text.strip_prefix("Bearer "));
+        let token = token.unwrap_or_default().as_bytes();
+        if bool::from(token.ct_eq(self.token.as_bytes())) {
             return Ok(());
         }
         Err(OperatorError::Unauthorized)
@@ -165,17 +164,17 @@
         let (head, mut incoming) = request.into_parts();
         let answer = self.route(&head, &mut incoming).await;
         body::drain(incoming);
-        answer.unwrap_or_else(refusal)
+        answer.unwrap_or_else(error_response)
     }
 }
 
-fn refusal(error: OperatorError) -> Response<AnswerBody> {
+fn error_response(error: OperatorError) -> Response<AnswerBody> {
     let allow = match &error {
         OperatorError::MethodNotAllowed { allow, .. } => HeaderValue::try_from(allow).ok(),
         _ => None,
     };
     let message = error.to_string();
-    let mut response = body::json(status(&error), &OperatorErrorBody { error, message });
+    let mut response = body::json(status_code(&error), &OperatorErrorBody { error, message });
     if let Some(allow) = allow {
         response.headers_mut().insert(header::ALLOW, allow);
     }
@@ -209,22 +208,22 @@
 }
 
 async fn read_contract(customer: &CustomerId, incoming: &mut Incoming) -> Result<Contract> {
-    let bad = |detail: String| OperatorError::BadContract { detail };
+    let bad_contract = |detail: String| OperatorError::BadContract { detail };
     let bytes = body::read_with_idle_timeout(incoming, MAX_DOCUMENT_BYTES, BODY_IDLE_MS)
         .await
-        .map_err(|error| bad(error.to_string()))?;
-    let document = std::str::from_utf8(&bytes).map_err(|error| bad(error.to_string()))?;
+        .map_err(|error| bad_contract(error.to_string()))?;
+    let document = std::str::from_utf8(&bytes).map_err(|error| bad_contract(error.to_string()))?;
     let contract = Contract::try_from(document)?;
     if contract.customer != *customer {
-        let named = &contract.customer;
-        return Err(bad(format!(
-            "field `customer` is {named}, the contract to be set is {customer}'s"
+        let found_customer = &contract.customer;
+        return Err(bad_contract(format!(
+            "field `customer` is {found_customer}, the contract to be set is {customer}'s"
         )));
     }
     Ok(contract)
 }
 
-fn status(error: &OperatorError) -> StatusCode {
+fn status_code(error: &OperatorError) -> StatusCode {
     match error {
         OperatorError::Unauthorized => StatusCode::UNAUTHORIZED,
         OperatorError::BadContract { .. } | OperatorError::BadRequest { .. } => {
@@ -241,14 +240,14 @@
     }
 }
 
-/// Reads the identifier of an engine in a path.
+/// Parses the identifier of an engine in a path.
 fn backend_id(text: &str) -> Result<BackendId> {
     BackendId::try_from(text).map_err(|error| OperatorError::BadRequest {
         detail: error.to_string(),
     })
 }
 
-/// Reads the wanted state in a body.
+/// Parses the desired state of an engine in a body.
 fn read_setup(bytes: &[u8]) -> Result<EngineSetup> {
     serde_json::from_slice(bytes).map_err(|error| OperatorError::BadRequest {
         detail: error.to_string(),
--- a/crates/foxtailhold-operator/src/lines.rs
+++ b/crates/foxtailhold-operator/src/lines.rs
@@ -1,4 +1,4 @@
-//! The time line from log files, without asking an instance.
+//! Builds the timeline from log files, without a call to an instance.
 
 use std::fs::File;
 use std::io::{self, BufReader};
@@ -18,9 +18,9 @@
 #[derive(Debug, Error, Diagnostic)]
 #[error("cannot read log lines from {}: {source}", file.display())]
 pub struct LinesError {
-    /// The file.
+    /// Path of the file, `-` for standard input.
     file: PathBuf,
-    /// What the system said.
+    /// Error of the operating system.
     source: io::Error,
 }
 
@@ -31,7 +31,7 @@
     book.read(BufReader::new(File::open(file)?))
 }
 
-/// The lines asked for, as text or JSON.
+/// Reads the files of the query and returns the matching lines as text or JSON.
 pub fn run(query: &LogQuery, as_json: bool) -> Result<String> {
     let mut book = LogBook::default();
     for file in &query.files {
@@ -41,9 +41,9 @@
         })?;
     }
     book.sort();
-    match &query.of {
+    match &query.id {
         Some(id) if query.related => book.keep_related(id),
-        Some(id) => book.keep_of(id),
+        Some(id) => book.keep_about(id),
         None => {}
     }
     Ok(if as_json { json(&book) } else { text(&book) })
@@ -54,10 +54,10 @@
     if book.unreadable > 0 {
         text.push_str(&format!("# {} lines are no log lines\n", book.unreadable));
     }
-    if book.left_out > 0 {
+    if book.dropped > 0 {
         text.push_str(&format!(
             "# {} lines were left out by their processes\n",
-            book.left_out
+            book.dropped
         ));
     }
     for line in &book.lines {
--- a/crates/foxtailhold-operator/tests/common/mod.rs
+++ b/crates/foxtailhold-operator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An operator side with a small fake instance behind it.
+//! An operator API server with a fake instance.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     format!("customer = \"c\"\napi_keys = [\"{KEY}\"]\nrequests_per_s = {requests_per_s}\n")
 }
 
-/// What the fake answers and what it was asked.
+/// A fake instance that records contract updates and returns configured results.
 #[derive(Debug, Clone, Default)]
 pub struct Fake {
     pub failure: Arc<Mutex<Option<OperatorError>>>,
@@ -38,7 +38,7 @@
 }
 
 impl Fake {
-    fn outcome(&self) -> Result<()> {
+    fn check_failure(&self) -> Result<()> {
         match self.failure.lock().unwrap().clone() {
             Some(error) => Err(error),
             None => Ok(()),
@@ -64,7 +64,7 @@
     }
 
     async fn update_contract(&self, update: ContractUpdate) -> Result<AcceptedChange> {
-        self.outcome()?;
+        self.check_failure()?;
         let accepted = AcceptedChange {
             customer: update.customer.clone(),
             version: update.expected_version + 1,
@@ -87,12 +87,12 @@
     }
 
     async fn jobs(&self) -> Result<Vec<JobView>> {
-        self.outcome()?;
+        self.check_failure()?;
         Ok(Vec::new())
     }
 
     async fn set_order(&self, backend: &BackendId, setup: &EngineSetup) -> Result<OrderView> {
-        self.outcome()?;
+        self.check_failure()?;
         Ok(OrderView {
             backend: backend.clone(),
             version: 1,
@@ -101,7 +101,7 @@
     }
 
     async fn orders(&self) -> Result<Vec<OrderView>> {
-        self.outcome()?;
+        self.check_failure()?;
         Ok(Vec::new())
     }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// An operator side on loopback.
+/// An operator API server on the loopback interface.
 pub struct Served {
     pub server: Server,
     pub fake: Fake,
@@ -134,7 +134,7 @@
     Served { server, fake }
 }
 
-/// An answer.
+/// An HTTP response with its body as text.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -149,7 +149,8 @@
 }
 
 impl Served {
-    /// Sends a request; `authorization` is the header's value.
+    /// Sends a request. `authorization` is the value of that header, `version` the value of
+    /// `foxtailhold-expected-version`.
     pub async fn send(
         &self,
         method: &Method,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Sends a request with the right token.
+    /// Sends a request with the valid token.
     pub async fn send_known(
         &self,
         method: Method,
--- a/crates/foxtailhold-operator/tests/lost_answers.rs
+++ b/crates/foxtailhold-operator/tests/lost_answers.rs
@@ -1,4 +1,5 @@
-//! The operator's client against instances that refuse, fall silent or answer nonsense.
+//! An instance may apply a change and then fail before its answer arrives complete. The client must
+//! report such a change as possibly in force, not as without effect.
 
 use foxtailhold_operator::client::OperatorClient;
 use foxtailhold_operator::error::OperatorError;
@@ -6,18 +7,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const OVER: usize = 2 << 20;
+const OVERSIZED_BYTES: usize = 2 << 20;
 
-/// What the instance does once it has read a call.
+/// How the instance fails after it has read a call.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// It closes the connection.
+    /// Closes the connection before the answer.
     ResetBefore,
-    /// It closes the connection within the answer.
+    /// Closes the connection in the middle of the answer.
     ResetAfter,
-    /// It answers with text that is not the answer.
+    /// Answers with a body that is not JSON.
     Malformed,
-    /// It answers with more than a client takes.
+    /// Answers with a body above the client's size limit.
     Oversized,
 }
 
@@ -31,8 +32,8 @@
             Fault::ResetAfter => "HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{".to_owned(),
             Fault::Malformed => "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\noops".to_owned(),
             Fault::Oversized => {
-                let body = " ".repeat(OVER);
-                format!("HTTP/1.1 200 OK\r\ncontent-length: {OVER}\r\n\r\n{body}")
+                let body = " ".repeat(OVERSIZED_BYTES);
+                format!("HTTP/1.1 200 OK\r\ncontent-length: {OVERSIZED_BYTES}\r\n\r\n{body}")
             }
         };
         let _ = stream.write_all(text.as_bytes()).await;
@@ -44,7 +45,7 @@
 #[test_case(Fault::Malformed; "malformed")]
 #[test_case(Fault::Oversized; "oversized")]
 #[tokio::test]
-async fn change_whose_answer_is_lost_is_not_called_without_effect(fault: Fault) {
+async fn change_whose_answer_is_lost_is_reported_as_possibly_effective(fault: Fault) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = OperatorClient::new(listener.local_addr().unwrap(), "token-of-tests");
     let server = tokio::spawn(answer(listener, fault));
@@ -69,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn change_that_nobody_got_is_unreachable() {
+async fn change_that_was_not_sent_is_unreachable() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
