--- a/crates/foxtailhold-caller/src/handler.rs
+++ b/crates/foxtailhold-caller/src/handler.rs
@@ -6,15 +6,15 @@
 use bytes::Bytes;
 use foxtailhold::ids::{AvailabilityZone, RequestId};
 use foxtailhold::refusal::{Refusal, RefusalReason, Result};
-use foxtailhold_http::body::{AnswerBody, BodyError, self};
+use foxtailhold_http::body::{self, AnswerBody, BodyError};
 use foxtailhold_http::server::Handler;
 use http::{HeaderName, HeaderValue, Method, Request, Response, StatusCode, request};
 use hyper::body::Incoming;
 
-use crate::{batches, error_body, files, head, inference, list, models, service};
 use crate::gateway::{EntriesQuery, Gateway, RequestContext, RequestKind};
 pub use crate::route::{CHAT_PATH, COMPLETIONS_PATH};
 use crate::route::{ENTRIES_PATH, Route};
+use crate::{batches, error_body, files, head, inference, list, models, service};
 
 /// Maximum pause between two parts of a request body.
 pub const BODY_IDLE_MS: u64 = 30_000;
--- a/crates/foxtailhold-operator/src/handler.rs
+++ b/crates/foxtailhold-operator/src/handler.rs
@@ -7,7 +7,7 @@
 use foxtailhold::contract::Contract;
 use foxtailhold::ids::{BackendId, CustomerId};
 use foxtailhold::orders::EngineSetup;
-use foxtailhold_http::body::{AnswerBody, self};
+use foxtailhold_http::body::{self, AnswerBody};
 use foxtailhold_http::server::Handler;
 use http::{HeaderValue, Method, Request, Response, StatusCode, header, request};
 use hyper::body::Incoming;
