--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -144,7 +144,7 @@
 #[test_case(3_600, (8, 7); "same minute shares evenly")]
 #[test_case(7_200, (0, 15); "less slack goes first")]
 fn slots_go_to_the_owner_with_least_slack(late_s: u64, expected: (u32, u32)) {
-    let mut controller = BatchController::new(instance("controller"), backend(), 1, 100);
+    let mut controller = BatchController::new(instance("steward"), backend(), 1, 100);
     let mut now = START;
     controller.asked(slot_request("late", 0, 100, late_s, 0), now);
     controller.asked(slot_request("soon", 0, 100, 3_600, 0), now);
@@ -162,7 +162,7 @@
 
 #[test]
 fn slot_in_use_is_not_taken_for_an_owner_with_less_slack() {
-    let mut controller = BatchController::new(instance("controller"), backend(), 1, 100);
+    let mut controller = BatchController::new(instance("steward"), backend(), 1, 100);
     let mut now = START;
     controller.asked(slot_request("late", 0, 100, 7_200, 0), now);
     controller.reported(&report(0, 0), now);
@@ -203,7 +203,7 @@
     let replica = SchedulerReplica {
         backend: backend(),
         targets: vec!["ranger".try_into().unwrap()],
-        controller: Some(instance("controller")),
+        controller: Some(instance("steward")),
     };
     scheduler.set_replicas(vec![replica], START);
     for item in 0..items {
@@ -221,13 +221,13 @@
 #[test]
 fn scheduler_starts_least_slack_first_and_preempts_the_newest() {
     let mut scheduler = scheduler(3);
-    let started = scheduler.answered(&grant("controller", 1, 2), START, START);
+    let started = scheduler.answered(&grant("steward", 1, 2), START, START);
     let start = |item| SchedulerAction::Start {
         item,
         backend: backend(),
     };
     assert_eq!(started, [start(2), start(1)]);
-    let preempted = scheduler.pushed(&grant("controller", 2, 1), START);
+    let preempted = scheduler.pushed(&grant("steward", 2, 1), START);
     let expected = SchedulerAction::Preempt {
         item: 1,
         backend: backend(),
@@ -235,11 +235,11 @@
     assert_eq!(preempted, [expected]);
 }
 
-#[test_case("controller", 1; "older grant")]
-#[test_case("other", 9; "grant of another controller")]
+#[test_case("steward", 1; "older grant")]
+#[test_case("other", 9; "grant of another steward")]
 fn scheduler_ignores(controller: &str, number: u64) {
     let mut scheduler = scheduler(5);
-    scheduler.answered(&grant("controller", 2, 1), START, START);
+    scheduler.answered(&grant("steward", 2, 1), START, START);
     scheduler.answered(&grant(controller, number, 5), START, START);
     assert_eq!(scheduler.in_use(&backend()), 1);
 }
@@ -247,10 +247,10 @@
 #[test]
 fn pushed_grant_does_not_last_longer_than_the_request_before_it() {
     let mut scheduler = scheduler(5);
-    scheduler.pushed(&grant("controller", 1, 5), START);
+    scheduler.pushed(&grant("steward", 1, 5), START);
     assert_eq!(scheduler.in_use(&backend()), 0, "nothing was requested yet");
-    scheduler.answered(&grant("controller", 2, 1), START, START);
-    scheduler.pushed(&grant("controller", 3, 3), START + GRANT_MS);
+    scheduler.answered(&grant("steward", 2, 1), START, START);
+    scheduler.pushed(&grant("steward", 3, 3), START + GRANT_MS);
     assert_eq!(scheduler.in_use(&backend()), 3);
     let preempted = scheduler.act(START + GRANT_MS + 1);
     assert_eq!(preempted.len(), 3);
--- a/crates/foxtailhold/tests/batch_control_world/mod.rs
+++ b/crates/foxtailhold/tests/batch_control_world/mod.rs
@@ -32,7 +32,7 @@
 }
 
 fn controller_id(index: usize) -> InstanceId {
-    format!("controller-{index}").as_str().try_into().unwrap()
+    format!("steward-{index}").as_str().try_into().unwrap()
 }
 
 fn owner_id(index: usize) -> InstanceId {
