--- a/crates/foxtailhold-caller/src/gateway.rs
+++ b/crates/foxtailhold-caller/src/gateway.rs
@@ -340,7 +340,7 @@
 
     /// Records, for metrics, that the response head is ready `wait` after the request head was
     /// received.
-    fn answered(&self, kind: RequestKind, refusal: Option<&Refusal>, wait: Duration);
+    fn record_answer(&self, kind: RequestKind, refusal: Option<&Refusal>, wait: Duration);
 
     /// Records, for metrics, that a stream event was sent to its caller. `wait` is the time since
     /// the previous event, or since the start of the request for the first event.
--- a/crates/foxtailhold-caller/src/handler.rs
+++ b/crates/foxtailhold-caller/src/handler.rs
@@ -196,7 +196,7 @@
         body::drain(incoming);
         let kind = Route::of(head.uri.path()).map_or(RequestKind::Unknown, |route| route.kind());
         let refusal = answer.as_ref().err();
-        self.gateway.answered(kind, refusal, start.elapsed());
+        self.gateway.record_answer(kind, refusal, start.elapsed());
         let mut response = answer.unwrap_or_else(|refusal| {
             self.gateway.refused(&id, &refusal);
             error_body::response(&refusal)
--- a/crates/foxtailhold-caller/tests/common/mod.rs
+++ b/crates/foxtailhold-caller/tests/common/mod.rs
@@ -258,7 +258,7 @@
         self.recorded_refusals.lock().unwrap().push(code.to_owned());
     }
 
-    fn answered(&self, kind: RequestKind, refusal: Option<&Refusal>, _: Duration) {
+    fn record_answer(&self, kind: RequestKind, refusal: Option<&Refusal>, _: Duration) {
         let check_refusal = refusal.map_or("ok", foxtailhold_caller::error_body::code);
         let answer = (kind.as_str(), check_refusal.to_owned());
         self.answers.lock().unwrap().push(answer);
--- a/crates/foxtailhold-engine/src/check.rs
+++ b/crates/foxtailhold-engine/src/check.rs
@@ -7,7 +7,7 @@
 
 use crate::chunk::Chunk;
 use crate::error::{EngineError, Result};
-use crate::sse::{EventCutter, RawEvent};
+use crate::sse::{EventSplitter, RawEvent};
 
 /// The `data` field of the event that ends a complete stream.
 pub const DONE: &[u8] = b"[DONE]";
@@ -42,7 +42,7 @@
 /// Parses the bytes of a stream and returns its events in order and without duplicates.
 #[derive(Debug)]
 pub struct StreamCheck {
-    cutter: EventCutter,
+    splitter: EventSplitter,
     expected_id: String,
     next_ordinal: u64,
     out_of_order: BTreeMap<u64, TokenEvent>,
@@ -61,7 +61,7 @@
     /// event: 1, or one more than the last event received before the stream was resumed.
     pub fn new(expected_id: String, next_ordinal: u64) -> Self {
         StreamCheck {
-            cutter: EventCutter::default(),
+            splitter: EventSplitter::default(),
             expected_id,
             next_ordinal,
             out_of_order: BTreeMap::new(),
@@ -73,8 +73,8 @@
     /// Appends received bytes. Fails when the buffered event exceeds
     /// [`MAX_EVENT_BYTES`](crate::sse::MAX_EVENT_BYTES).
     pub fn push(&mut self, bytes: &[u8]) -> Result<()> {
-        self.cutter.push(bytes);
-        if self.cutter.is_oversized() {
+        self.splitter.push(bytes);
+        if self.splitter.is_oversized() {
             return Err(malformed("an event is over the limit"));
         }
         Ok(())
@@ -92,7 +92,7 @@
             if let Some(event) = self.out_of_order.remove(&self.next_ordinal) {
                 return Ok(Some(self.deliver(event)));
             }
-            let Some(raw) = self.cutter.next_event() else {
+            let Some(raw) = self.splitter.next_event() else {
                 break;
             };
             if let Some(event) = self.check(raw)? {
--- a/crates/foxtailhold-engine/src/sse.rs
+++ b/crates/foxtailhold-engine/src/sse.rs
@@ -34,12 +34,12 @@
 
 /// Incremental splitter: collects received bytes and returns complete events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buffer: BytesMut,
     scanned_bytes: usize,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -55,8 +55,8 @@
             Decision::Refused(_) => return Ok(false),
             Decision::Wait(_) | Decision::Pause { .. } => {}
         }
-        let ask = limits.due_request(&contract.customer, now);
-        exchange(limits, ask.into_iter().collect(), registry, now)?;
+        let request = limits.due_request(&contract.customer, now);
+        exchange(limits, request.into_iter().collect(), registry, now)?;
     }
     Ok(false)
 }
@@ -64,17 +64,17 @@
 /// Sends share requests to this instance as the coordinator and applies its grants.
 fn exchange(
     limits: &Limits,
-    asks: Vec<ShareRequest>,
+    requests: Vec<ShareRequest>,
     registry: &ContractRegistry,
     now: MonoMs,
 ) -> Result<()> {
     let from = InstanceId::try_from(ME)?;
-    let asks = ShareRequests {
+    let requests = ShareRequests {
         from,
-        requests: asks,
+        requests: requests,
     };
-    let grants = limits.answer(&asks, registry, now).grants;
-    limits.apply_grants(&asks.requests, &grants, now);
+    let grants = limits.grant_shares(&requests, registry, now).grants;
+    limits.apply_grants(&requests.requests, &grants, now);
     Ok(())
 }
 
@@ -133,17 +133,17 @@
     );
     let later = now + (EXCHANGE_MS - 1);
     let start = Instant::now();
-    let asks = limits.due_requests(later);
+    let requests = limits.due_requests(later);
     println!(
         "one pass over {CUSTOMERS} active customers: {} asks in {:?}",
-        asks.len(),
+        requests.len(),
         start.elapsed()
     );
-    exchange(&limits, asks, &registry, later)?;
+    exchange(&limits, requests, &registry, later)?;
     for pass in 1..20 {
         let later = now + pass * (IDLE_MS + EXCHANGE_MS);
-        let asks = limits.due_requests(later);
-        exchange(&limits, asks, &registry, later)?;
+        let requests = limits.due_requests(later);
+        exchange(&limits, requests, &registry, later)?;
         limits.sweep(later);
     }
     println!("at rest: {} customers in memory", limits.customers());
--- a/crates/foxtailhold-entry/src/actors/batch_controller.rs
+++ b/crates/foxtailhold-entry/src/actors/batch_controller.rs
@@ -50,7 +50,7 @@
 
 /// State of the batch controller actor, rebuilt after a restart.
 #[derive(Debug)]
-pub struct StewardState {
+pub struct BatchControllerState {
     term: u64,
     scheduler: BatchScheduler,
     signals: HashMap<ItemKey, UnboundedSender<SlotSignal>>,
@@ -61,16 +61,16 @@
 
 impl<P: Platform> Actor for BatchControllerActor<P> {
     type Msg = BatchControllerMessage;
-    type State = StewardState;
+    type State = BatchControllerState;
     type Arguments = ();
 
     async fn pre_start(
         &self,
         myself: ActorRef<Self::Msg>,
         (): (),
-    ) -> Result<StewardState, ActorProcessingErr> {
+    ) -> Result<BatchControllerState, ActorProcessingErr> {
         tick(&myself, || BatchControllerMessage::Tick, TICK_MS);
-        Ok(StewardState {
+        Ok(BatchControllerState {
             term: self.0.clock.wall().0,
             scheduler: BatchScheduler::new(self.0.settings.instance.clone()),
             signals: HashMap::new(),
@@ -84,7 +84,7 @@
         &self,
         myself: ActorRef<Self::Msg>,
         message: Self::Msg,
-        state: &mut StewardState,
+        state: &mut BatchControllerState,
     ) -> Result<(), ActorProcessingErr> {
         let now = self.0.clock.mono();
         match message {
@@ -98,36 +98,36 @@
             }
             BatchControllerMessage::SlotsInUse(slot_request) => {
                 if let Some(engine) = state.controlled.get_mut(&slot_request.backend) {
-                    engine.controller.told(slot_request, now);
+                    engine.controller.record_usage(slot_request, now);
                 }
             }
-            BatchControllerMessage::RequestAnswered(grant, asked_at) => {
-                let actions = state.scheduler.answered(&grant, asked_at, now);
+            BatchControllerMessage::RequestAnswered(grant, requested_at) => {
+                let actions = state.scheduler.handle_response(&grant, requested_at, now);
                 self.perform(state, actions);
             }
             BatchControllerMessage::OnlineWork(notice, reply) => {
                 let engine = state.controlled.get_mut(&notice.backend);
                 let _ = reply.send(engine.is_some());
                 if let Some(engine) = engine {
-                    let grants = engine.controller.noticed(&notice, now);
+                    let grants = engine.controller.apply_online_load(&notice, now);
                     self.push_grants(&myself, state, grants, now);
                 }
             }
             BatchControllerMessage::LoadReported(backend, report) => {
                 if let Some(engine) = state.controlled.get_mut(&backend) {
-                    let grants = engine.controller.reported(&report, now);
+                    let grants = engine.controller.apply_load_report(&report, now);
                     self.push_grants(&myself, state, grants, now);
                 }
             }
             BatchControllerMessage::ItemWaiting(item, waiting, signals) => {
                 state.signals.insert(item, signals);
-                let actions = state.scheduler.wait(item, waiting, now);
+                let actions = state.scheduler.enqueue(item, waiting, now);
                 self.perform(state, actions);
                 self.send_slot_requests(&myself, state, now);
             }
             BatchControllerMessage::ItemLeft(item) => {
                 state.signals.remove(&item);
-                let actions = state.scheduler.leave(item, now);
+                let actions = state.scheduler.remove(item, now);
                 self.perform(state, actions);
             }
         }
@@ -139,7 +139,7 @@
     fn tick(
         &self,
         myself: &ActorRef<BatchControllerMessage>,
-        state: &mut StewardState,
+        state: &mut BatchControllerState,
         now: MonoMs,
     ) {
         self.assign_controllers(state, now);
@@ -170,23 +170,23 @@
     }
 
     /// Assigns the batch controllers again if the members or the engines have changed.
-    fn assign_controllers(&self, state: &mut StewardState, now: MonoMs) {
+    fn assign_controllers(&self, state: &mut BatchControllerState, now: MonoMs) {
         let members = self.0.members.load_full();
         let backends = self.0.backends.load_full();
         let same_members = state
             .members
             .as_ref()
-            .is_some_and(|known| Arc::ptr_eq(known, &members));
+            .is_some_and(|previous| Arc::ptr_eq(previous, &members));
         let same_backends = state
             .backends
             .as_ref()
-            .is_some_and(|known| Arc::ptr_eq(known, &backends));
+            .is_some_and(|previous| Arc::ptr_eq(previous, &backends));
         if same_members && same_backends {
             return;
         }
         let before = self.0.batch_controllers.load();
         let live = self.0.live_members();
-        let mut stewards = BatchControllers::default();
+        let mut controllers = BatchControllers::default();
         let mut replicas = Vec::new();
         for server in &backends.servers {
             if server.backend.kind != BackendKind::Engine {
@@ -202,15 +202,18 @@
             let Some(controller) = controller else {
                 continue;
             };
-            let gauge = before.0.get(backend).map(|entry| entry.gauge.clone());
+            let notification = before
+                .0
+                .get(backend)
+                .map(|entry| entry.notification.clone());
             let entry = BatchControllerEntry {
                 batch_controller: controller.id.clone(),
                 address: controller.peer_address,
-                gauge: gauge.unwrap_or_default(),
+                notification: notification.unwrap_or_default(),
             };
-            stewards.0.insert(backend.clone(), entry);
+            controllers.0.insert(backend.clone(), entry);
         }
-        self.0.batch_controllers.store(Arc::new(stewards));
+        self.0.batch_controllers.store(Arc::new(controllers));
         state.members = Some(members);
         state.backends = Some(backends);
         let actions = state.scheduler.set_replicas(replicas, now);
@@ -245,7 +248,7 @@
     fn handle_slot_request(
         &self,
         myself: &ActorRef<BatchControllerMessage>,
-        state: &mut StewardState,
+        state: &mut BatchControllerState,
         slot_request: BatchSlotRequest,
         now: MonoMs,
     ) -> BatchSlotGrant {
@@ -260,27 +263,29 @@
                 polled_at: now,
             }
         });
-        let (grant, others) = engine.controller.asked(slot_request, now);
+        let (grant, others) = engine.controller.handle_request(slot_request, now);
         self.push_grants(myself, state, others, now);
         grant
     }
 
     fn apply_grant(
         &self,
-        state: &mut StewardState,
+        state: &mut BatchControllerState,
         grant: &BatchSlotGrant,
         now: MonoMs,
     ) -> BatchSlotRequest {
-        let actions = state.scheduler.pushed(grant, now);
+        let actions = state.scheduler.handle_pushed_grant(grant, now);
         self.perform(state, actions);
-        state.scheduler.ask(&grant.backend, self.0.clock.wall())
+        state
+            .scheduler
+            .slot_request(&grant.backend, self.0.clock.wall())
     }
 
     /// Pushes grants to their owners. A grant to this instance is applied without a message.
     fn push_grants(
         &self,
         myself: &ActorRef<BatchControllerMessage>,
-        state: &mut StewardState,
+        state: &mut BatchControllerState,
         grants: Vec<(InstanceId, BatchSlotGrant)>,
         now: MonoMs,
     ) {
@@ -288,7 +293,7 @@
             if owner == self.0.settings.instance {
                 let slot_request = self.apply_grant(state, &grant, now);
                 if let Some(engine) = state.controlled.get_mut(&grant.backend) {
-                    engine.controller.told(slot_request, now);
+                    engine.controller.record_usage(slot_request, now);
                 }
                 continue;
             }
@@ -302,7 +307,7 @@
                     let address = member.peer_address;
                     let answer = shared
                         .peers
-                        .ask(address, &request, SLOT_REQUEST_TIMEOUT_MS)
+                        .call(address, &request, SLOT_REQUEST_TIMEOUT_MS)
                         .await;
                     if let Ok(PeerAnswer::SlotsInUse(slot_request)) = answer {
                         let message = BatchControllerMessage::SlotsInUse(slot_request);
@@ -322,17 +327,19 @@
     fn send_slot_requests(
         &self,
         myself: &ActorRef<BatchControllerMessage>,
-        state: &mut StewardState,
+        state: &mut BatchControllerState,
         now: MonoMs,
     ) {
-        for (controller, slot_request) in state.scheduler.asks(now, self.0.clock.wall()) {
+        for (controller, slot_request) in state.scheduler.due_requests(now, self.0.clock.wall()) {
             if controller == self.0.settings.instance {
                 let grant = self.handle_slot_request(myself, state, slot_request, now);
-                let actions = state.scheduler.answered(&grant, now, now);
+                let actions = state.scheduler.handle_response(&grant, now, now);
                 self.perform(state, actions);
-                let slot_request = state.scheduler.ask(&grant.backend, self.0.clock.wall());
+                let slot_request = state
+                    .scheduler
+                    .slot_request(&grant.backend, self.0.clock.wall());
                 if let Some(engine) = state.controlled.get_mut(&grant.backend) {
-                    engine.controller.told(slot_request, now);
+                    engine.controller.record_usage(slot_request, now);
                 }
                 continue;
             }
@@ -345,7 +352,7 @@
                 let address = member.peer_address;
                 match shared
                     .peers
-                    .ask(address, &request, SLOT_REQUEST_TIMEOUT_MS)
+                    .call(address, &request, SLOT_REQUEST_TIMEOUT_MS)
                     .await
                 {
                     Ok(PeerAnswer::SlotGrant(grant)) => {
@@ -361,13 +368,13 @@
         }
     }
 
-    fn perform(&self, state: &mut StewardState, actions: Vec<SchedulerAction>) {
-        let mut cuts: HashMap<BackendId, u32> = HashMap::new();
+    fn perform(&self, state: &mut BatchControllerState, actions: Vec<SchedulerAction>) {
+        let mut preempted: HashMap<BackendId, u32> = HashMap::new();
         for action in actions {
             let (item, signal) = match action {
                 SchedulerAction::Start { item, backend } => (item, SlotSignal::Start(backend)),
                 SchedulerAction::Preempt { item, backend } => {
-                    *cuts.entry(backend).or_default() += 1;
+                    *preempted.entry(backend).or_default() += 1;
                     (item, SlotSignal::Preempt)
                 }
             };
@@ -375,8 +382,8 @@
                 let _ = signals.send(signal);
             }
         }
-        for (backend, items) in cuts {
-            self.0.metrics.batch_yields.inc_by(u64::from(items));
+        for (backend, items) in preempted {
+            self.0.metrics.batch_preemptions.inc_by(u64::from(items));
             self.0
                 .timeline
                 .note(TimelineEvent::BatchPreempted { backend, items });
--- a/crates/foxtailhold-entry/src/actors/contracts.rs
+++ b/crates/foxtailhold-entry/src/actors/contracts.rs
@@ -61,21 +61,21 @@
         let now = self.0.clock.mono();
         let sync = &mut state.sync;
         match message {
-            ContractsMessage::Pushed(catchup, reply) => {
-                sync.on_data(&catchup, now);
+            ContractsMessage::Pushed(data, reply) => {
+                sync.on_data(&data, now);
                 if let Some(reply) = reply {
                     let _ = reply.send(());
                 }
             }
-            ContractsMessage::Advert {
-                advert,
+            ContractsMessage::PeerStatus {
+                status,
                 sent_at,
                 address,
             } => {
-                if advert.number > sync.registry().number() {
+                if status.number > sync.registry().number() {
                     state.newer_peer = Some(address);
                 }
-                sync.on_peer_status(advert, sent_at, now);
+                sync.on_peer_status(status, sent_at, now);
             }
             ContractsMessage::StepEnded(step, None) => sync.on_failed(step, rand::random(), now),
             ContractsMessage::StepEnded(_, Some(found)) => apply_result(sync, found, now),
@@ -94,10 +94,10 @@
         SyncResult::Head {
             number,
             sent_at,
-            stood_at,
-        } => sync.on_head(number, sent_at, stood_at, now),
-        SyncResult::Peer(catchup) => {
-            sync.on_peer_answer(&catchup, now);
+            local_number,
+        } => sync.on_head(number, sent_at, local_number, now),
+        SyncResult::Peer(data) => {
+            sync.on_peer_answer(&data, now);
         }
         SyncResult::Log(changes) => {
             sync.on_log(changes, now);
@@ -131,12 +131,12 @@
         sent_at: MonoMs,
     ) {
         let peer = state.newer_peer.take().or_else(|| self.any_peer());
-        let stood_at = state.sync.registry().number();
+        let local_number = state.sync.registry().number();
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
             let found = match step {
-                SyncStep::AskPeer { after } => ask_peer(&shared, peer, after).await,
-                SyncStep::ReadHead => read_head(&shared, sent_at, stood_at).await,
+                SyncStep::AskPeer { after } => read_from_peer(&shared, peer, after).await,
+                SyncStep::ReadHead => read_head(&shared, sent_at, local_number).await,
                 SyncStep::ReadLog { after } => {
                     let read = contract_store::read_after(&shared.platform, after).await;
                     read_result("log", read.map(SyncResult::Log))
@@ -161,13 +161,13 @@
 async fn read_head<P: Platform>(
     shared: &Shared<P>,
     sent_at: MonoMs,
-    stood_at: u64,
+    local_number: u64,
 ) -> Option<SyncResult> {
     let read = contract_store::read_head(&shared.platform).await;
     let found = read.map(|number| SyncResult::Head {
         number,
         sent_at,
-        stood_at,
+        local_number,
     });
     read_result("head", found)
 }
@@ -182,7 +182,7 @@
     }
 }
 
-async fn ask_peer<P: Platform>(
+async fn read_from_peer<P: Platform>(
     shared: &Shared<P>,
     peer: Option<SocketAddr>,
     number: u64,
@@ -193,8 +193,8 @@
     } else {
         PULL_TIMEOUT_MS
     };
-    match shared.peers.ask(peer?, &request, timeout_ms).await {
-        Ok(PeerAnswer::Contracts(catchup)) => Some(SyncResult::Peer(catchup)),
+    match shared.peers.call(peer?, &request, timeout_ms).await {
+        Ok(PeerAnswer::Contracts(data)) => Some(SyncResult::Peer(data)),
         Ok(_) => None,
         Err(error) => {
             log::debug!("contract changes could not be read from a peer: {error}");
--- a/crates/foxtailhold-entry/src/actors/crashes.rs
+++ b/crates/foxtailhold-entry/src/actors/crashes.rs
@@ -77,7 +77,7 @@
                 }
             }
             CrashesMessage::RequestProbe(fingerprint, backends, reply) => {
-                let answer = quarantine.ask(fingerprint, &backends, now);
+                let answer = quarantine.request_probe(fingerprint, &backends, now);
                 if let ProbeResponse::Granted { backend, .. } = &answer {
                     self.broadcast(QuarantineNotice::ProbeStarted {
                         fingerprint,
@@ -124,7 +124,7 @@
                 let request = PeerRequest::Crashes(vec![notice]);
                 for _ in 0..NOTICE_ATTEMPTS {
                     let address = member.peer_address;
-                    let delivery = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS);
+                    let delivery = shared.peers.call(address, &request, NOTICE_TIMEOUT_MS);
                     if delivery.await.is_ok() {
                         return;
                     }
@@ -162,7 +162,7 @@
         let (shared, myself, address) = (self.0.clone(), myself.clone(), peer.peer_address);
         tokio::spawn(async move {
             let request = PeerRequest::CrashTable;
-            let answer = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS);
+            let answer = shared.peers.call(address, &request, NOTICE_TIMEOUT_MS);
             if let Ok(PeerAnswer::Crashes(notices)) = answer.await {
                 log_undelivered(myself.send_message(CrashesMessage::SnapshotReceived(notices)));
             }
@@ -171,9 +171,9 @@
 
     fn publish(&self, quarantine: &Quarantine, now: MonoMs) {
         let shared = &self.0;
-        let standings = quarantine.standings(now);
-        if !(standings.is_empty() && shared.crash_statuses.load().is_empty()) {
-            shared.crash_statuses.store(standings.into());
+        let statuses = quarantine.statuses(now);
+        if !(statuses.is_empty() && shared.crash_statuses.load().is_empty()) {
+            shared.crash_statuses.store(statuses.into());
         }
         for server in &shared.backends.load().servers {
             let id = &server.backend.id;
--- a/crates/foxtailhold-entry/src/actors/fleet.rs
+++ b/crates/foxtailhold-entry/src/actors/fleet.rs
@@ -116,7 +116,7 @@
             }
         }
         for server in &backends.servers {
-            server.set_marked_leaving(leaving.is_leaving(&server.backend.id, now));
+            server.set_announced_leaving(leaving.is_leaving(&server.backend.id, now));
         }
         self.0.leaving.store(Arc::new(leaving.clone()));
         if changed {
@@ -138,7 +138,7 @@
                 let address = peer.peer_address;
                 let delivery = shared
                     .peers
-                    .ask(address, &request, ANNOUNCE_TIMEOUT_MS)
+                    .call(address, &request, ANNOUNCE_TIMEOUT_MS)
                     .await;
                 if let Err(error) = delivery {
                     log::debug!(
--- a/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
+++ b/crates/foxtailhold-entry/src/actors/idempotency_sweep.rs
@@ -18,7 +18,7 @@
 /// Rows read, and deleted at most, per sweep.
 const PAGE_ROWS: usize = 500;
 /// Rendezvous key that assigns the sweep to one instance.
-const HOME_KEY: &[u8] = b"once-sweep";
+const SWEEP_KEY: &[u8] = b"once-sweep";
 
 /// Messages to the sweep actor.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
         IdempotencySweepMessage::Sweep: Self::Msg,
         state: &mut OnceSweepState,
     ) -> std::result::Result<(), ActorProcessingErr> {
-        if !self.0.is_coordinator_for(HOME_KEY) {
+        if !self.0.is_coordinator_for(SWEEP_KEY) {
             return Ok(());
         }
         if let Err(error) = self.sweep(state).await {
--- a/crates/foxtailhold-entry/src/actors/lease.rs
+++ b/crates/foxtailhold-entry/src/actors/lease.rs
@@ -44,18 +44,18 @@
         &self,
         myself: ActorRef<Self::Msg>,
         message: Self::Msg,
-        keeper: &mut LeaseRenewer,
+        renewer: &mut LeaseRenewer,
     ) -> std::result::Result<(), ActorProcessingErr> {
         match message {
             LeaseMessage::Renew => {
-                if let Err(error) = self.renew(keeper).await {
+                if let Err(error) = self.renew(renewer).await {
                     log::warn!("lease could not be renewed, retrying at the next period: {error}");
                 }
-                self.0.lease.store(Arc::new(keeper.held().clone()));
+                self.0.lease.store(Arc::new(renewer.held().clone()));
             }
             LeaseMessage::End(reply) => {
-                let ended = keeper.end();
-                self.0.lease.store(Arc::new(keeper.held().clone()));
+                let ended = renewer.end();
+                self.0.lease.store(Arc::new(renewer.held().clone()));
                 self.end(ended).await;
                 let _ = reply.send(());
                 myself.stop(None);
@@ -66,20 +66,20 @@
 }
 
 impl<P: Platform> LeaseActor<P> {
-    async fn renew(&self, keeper: &mut LeaseRenewer) -> Result<()> {
+    async fn renew(&self, renewer: &mut LeaseRenewer) -> Result<()> {
         let key = tables::lease_key(&self.0.settings.instance);
-        let found = match keeper.needs_read() {
+        let found = match renewer.needs_read() {
             true => store::read(&self.0, tables::LEASE, key).await?,
             false => None,
         };
-        let renewal = keeper.renewal(found, self.0.clock.mono());
+        let renewal = renewer.renewal(found, self.0.clock.mono());
         let sent = self.send(key, &renewal).await;
         let outcome = match &sent {
             Ok(outcome) => outcome.clone(),
             Err(error) if error.may_have_taken_effect() => TransactionOutcome::Unknown,
             Err(_) => TransactionOutcome::Unavailable,
         };
-        keeper.handle_outcome(renewal, &outcome);
+        renewer.handle_outcome(renewal, &outcome);
         sent.map(drop)
     }
 
--- a/crates/foxtailhold-entry/src/actors/limits.rs
+++ b/crates/foxtailhold-entry/src/actors/limits.rs
@@ -39,8 +39,9 @@
             }
         }
         let listed = &self.listed;
-        let known = |id: &InstanceId| members.iter().any(|member| member.id == *id);
-        self.departed.retain(|id| listed.contains(id) || known(id));
+        let is_member = |id: &InstanceId| members.iter().any(|member| member.id == *id);
+        self.departed
+            .retain(|id| listed.contains(id) || is_member(id));
     }
 
     fn count(&self, live: &[InstanceId]) -> u32 {
@@ -92,14 +93,14 @@
         let count = instances.count(&live);
         shared.limits.set_members(live, count, now);
         shared.limits.sweep(now);
-        let asks = shared.limits.due_requests(now);
+        let requests = shared.limits.due_requests(now);
         let instances = members.len() as u32;
         shared.admission.update(&shared.backends.load(), instances);
         let waiting = shared.admission.waiting() as i64;
         shared.metrics.waiting_requests.set(waiting);
         let customers = shared.limits.customers() as i64;
         shared.metrics.limited_customers.set(customers);
-        send_requests(shared, asks);
+        send_requests(shared, requests);
     }
 }
 
@@ -120,9 +121,9 @@
 
 /// Answers share requests as the customers' coordinator, and recalls unused shares from holders
 /// where another instance needs them.
-pub fn grant_shares<P: Platform>(shared: &Shared<P>, asks: &ShareRequests) -> Vec<ShareGrant> {
+pub fn grant_shares<P: Platform>(shared: &Shared<P>, requests: &ShareRequests) -> Vec<ShareGrant> {
     let (contracts, now) = (shared.contracts.load(), shared.clock.mono());
-    let shares = shared.limits.answer(asks, &contracts, now);
+    let shares = shared.limits.grant_shares(requests, &contracts, now);
     for (instance, customers) in shares.recalled {
         let shared = shared.clone();
         tokio::spawn(async move { recall(&shared, &instance, customers).await });
@@ -140,7 +141,7 @@
     };
     let request = PeerRequest::SharesRecalled(customers);
     let peers = &shared.peers;
-    let delivery = peers.ask(holder.peer_address, &request, ANSWER_TIMEOUT_MS);
+    let delivery = peers.call(holder.peer_address, &request, ANSWER_TIMEOUT_MS);
     if let Err(error) = delivery.await {
         log::debug!(
             "recall of unused shares did not reach holder {}: {error}",
@@ -151,28 +152,28 @@
 
 /// Sends share requests, in one message to each coordinator, and applies the answers when they
 /// arrive. Requests to this instance are answered before this returns.
-fn send_requests<P: Platform>(shared: &Shared<P>, asks: Vec<ShareRequest>) {
-    for (coordinator, asks) in shared.limits.by_coordinator(asks) {
+fn send_requests<P: Platform>(shared: &Shared<P>, requests: Vec<ShareRequest>) {
+    for (coordinator, requests) in shared.limits.by_coordinator(requests) {
         if coordinator != shared.settings.instance {
             let shared = shared.clone();
-            tokio::spawn(async move { exchange_shares(&shared, &coordinator, asks).await });
+            tokio::spawn(async move { exchange_shares(&shared, &coordinator, requests).await });
             continue;
         }
-        let asks = ShareRequests {
+        let requests = ShareRequests {
             from: coordinator,
-            requests: asks,
+            requests: requests,
         };
-        let grants = grant_shares(shared, &asks);
-        apply_grants(shared, &asks.requests, &grants);
+        let grants = grant_shares(shared, &requests);
+        apply_grants(shared, &requests.requests, &grants);
     }
 }
 
 /// Applies grants. A share that shrank is confirmed at once, so that the coordinator can grant the
 /// difference to others.
-fn apply_grants<P: Platform>(shared: &Shared<P>, asks: &[ShareRequest], grants: &[ShareGrant]) {
+fn apply_grants<P: Platform>(shared: &Shared<P>, requests: &[ShareRequest], grants: &[ShareGrant]) {
     let due = shared
         .limits
-        .apply_grants(asks, grants, shared.clock.mono());
+        .apply_grants(requests, grants, shared.clock.mono());
     if !due.is_empty() {
         send_requests(shared, due);
     }
@@ -181,20 +182,20 @@
 async fn exchange_shares<P: Platform>(
     shared: &Shared<P>,
     coordinator: &InstanceId,
-    asks: Vec<ShareRequest>,
+    requests: Vec<ShareRequest>,
 ) {
     let Some(coordinator) = shared.member(coordinator) else {
         return;
     };
     let from = shared.settings.instance.clone();
-    let asks = ShareRequests {
+    let requests = ShareRequests {
         from,
-        requests: asks,
+        requests: requests,
     };
-    let request = PeerRequest::Shares(asks.clone());
+    let request = PeerRequest::Shares(requests.clone());
     let answer = shared
         .peers
-        .ask(coordinator.peer_address, &request, ANSWER_TIMEOUT_MS)
+        .call(coordinator.peer_address, &request, ANSWER_TIMEOUT_MS)
         .await;
     shared.metrics.limit_exchanges.inc();
     let grants = match answer {
@@ -209,5 +210,5 @@
             Vec::new()
         }
     };
-    apply_grants(shared, &asks.requests, &grants);
+    apply_grants(shared, &requests.requests, &grants);
 }
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -144,7 +144,7 @@
             let (shared, address) = (self.0.clone(), member.peer_address);
             let request = PeerRequest::Gossip(gossip.clone());
             announcements.spawn(async move {
-                let answer = shared.peers.ask(address, &request, PROBE_TIMEOUT_MS).await;
+                let answer = shared.peers.call(address, &request, PROBE_TIMEOUT_MS).await;
                 if let Err(error) = answer {
                     log::debug!("planned stop could not be announced to {address}: {error}");
                 }
@@ -167,7 +167,7 @@
         let (sent_at, requested_full_state) = (shared.clock.mono(), gossip.want_all);
         let request = PeerRequest::Gossip(gossip);
         tokio::spawn(async move {
-            let answer = shared.peers.ask(address, &request, PROBE_TIMEOUT_MS).await;
+            let answer = shared.peers.call(address, &request, PROBE_TIMEOUT_MS).await;
             let message = match (answer, id) {
                 (Ok(PeerAnswer::Gossip(gossip)), _) => {
                     MembershipMessage::GossipAnswer(GossipAnswer {
@@ -202,7 +202,7 @@
             probes.spawn(async move {
                 let request = PeerRequest::IndirectProbe { address };
                 let to = helper.peer_address;
-                let answer = shared.peers.ask(to, &request, INDIRECT_TIMEOUT_MS).await;
+                let answer = shared.peers.call(to, &request, INDIRECT_TIMEOUT_MS).await;
                 matches!(answer, Ok(PeerAnswer::Done))
             });
         }
@@ -242,13 +242,13 @@
 
     fn forward_contract_status(
         &self,
-        advert: ContractStatus,
+        status: ContractStatus,
         sent_at: Option<MonoMs>,
         address: SocketAddr,
     ) {
         if let Some(actors) = self.0.actors() {
-            let message = ContractsMessage::Advert {
-                advert,
+            let message = ContractsMessage::PeerStatus {
+                status,
                 sent_at,
                 address,
             };
--- a/crates/foxtailhold-entry/src/actors/orders.rs
+++ b/crates/foxtailhold-entry/src/actors/orders.rs
@@ -214,13 +214,13 @@
     }
 
     async fn read_engine(&mut self) {
-        let asked_at = self.shared.clock.mono();
+        let sent_at = self.shared.clock.mono();
         let state = match self.address() {
             Some(address) => self.client.state(address).await.ok(),
             None => None,
         };
         let now = self.shared.clock.mono();
-        self.issuer.engine_read(asked_at, now, state);
+        self.issuer.engine_read(sent_at, now, state);
     }
 
     async fn send_order(&mut self, order: &Order, desired_version: u64) {
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -12,7 +12,7 @@
 use foxtailhold::quarantine::{CrashId, Fingerprint, InFlightRequest};
 use foxtailhold::replicas::{Backend, BackendKind, FleetState, LoadReport, ReplicaLoad};
 use foxtailhold::routing::{Candidate, Candidates, affinity_seed};
-use foxtailhold::stall::{self, Pace};
+use foxtailhold::stall::{self, EngineLatency};
 use foxtailhold::time::MonoMs;
 use parking_lot::Mutex;
 use tokio::time::Instant;
@@ -57,7 +57,7 @@
     has_failures: AtomicBool,
     ejected_until: AtomicU64,
     probing: AtomicBool,
-    marked_leaving: AtomicBool,
+    announced_leaving: AtomicBool,
     refused_leaving: AtomicBool,
     gap_us: AtomicU64,
     service_ms: AtomicU64,
@@ -126,9 +126,9 @@
     }
 
     /// State from the fleet list, or `Leaving` if its own report or a marking by
-    /// [`Self::set_marked_leaving`] says so.
+    /// [`Self::set_announced_leaving`] says so.
     pub fn state(&self) -> FleetState {
-        if self.counters.marked_leaving.load(Ordering::Relaxed) || self.report_says_leaving() {
+        if self.counters.announced_leaving.load(Ordering::Relaxed) || self.report_says_leaving() {
             return FleetState::Leaving;
         }
         self.backend.state
@@ -144,13 +144,13 @@
     /// Records that it refused a request because it is leaving.
     pub fn refused_as_leaving(&self) {
         self.counters.refused_leaving.store(true, Ordering::Relaxed);
-        self.set_marked_leaving(true);
+        self.set_announced_leaving(true);
     }
 
     /// Sets whether the instances have told each other that it is leaving.
-    pub fn set_marked_leaving(&self, marked: bool) {
+    pub fn set_announced_leaving(&self, marked: bool) {
         self.counters
-            .marked_leaving
+            .announced_leaving
             .store(marked, Ordering::Relaxed);
     }
 
@@ -219,8 +219,8 @@
     }
 
     /// Moving averages of the time between two tokens and of the time of a full response.
-    pub fn latency(&self) -> Pace {
-        Pace {
+    pub fn latency(&self) -> EngineLatency {
+        EngineLatency {
             gap_us: self.counters.gap_us.load(Ordering::Relaxed),
             service_ms: self.counters.service_ms.load(Ordering::Relaxed),
         }
@@ -334,9 +334,9 @@
         }
         let mut table = BackendTable::default();
         for backend in backends {
-            let known = previous.get(&backend.id);
-            let known = known.filter(|server| server.backend.address == backend.address);
-            let counters = known.map(|server| server.counters.clone());
+            let same_id = previous.get(&backend.id);
+            let same_server = same_id.filter(|server| server.backend.address == backend.address);
+            let counters = same_server.map(|server| server.counters.clone());
             let server = BackendState::new(backend.clone(), counters.unwrap_or_default());
             table.add(Arc::new(server));
         }
--- a/crates/foxtailhold-entry/src/batch_controllers.rs
+++ b/crates/foxtailhold-entry/src/batch_controllers.rs
@@ -44,7 +44,7 @@
     /// Peer address of that instance.
     pub address: SocketAddr,
     /// Online work that it was last notified of.
-    pub gauge: Arc<OnlineNotification>,
+    pub notification: Arc<OnlineNotification>,
 }
 
 /// Batch controllers of all engines, by engine.
@@ -55,8 +55,8 @@
     /// Counts a batch item that is about to be sent to an engine. `None` if the engine has no batch
     /// controller.
     pub fn start_batch_item(&self, backend: &BackendId) -> Option<BatchItemInFlight> {
-        let gauge = self.0.get(backend)?.gauge.clone();
-        gauge.batch_in_flight.fetch_add(1, Ordering::Relaxed);
-        Some(BatchItemInFlight(gauge))
+        let notification = self.0.get(backend)?.notification.clone();
+        notification.batch_in_flight.fetch_add(1, Ordering::Relaxed);
+        Some(BatchItemInFlight(notification))
     }
 }
--- a/crates/foxtailhold-entry/src/contract_store.rs
+++ b/crates/foxtailhold-entry/src/contract_store.rs
@@ -43,7 +43,7 @@
 }
 
 /// Reads all contract rows and the end of the log. A scan may return rows that are older than the
-/// head; replaying the last [`LOG_REPLAY`] changes brings them up to date.
+/// head; replaying the last [`SNAPSHOT_REPLAY_CHANGES`] changes brings them up to date.
 pub async fn read_snapshot<T: TableService>(table: &T) -> Result<ContractStoreSnapshot> {
     let head = read_head(table).await?;
     let replay_after = head.saturating_sub(SNAPSHOT_REPLAY_CHANGES);
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -34,9 +34,9 @@
 impl<P: Platform> Shared<P> {
     /// Whether the request is clear, suspected of crashing backend servers, or convicted.
     pub fn crash_status(&self, fingerprint: Fingerprint) -> QuarantineStatus {
-        let standings = self.crash_statuses.load();
-        let standing = standings.get(&fingerprint);
-        standing.copied().unwrap_or(QuarantineStatus::Clear)
+        let statuses = self.crash_statuses.load();
+        let status = statuses.get(&fingerprint);
+        status.copied().unwrap_or(QuarantineStatus::Clear)
     }
 }
 
@@ -143,14 +143,17 @@
             fingerprint,
             backends,
         };
-        let answer = shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS).await;
+        let answer = shared
+            .peers
+            .call(address, &request, NOTICE_TIMEOUT_MS)
+            .await;
         return match answer {
             Ok(PeerAnswer::Probe(answer)) => Some(answer),
             _ => None,
         };
     }
-    let ask = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
-    match shared.actors()?.crashes.call(ask, None).await {
+    let message = |reply| CrashesMessage::RequestProbe(fingerprint, backends, reply);
+    match shared.actors()?.crashes.call(message, None).await {
         Ok(CallResult::Success(answer)) => Some(answer),
         _ => None,
     }
@@ -213,7 +216,7 @@
                 end,
             };
             for _ in 0..3 {
-                let sent = peers.ask(address, &request, NOTICE_TIMEOUT_MS).await;
+                let sent = peers.call(address, &request, NOTICE_TIMEOUT_MS).await;
                 if sent.is_ok() {
                     return;
                 }
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -53,7 +53,7 @@
     request: &BatchRequest,
     file: &FileRow,
 ) -> Result<u64> {
-    let mut seen = HashSet::new();
+    let mut custom_ids = HashSet::new();
     let mut line_number = 0;
     for part in 0..file.part_lines.len() {
         let name = tables::part_object(&request.input_file, part as u32);
@@ -69,7 +69,7 @@
             }
             let item = BatchItem::from_line(line, line_number, &request.endpoint)
                 .map_err(|error| invalid(&error))?;
-            if !seen.insert(xxh3_64(item.custom_id.as_bytes())) {
+            if !custom_ids.insert(xxh3_64(item.custom_id.as_bytes())) {
                 return Err(invalid(&BatchError::DuplicateId {
                     line: line_number,
                     custom_id: item.custom_id,
@@ -77,7 +77,7 @@
             }
         }
     }
-    match seen.len() as u64 {
+    match custom_ids.len() as u64 {
         0 => Err(invalid(&BatchError::Empty)),
         items if items > MAX_JOB_ITEMS => Err(invalid(&BatchError::TooManyItems)),
         items => Ok(items),
@@ -195,7 +195,7 @@
     let (customer, job) = (customer.clone(), job.clone());
     tokio::spawn(async move {
         let request = PeerRequest::JobOffered { customer, job };
-        if let Err(error) = shared.peers.ask(address, &request, OFFER_TIMEOUT_MS).await {
+        if let Err(error) = shared.peers.call(address, &request, OFFER_TIMEOUT_MS).await {
             log::debug!(
                 "job not offered to its preferred owner, the periodic scan will find it: {error}"
             );
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -209,11 +209,11 @@
 
 /// Time limit for the full response of a backend server, or for the first event of a stream.
 pub fn answer_timeout_ms(server: &BackendState, outgoing: &OutgoingRequest) -> u64 {
-    let (load, pace) = (server.load(), server.latency());
+    let (load, latency) = (server.load(), server.latency());
     let bytes = outgoing.body.len() as u64;
     match outgoing.streamed {
-        true => stall::first_event_bound_ms(&load, pace, bytes),
-        false => stall::full_response_bound_ms(&load, pace, bytes, outgoing.max_tokens),
+        true => stall::first_event_bound_ms(&load, latency, bytes),
+        false => stall::full_response_bound_ms(&load, latency, bytes, outgoing.max_tokens),
     }
 }
 
@@ -293,7 +293,7 @@
             pause(COORDINATOR_RETRY_MS).await;
             continue;
         };
-        match negotiation.answered(answer, shared.clock.mono()) {
+        match negotiation.handle_response(answer, shared.clock.mono()) {
             SuspectAction::Probe {
                 backend,
                 strict,
--- a/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
@@ -181,7 +181,7 @@
 pub async fn store<P: Platform>(shared: &Shared<P>, key: String, held: HeldClaim, answer: &Whole) {
     let stored_answer = stored_answer(answer);
     let large_body = (stored_answer.body == StoredBody::Object).then(|| answer.body.clone());
-    let (row, expected) = held.answered(stored_answer, shared.clock.wall());
+    let (row, expected) = held.into_answered_row(stored_answer, shared.clock.wall());
     let mut answer_write = AnswerWrite {
         key,
         row,
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -241,7 +241,7 @@
         batches::cancel(&self.0, contract, job).await
     }
 
-    fn answered(&self, kind: RequestKind, refusal: Option<&Refusal>, wait: Duration) {
+    fn record_answer(&self, kind: RequestKind, refusal: Option<&Refusal>, wait: Duration) {
         let metrics = &self.0.metrics;
         let kind = kind.as_str();
         let outcome = refusal.map_or("ok", error_body::code);
--- a/crates/foxtailhold-entry/src/gateway/operator.rs
+++ b/crates/foxtailhold-entry/src/gateway/operator.rs
@@ -60,7 +60,7 @@
         let confirmations = confirmations.clone();
         tokio::spawn(async move {
             let address = member.peer_address;
-            match shared.peers.ask(address, &request, PUSH_TIMEOUT_MS).await {
+            match shared.peers.call(address, &request, PUSH_TIMEOUT_MS).await {
                 Ok(PeerAnswer::Done) => {
                     let _ = confirmations.send(());
                 }
@@ -108,9 +108,9 @@
 
 impl<P: Platform> OperatorGateway for EntryGateway<P> {
     fn contracts(&self) -> Vec<ContractView> {
-        let book = self.0.contracts.load();
+        let registry = self.0.contracts.load();
         let mut views = Vec::new();
-        for (customer, entry) in book.entries() {
+        for (customer, entry) in registry.entries() {
             views.extend(view(customer, entry));
         }
         views
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -55,11 +55,11 @@
 
     /// Time limit for the next event.
     fn event_timeout_ms(&self, prompt_bytes: u64) -> u64 {
-        let (load, pace) = (self.server.load(), self.server.latency());
-        let first_ms = stall::first_event_bound_ms(&load, pace, prompt_bytes);
+        let (load, latency) = (self.server.load(), self.server.latency());
+        let first_ms = stall::first_event_bound_ms(&load, latency, prompt_bytes);
         match self.last_event {
             None => first_ms,
-            Some(_) => stall::next_event_bound_ms(pace),
+            Some(_) => stall::next_event_bound_ms(latency),
         }
     }
 
--- a/crates/foxtailhold-entry/src/jobs/deadline_check.rs
+++ b/crates/foxtailhold-entry/src/jobs/deadline_check.rs
@@ -63,10 +63,10 @@
     let address = member.peer_address;
     match shared
         .peers
-        .ask(address, &request, ESTIMATE_TIMEOUT_MS)
+        .call(address, &request, ESTIMATE_TIMEOUT_MS)
         .await
     {
-        Ok(PeerAnswer::JobDeadline(verdict)) => verdict,
+        Ok(PeerAnswer::JobDeadline(check)) => check,
         _ => DeadlineCheck::Feasible,
     }
 }
--- a/crates/foxtailhold-entry/src/jobs/item.rs
+++ b/crates/foxtailhold-entry/src/jobs/item.rs
@@ -103,7 +103,7 @@
     }
 
     /// The result of an item with this answer; `None` if the answer's body is not JSON.
-    pub fn answered(&self, id: &RequestId, answer: &WholeAnswer) -> Option<FinishedItem> {
+    pub fn handle_answer(&self, id: &RequestId, answer: &WholeAnswer) -> Option<FinishedItem> {
         let response = ItemResponse {
             status_code: answer.status.as_u16(),
             request_id: id.to_string(),
--- a/crates/foxtailhold-entry/src/jobs/ordinary.rs
+++ b/crates/foxtailhold-entry/src/jobs/ordinary.rs
@@ -44,7 +44,7 @@
             match dispatch::open(shared, &outgoing, None, &mut attempts).await {
                 Ok(opened) => {
                     if let EngineAnswer::Whole(answer) = opened.answer
-                        && let Some(ended) = task.answered(&id, &answer)
+                        && let Some(ended) = task.handle_answer(&id, &answer)
                     {
                         return ended;
                     }
--- a/crates/foxtailhold-entry/src/jobs/owner.rs
+++ b/crates/foxtailhold-entry/src/jobs/owner.rs
@@ -79,9 +79,9 @@
     };
     let me = &shared.settings.instance;
     if let Some(holder) = claim::other_owner(me, view.owner.as_ref()).cloned() {
-        view.asked_at = shared.clock.mono();
+        view.sent_at = shared.clock.mono();
         view.owner_lease = store::read(shared, tables::LEASE, tables::lease_key(&holder)).await?;
-        view.answered_at = shared.clock.mono();
+        view.received_at = shared.clock.mono();
     }
     Ok(view)
 }
@@ -207,7 +207,7 @@
     };
     let request = PeerRequest::JobCancelled { job: job.clone() };
     let address = member.peer_address;
-    let answer = shared.peers.ask(address, &request, STOP_TIMEOUT_MS).await;
+    let answer = shared.peers.call(address, &request, STOP_TIMEOUT_MS).await;
     matches!(answer, Ok(PeerAnswer::Done))
 }
 
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -140,7 +140,7 @@
         loop {
             let lease_state = self.lease_state();
             let now = self.shared.clock.wall();
-            let slot = self.take_slot(lease_state);
+            let slot = self.acquire_slot(lease_state);
             match self.run.step(now, lease_state, slot.is_some()) {
                 ExecutionStep::StartChunk(index) => self.start(index, slot?),
                 ExecutionStep::StopChunks(indices) => self.stop_items(&indices).await,
@@ -151,7 +151,7 @@
         }
     }
 
-    fn take_slot(&self, lease_state: LeaseState) -> Option<ChunkSlotGuard> {
+    fn acquire_slot(&self, lease_state: LeaseState) -> Option<ChunkSlotGuard> {
         let now = self.shared.clock.wall();
         let row = &self.run.owned().row;
         let backlog = self.run.backlog(lease_state);
@@ -165,9 +165,9 @@
         }
         let chunks_left = self.run.chunks_left();
         let slack_ms = slots.slack_ms(row.deadline_wall_ms, chunks_left, now);
-        let taken = slots.try_acquire(&row.job, slack_ms);
+        let acquired = slots.try_acquire(&row.job, slack_ms);
         drop(slots);
-        taken.then(|| shared_slots.guard())
+        acquired.then(|| shared_slots.guard())
     }
 
     fn start(&mut self, index: u32, slot: ChunkSlotGuard) {
--- a/crates/foxtailhold-entry/src/jobs/streamed_item.rs
+++ b/crates/foxtailhold-entry/src/jobs/streamed_item.rs
@@ -153,7 +153,7 @@
         tokens_before: u64,
     ) -> Option<FinishedItem> {
         let ended = match end {
-            AttemptEnd::Whole(answer) => self.answered(&answer),
+            AttemptEnd::Whole(answer) => self.handle_answer(&answer),
             AttemptEnd::Finished => self.finished(),
             AttemptEnd::Failed(_) if self.received.finished => self.finished(),
             AttemptEnd::Failed(error) => self.failed(backend, &error, tokens_before),
@@ -171,7 +171,7 @@
         }
         let whole = self.received.whole_answer(&self.outgoing);
         match whole {
-            Ok(answer) => self.answered(&answer),
+            Ok(answer) => self.handle_answer(&answer),
             Err(error) => {
                 self.received = ReceivedOutput::default();
                 self.count_failure(&error.to_string())
@@ -181,12 +181,12 @@
 
     /// Ends the item with this answer. If the engine refused to continue output of another engine,
     /// the item starts from the beginning instead.
-    fn answered(&mut self, answer: &WholeAnswer) -> Option<FinishedItem> {
+    fn handle_answer(&mut self, answer: &WholeAnswer) -> Option<FinishedItem> {
         if answer.status.is_client_error() && self.received.tokens > 0 {
             self.received = ReceivedOutput::default();
             return self.count_failure(&format!("a continuation got status {}", answer.status));
         }
-        let ended = self.task.answered(&self.outgoing.id, answer);
+        let ended = self.task.handle_answer(&self.outgoing.id, answer);
         if ended.is_some() {
             self.shared.timeline.note(TimelineEvent::Answered {
                 request: self.outgoing.id.clone(),
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -36,7 +36,7 @@
 /// Limits and usage of one customer with requests here.
 #[derive(Debug)]
 struct CustomerUsage {
-    terms: CustomerLimits,
+    limits: CustomerLimits,
     holder: ShareHolder,
     /// Waiting requests subscribe to it. Dropped when the coordinator has answered or the
     /// fallback share is used, which wakes them.
@@ -140,28 +140,28 @@
     ) -> Decision {
         let customer = &contract.customer;
         let listed = self.0.views.load().listed();
-        let terms = CustomerLimits::from(contract);
-        let charged_tokens = tokens.min(terms.burst_tokens);
+        let limits = CustomerLimits::from(contract);
+        let charged_tokens = tokens.min(limits.burst_tokens);
         let mut shard = self.shard(customer);
         let usage = match shard.get_mut(customer) {
             Some(usage) => usage,
             None => shard
                 .entry(customer.clone())
                 .or_insert_with(|| CustomerUsage {
-                    terms,
+                    limits,
                     holder: ShareHolder::new(now),
                     answered: None,
                 }),
         };
-        usage.terms = terms;
+        usage.limits = limits;
         let holder = &mut usage.holder;
-        let verdict = match check {
-            LimitCheck::First => holder.admit(&terms, listed, charged_tokens, now),
+        let decision = match check {
+            LimitCheck::First => holder.admit(&limits, listed, charged_tokens, now),
             LimitCheck::Again | LimitCheck::Paused => {
-                holder.admit_again(&terms, listed, charged_tokens, now)
+                holder.admit_again(&limits, listed, charged_tokens, now)
             }
         };
-        match verdict {
+        match decision {
             LimitDecision::Admitted => Decision::Admitted(AdmittedRequest {
                 limits: self.clone(),
                 customer: customer.clone(),
@@ -192,7 +192,7 @@
     pub fn use_fallback_share(&self, customer: &CustomerId, now: MonoMs) {
         let listed = self.0.views.load().listed();
         if let Some(usage) = self.shard(customer).get_mut(customer) {
-            usage.holder.fall_back(&usage.terms, listed, now);
+            usage.holder.fall_back(&usage.limits, listed, now);
             usage.notify_if_settled();
         }
     }
@@ -203,7 +203,7 @@
         let usage = shard.get_mut(customer)?;
         usage
             .holder
-            .ask(customer, &usage.terms, self.next_number(), now)
+            .due_request(customer, &usage.limits, self.next_number(), now)
     }
 
     /// All share requests that are due. Removes customers without recent requests.
@@ -212,7 +212,11 @@
         for shard in &self.0.shards {
             shard.lock().retain(|customer, usage| {
                 let number = self.next_number();
-                requests.extend(usage.holder.ask(customer, &usage.terms, number, now));
+                requests.extend(
+                    usage
+                        .holder
+                        .due_request(customer, &usage.limits, number, now),
+                );
                 !usage.holder.is_forgettable(now)
             });
         }
@@ -240,7 +244,7 @@
 
     /// Grants shares to an instance as the coordinator of its customers. Skips customers that this
     /// instance does not coordinate or has no contract of.
-    pub fn answer(
+    pub fn grant_shares(
         &self,
         requests: &ShareRequests,
         contracts: &ContractRegistry,
@@ -254,8 +258,8 @@
             let Some(contract) = entry.and_then(|entry| entry.contract.as_ref()) else {
                 continue;
             };
-            let terms = CustomerLimits::from(contract.as_ref());
-            let grant = coordinator.ask(&requests.from, request, &terms, &views, now);
+            let limits = CustomerLimits::from(contract.as_ref());
+            let grant = coordinator.handle_request(&requests.from, request, &limits, &views, now);
             shares.grants.extend(grant);
             for instance in coordinator.recall(&request.customer, now) {
                 let recalled = shares.recalled.entry(instance).or_default();
@@ -275,7 +279,7 @@
     ) -> Vec<ShareRequest> {
         for grant in grants {
             if let Some(usage) = self.shard(&grant.customer).get_mut(&grant.customer) {
-                usage.holder.granted(&usage.terms, grant, now);
+                usage.holder.granted(&usage.limits, grant, now);
                 usage.notify_if_settled();
             }
         }
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -24,9 +24,9 @@
     /// once they are applied.
     Pushed(ContractSyncData, Option<RpcReplyPort<()>>),
     /// A peer sent the status of its contracts.
-    Advert {
+    PeerStatus {
         /// Status of the peer's contracts.
-        advert: ContractStatus,
+        status: ContractStatus,
         /// When the message that it answers was sent; `None` if the peer sent it unasked.
         sent_at: Option<MonoMs>,
         /// Peer address of the sender.
@@ -48,7 +48,7 @@
         /// When the read was sent.
         sent_at: MonoMs,
         /// Number of the last change in force here when the read was sent.
-        stood_at: u64,
+        local_number: u64,
     },
     /// Changes or snapshot from a peer.
     Peer(ContractSyncData),
@@ -61,7 +61,7 @@
 /// Messages to the actor that tracks requests that crash backend servers.
 #[derive(Debug)]
 pub enum CrashesMessage {
-    /// Periodic: updates the verdicts and publishes them.
+    /// Periodic: updates and publishes the quarantine status of each request.
     Tick,
     /// A crash or probe observed on this instance, to be sent to all others. Answered once the
     /// local table holds it.
--- a/crates/foxtailhold-entry/src/metrics.rs
+++ b/crates/foxtailhold-entry/src/metrics.rs
@@ -133,7 +133,7 @@
     /// Batch items finished.
     pub batch_items: Counter,
     /// Streams of batch items cancelled by preemption.
-    pub batch_yields: Counter,
+    pub batch_preemptions: Counter,
     /// Batch items in flight from this instance.
     pub batch_in_flight: Gauge,
     /// Batch chunks committed.
@@ -172,7 +172,7 @@
             in_flight: Gauge::default(),
             head_wait_seconds: Histogram::new(exponential_buckets(0.001, 2.0, 16)),
             batch_items: Counter::default(),
-            batch_yields: Counter::default(),
+            batch_preemptions: Counter::default(),
             batch_in_flight: Gauge::default(),
             batch_chunks: Counter::default(),
             contracts_number: Gauge::default(),
@@ -257,7 +257,7 @@
     fn register_batch(&self, registrar: &mut Registrar<'_>) {
         registrar.register("batch_items", "Batch items finished", &self.batch_items);
         let help = "Streams of batch items cancelled to make room";
-        registrar.register("batch_yields", help, &self.batch_yields);
+        registrar.register("batch_yields", help, &self.batch_preemptions);
         registrar.register(
             "batch_in_flight",
             "Batch items in flight",
--- a/crates/foxtailhold-entry/src/online_load.rs
+++ b/crates/foxtailhold-entry/src/online_load.rs
@@ -55,20 +55,20 @@
         let Some(entry) = controllers.0.get(&server.backend.id) else {
             continue;
         };
-        let gauge = &entry.gauge;
+        let notification = &entry.notification;
         let (online, notified_in_flight) = (
-            in_flight(server, gauge),
-            gauge.notified_in_flight.load(Ordering::Relaxed),
+            in_flight(server, notification),
+            notification.notified_in_flight.load(Ordering::Relaxed),
         );
-        let since_ms = now_ms.saturating_sub(gauge.notified_ms.load(Ordering::Relaxed));
+        let since_ms = now_ms.saturating_sub(notification.notified_ms.load(Ordering::Relaxed));
         if online != notified_in_flight || (online > 0 && since_ms >= NOTICE_PERIOD_MS) {
             schedule_notice(shared, server, false);
         }
     }
 }
 
-fn in_flight(server: &BackendState, gauge: &OnlineNotification) -> u32 {
-    let batch_in_flight = gauge.batch_in_flight.load(Ordering::Relaxed);
+fn in_flight(server: &BackendState, notification: &OnlineNotification) -> u32 {
+    let batch_in_flight = notification.batch_in_flight.load(Ordering::Relaxed);
     server.load().in_flight.saturating_sub(batch_in_flight)
 }
 
@@ -77,12 +77,12 @@
     let Some(entry) = controllers.0.get(&server.backend.id) else {
         return;
     };
-    let gauge = &entry.gauge;
-    if gauge.paused_until_ms.load(Ordering::Relaxed) > shared.clock.mono().0 {
+    let notification = &entry.notification;
+    if notification.paused_until_ms.load(Ordering::Relaxed) > shared.clock.mono().0 {
         return;
     }
-    gauge.pressed.fetch_or(pressed, Ordering::Relaxed);
-    if gauge.sending.swap(true, Ordering::AcqRel) {
+    notification.pressed.fetch_or(pressed, Ordering::Relaxed);
+    if notification.sending.swap(true, Ordering::AcqRel) {
         return;
     }
     let (shared, server, entry) = (shared.clone(), server.clone(), entry.clone());
@@ -94,28 +94,32 @@
     server: &BackendState,
     entry: &BatchControllerEntry,
 ) {
-    let gauge = &entry.gauge;
-    let notified_ms = gauge.notified_ms.load(Ordering::Relaxed);
+    let notification = &entry.notification;
+    let notified_ms = notification.notified_ms.load(Ordering::Relaxed);
     let since_ms = shared.clock.mono().0.saturating_sub(notified_ms);
     if since_ms < NOTICE_GAP_MS {
         tokio::time::sleep(Duration::from_millis(NOTICE_GAP_MS - since_ms)).await;
     }
-    gauge
+    notification
         .notified_ms
         .store(shared.clock.mono().0, Ordering::Relaxed);
-    gauge.sending.store(false, Ordering::Release);
-    let online = in_flight(server, gauge);
-    gauge.notified_in_flight.store(online, Ordering::Relaxed);
+    notification.sending.store(false, Ordering::Release);
+    let online = in_flight(server, notification);
+    notification
+        .notified_in_flight
+        .store(online, Ordering::Relaxed);
     let notice = OnlineLoadNotice {
         from: shared.settings.instance.clone(),
         backend: server.backend.id.clone(),
-        number: gauge.last_number.fetch_add(1, Ordering::Relaxed) + 1,
+        number: notification.last_number.fetch_add(1, Ordering::Relaxed) + 1,
         in_flight: online,
-        pressed: gauge.pressed.swap(false, Ordering::Relaxed),
+        pressed: notification.pressed.swap(false, Ordering::Relaxed),
     };
     if !deliver(shared, entry, notice).await {
         let until_ms = shared.clock.mono().0 + NO_BATCH_PAUSE_MS;
-        gauge.paused_until_ms.store(until_ms, Ordering::Relaxed);
+        notification
+            .paused_until_ms
+            .store(until_ms, Ordering::Relaxed);
     }
 }
 
@@ -131,7 +135,11 @@
     }
     let request = PeerRequest::OnlineLoad(notice);
     let address = entry.address;
-    match shared.peers.ask(address, &request, NOTICE_TIMEOUT_MS).await {
+    match shared
+        .peers
+        .call(address, &request, NOTICE_TIMEOUT_MS)
+        .await
+    {
         Ok(answer) => answer == PeerAnswer::Done,
         Err(error) => {
             log::debug!(
--- a/crates/foxtailhold-entry/src/peer.rs
+++ b/crates/foxtailhold-entry/src/peer.rs
@@ -53,7 +53,9 @@
                 PeerAnswer::Done
             }
             PeerRequest::IndirectProbe { address } => self.probe(actors, address).await,
-            PeerRequest::Shares(asks) => PeerAnswer::Shares(limits::grant_shares(&self.0, &asks)),
+            PeerRequest::Shares(requests) => {
+                PeerAnswer::Shares(limits::grant_shares(&self.0, &requests))
+            }
             PeerRequest::SharesRecalled(customers) => {
                 limits::release_unused_shares(&self.0, &customers);
                 PeerAnswer::Done
@@ -135,10 +137,10 @@
             members: 0,
         };
         let (sent_at, request) = (self.0.clock.mono(), PeerRequest::Gossip(gossip));
-        match self.0.peers.ask(address, &request, PROBE_TIMEOUT_MS).await {
+        match self.0.peers.call(address, &request, PROBE_TIMEOUT_MS).await {
             Ok(PeerAnswer::Gossip(gossip)) => {
-                let message = ContractsMessage::Advert {
-                    advert: gossip.contracts,
+                let message = ContractsMessage::PeerStatus {
+                    status: gossip.contracts,
                     sent_at: Some(sent_at),
                     address,
                 };
--- a/crates/foxtailhold-entry/tests/limits.rs
+++ b/crates/foxtailhold-entry/tests/limits.rs
@@ -22,11 +22,11 @@
     limits.set_members(vec![me], 2, NOW);
     let first = limits.decide(contract, 1.0, LimitCheck::First, NOW);
     assert!(matches!(first, Decision::Wait(_)), "{first:?}");
-    let ask = limits.due_request(&contract.customer, NOW).unwrap();
+    let request = limits.due_request(&contract.customer, NOW).unwrap();
     let tenth = FULL_SHARE_PPM / 10;
     let grant = ShareGrant {
         customer: contract.customer.clone(),
-        number: ask.number,
+        number: request.number,
         share: Share {
             requests_ppm: tenth,
             tokens_ppm: tenth,
@@ -39,7 +39,7 @@
         renew_soon: false,
         rising: false,
     };
-    limits.apply_grants(&[ask], &[grant], NOW);
+    limits.apply_grants(&[request], &[grant], NOW);
     limits
 }
 
--- a/crates/foxtailhold-experiment/src/placement/allocator.rs
+++ b/crates/foxtailhold-experiment/src/placement/allocator.rs
@@ -154,7 +154,7 @@
         let id = ask.id.clone();
         let verdict = self
             .allocator
-            .ask(MonoMs(now_us / 1_000), ask, &mut decisions);
+            .request_slot(MonoMs(now_us / 1_000), ask, &mut decisions);
         let own = SlotNotice {
             request: id,
             decision: Some(verdict),
--- a/crates/foxtailhold-peer/src/client.rs
+++ b/crates/foxtailhold-peer/src/client.rs
@@ -51,7 +51,7 @@
 
     /// Sends a message and waits for the answer, for at most `timeout_ms` including the connection.
     /// After an error the connection is dropped, so that the next message opens a new one.
-    pub async fn ask(
+    pub async fn call(
         &self,
         address: SocketAddr,
         request: &PeerRequest,
--- a/crates/foxtailhold-relay/src/events.rs
+++ b/crates/foxtailhold-relay/src/events.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxtailhold_engine::sse::{EventCutter, RawEvent};
+use foxtailhold_engine::sse::{EventSplitter, RawEvent};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tokio::time::Instant;
@@ -29,7 +29,7 @@
 pub struct EventReader {
     body: Incoming,
     connection: BusyConnection,
-    splitter: EventCutter,
+    splitter: EventSplitter,
     last_id: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
         EventReader {
             body,
             connection,
-            splitter: EventCutter::default(),
+            splitter: EventSplitter::default(),
             last_id: after,
         }
     }
--- a/crates/foxtailhold-relay/src/jobs/store.rs
+++ b/crates/foxtailhold-relay/src/jobs/store.rs
@@ -316,11 +316,11 @@
     let mut remaining = result.text.as_str();
     let mut parts = Vec::new();
     loop {
-        let mut cut = remaining.len().min(MAX_TEXT_PART_BYTES);
-        while !remaining.is_char_boundary(cut) {
-            cut -= 1;
+        let mut split_at = remaining.len().min(MAX_TEXT_PART_BYTES);
+        while !remaining.is_char_boundary(split_at) {
+            split_at -= 1;
         }
-        let (text, next) = remaining.split_at(cut);
+        let (text, next) = remaining.split_at(split_at);
         remaining = next;
         parts.push(ResultPart {
             item: result.item.clone(),
--- a/crates/foxtailhold-relay/src/peers/mod.rs
+++ b/crates/foxtailhold-relay/src/peers/mod.rs
@@ -340,13 +340,13 @@
     }
 
     fn decide(&self, now: MonoMs, request: SlotRequest) -> SlotDecision {
-        let mut decisions = Vec::new();
+        let mut notices = Vec::new();
         let decision = self
             .inner
             .allocator
             .lock()
-            .ask(now, request, &mut decisions);
-        self.send_decisions(decisions);
+            .request_slot(now, request, &mut notices);
+        self.send_slot_notices(notices);
         decision
     }
 
@@ -357,52 +357,45 @@
         request: &SlotRequestId,
         outcome: SlotOutcome,
     ) {
-        let mut decisions = Vec::new();
+        let mut notices = Vec::new();
         self.inner
             .allocator
             .lock()
-            .release(now, pool, request, outcome, &mut decisions);
-        self.send_decisions(decisions);
+            .release(now, pool, request, outcome, &mut notices);
+        self.send_slot_notices(notices);
     }
 
     /// Frees the slots of instances that are no longer heard from, so that a killed instance does
     /// not hold them until it is replaced.
     fn free_slots_of_lost_instances(&self, now: MonoMs) {
         let live = self.members().live_hashes(now);
-        let mut decisions = Vec::new();
+        let mut notices = Vec::new();
         let is_live = |instance: &InstanceId| {
             *instance == self.inner.me || live.contains(&InstanceHash::from(instance))
         };
         self.inner
             .allocator
             .lock()
-            .keep_only(now, is_live, &mut decisions);
-        self.send_decisions(decisions);
+            .keep_only(now, is_live, &mut notices);
+        self.send_slot_notices(notices);
     }
 
-    /// Delivers decisions to the instances that requested the slots.
-    fn send_decisions(&self, decisions: Vec<SlotNotice>) {
-        for SlotNotice {
-            request: ask,
-            decision: verdict,
-        } in decisions
-        {
-            if ask.instance == self.inner.me {
-                match verdict {
-                    Some(verdict) => self.deliver(&ask, verdict),
-                    None => self.preempt_slot(&ask),
+    /// Delivers slot notices to the instances that requested the slots.
+    fn send_slot_notices(&self, notices: Vec<SlotNotice>) {
+        for SlotNotice { request, decision } in notices {
+            if request.instance == self.inner.me {
+                match decision {
+                    Some(decision) => self.deliver(&request, decision),
+                    None => self.preempt_slot(&request),
                 }
                 continue;
             }
-            let Some(address) = self.members().address(&ask.instance) else {
+            let Some(address) = self.members().address(&request.instance) else {
                 continue;
             };
-            let message = match verdict {
-                Some(decision) => PeerMessage::SlotDecision {
-                    request: ask,
-                    decision,
-                },
-                None => PeerMessage::Preempt { request: ask },
+            let message = match decision {
+                Some(decision) => PeerMessage::SlotDecision { request, decision },
+                None => PeerMessage::Preempt { request },
             };
             self.send(address, &message);
         }
--- a/crates/foxtailhold-relay/src/relay.rs
+++ b/crates/foxtailhold-relay/src/relay.rs
@@ -179,9 +179,9 @@
         }
         let fingerprint = request.fingerprint();
         match crashes.status(fingerprint, self.clock.wall()) {
-            CrashStatus::Free => None,
+            CrashStatus::Allowed => None,
             CrashStatus::Refused { left_ms } => Some(left_ms),
-            CrashStatus::OnProbation => {
+            CrashStatus::ProbeAllowed => {
                 let may_run = self.peers.is_assigned(&fingerprint.0.to_be_bytes())
                     && crashes.admit_on_probation(fingerprint, self.clock.mono());
                 (!may_run).then_some(PROBATION_RETRY_AFTER_MS)
--- a/crates/foxtailhold-standin/tests/contract_peer.rs
+++ b/crates/foxtailhold-standin/tests/contract_peer.rs
@@ -117,12 +117,12 @@
     let peer = Peer::start(fault).await;
     let client: PeerClient = PeerClient::default();
     let start = Instant::now();
-    let error = client.ask(peer.address, &MESSAGE, TIMEOUT_MS).await;
+    let error = client.call(peer.address, &MESSAGE, TIMEOUT_MS).await;
     let error = error.unwrap_err();
     assert!(expected(&error), "{error:?}");
     assert!(start.elapsed() < Duration::from_secs(20));
     *peer.fault.lock().unwrap() = Fault::None;
-    let answer = client.ask(peer.address, &MESSAGE, TIMEOUT_MS).await;
+    let answer = client.call(peer.address, &MESSAGE, TIMEOUT_MS).await;
     assert!(matches!(answer, Ok(PeerAnswer::Done)), "{answer:?}");
 }
 
@@ -132,7 +132,10 @@
     let address = listener.local_addr().unwrap();
     drop(listener);
     let client: PeerClient = PeerClient::default();
-    let error = client.ask(address, &MESSAGE, TIMEOUT_MS).await.unwrap_err();
+    let error = client
+        .call(address, &MESSAGE, TIMEOUT_MS)
+        .await
+        .unwrap_err();
     assert!(matches!(error, PeerError::Connect { .. }), "{error:?}");
 }
 
@@ -193,7 +196,7 @@
     let last = *handler.received.lock().unwrap().last().unwrap();
     assert_eq!(last.to_string(), "7.2");
     let client: PeerClient = PeerClient::default();
-    let answer = client.ask(address, &MESSAGE, TIMEOUT_MS).await;
+    let answer = client.call(address, &MESSAGE, TIMEOUT_MS).await;
     assert!(matches!(answer, Ok(PeerAnswer::Contracts(_))), "{answer:?}");
     server.close().await;
 }
--- a/crates/foxtailhold-standin/tests/leaving_backends.rs
+++ b/crates/foxtailhold-standin/tests/leaving_backends.rs
@@ -114,7 +114,7 @@
     };
     let told = PeerRequest::BackendsLeaving(vec![mark]);
     let address = deployment.entries[0].address("peer_address");
-    let answer = peers.ask(address, &told, 2_000).await;
+    let answer = peers.call(address, &told, 2_000).await;
     assert_eq!(answer.unwrap(), PeerAnswer::Done);
     tokio::time::sleep(FEW_SECONDS).await;
     gets_nothing(&deployment, 1, 20).await;
--- a/crates/foxtailhold/src/admission/queue.rs
+++ b/crates/foxtailhold/src/admission/queue.rs
@@ -250,14 +250,14 @@
 
     /// Makes room by removing the newest request of the customer with the longest queue for its
     /// weight, unless the arriving customer has as many.
-    fn evict(&mut self, asker: &CustomerId, queued: usize) -> Option<WaiterId> {
+    fn evict(&mut self, is_requester: &CustomerId, queued: usize) -> Option<WaiterId> {
         let load = |queue: &CustomerQueue| queue.waiters.len() as u64 * 16 / queue.weight;
         let longest_queue = self
             .customers
             .iter()
             .max_by_key(|(customer, queue)| (load(queue), *customer));
         let (customer, queue) = longest_queue?;
-        if customer == asker || queue.waiters.len() <= queued + 1 {
+        if customer == is_requester || queue.waiters.len() <= queued + 1 {
             return None;
         }
         let id = queue.waiters.back()?.id;
--- a/crates/foxtailhold/src/batch/claim.rs
+++ b/crates/foxtailhold/src/batch/claim.rs
@@ -41,9 +41,9 @@
     /// The lease of the owner; read only if the owner is another instance.
     pub owner_lease: Option<Versioned<LeaseRow>>,
     /// Time at which the read of the lease was sent.
-    pub asked_at: MonoMs,
+    pub sent_at: MonoMs,
     /// Time at which the response to that read arrived.
-    pub answered_at: MonoMs,
+    pub received_at: MonoMs,
 }
 
 /// A planned claim, not sent yet.
@@ -79,9 +79,9 @@
     }
     let watched_lease = watched
         .entry(owner.holder.clone())
-        .or_insert_with(|| WatchedLease::new(found.version, view.answered_at));
-    watched_lease.observe(found.version, view.answered_at);
-    let Some(version) = watched_lease.expired_version(view.asked_at) else {
+        .or_insert_with(|| WatchedLease::new(found.version, view.received_at));
+    watched_lease.observe(found.version, view.received_at);
+    let Some(version) = watched_lease.expired_version(view.sent_at) else {
         return OwnerLease::Held;
     };
     let ended = LeaseRow {
--- a/crates/foxtailhold/src/batch_control/controller.rs
+++ b/crates/foxtailhold/src/batch_control/controller.rs
@@ -130,22 +130,22 @@
     }
 
     /// Applies a load report. Returns the grants that must be pushed to owners.
-    pub fn reported(
+    pub fn apply_load_report(
         &mut self,
         report: &LoadReport,
         now: MonoMs,
     ) -> Vec<(InstanceId, BatchSlotGrant)> {
-        self.window.reported(report, now);
+        self.window.apply_load_report(report, now);
         self.divide(now)
     }
 
     /// Applies a notice of online load. Returns the grants that must be pushed to owners.
-    pub fn noticed(
+    pub fn apply_online_load(
         &mut self,
         notice: &OnlineLoadNotice,
         now: MonoMs,
     ) -> Vec<(InstanceId, BatchSlotGrant)> {
-        self.window.noticed(notice, now);
+        self.window.apply_online_load(notice, now);
         self.divide(now)
     }
 
@@ -156,20 +156,20 @@
 
     /// Handles a slot request. Returns its grant and the grants that must be pushed to other
     /// owners.
-    pub fn asked(
+    pub fn handle_request(
         &mut self,
         request: BatchSlotRequest,
         now: MonoMs,
     ) -> (BatchSlotGrant, Vec<(InstanceId, BatchSlotGrant)>) {
         let id = request.owner.clone();
-        self.told(request, now);
+        self.record_usage(request, now);
         let mut others = self.divide(now);
         others.retain(|(owner, _)| *owner != id);
         (self.renew(&id, now), others)
     }
 
     /// Records an owner's slots, from a slot request or from its response to a pushed grant.
-    pub fn told(&mut self, request: BatchSlotRequest, now: MonoMs) {
+    pub fn record_usage(&mut self, request: BatchSlotRequest, now: MonoMs) {
         let follows = request.follows;
         let id = request.owner.clone();
         match self.owners.get_mut(&id) {
@@ -269,9 +269,9 @@
         let mut excess = self.used().saturating_sub(window);
         for id in order.iter().rev() {
             let used = self.owners[*id].used();
-            let cut = excess.min(used);
-            excess -= cut;
-            let cancel_above = used - cut;
+            let reduction = excess.min(used);
+            excess -= reduction;
+            let cancel_above = used - reduction;
             let start_below = start_limits.get(*id).copied().unwrap_or(0);
             shares.insert(
                 (*id).clone(),
--- a/crates/foxtailhold/src/batch_control/scheduler.rs
+++ b/crates/foxtailhold/src/batch_control/scheduler.rs
@@ -149,9 +149,9 @@
         replicas: Vec<SchedulerReplica>,
         now: MonoMs,
     ) -> Vec<SchedulerAction> {
-        let mut known = std::mem::take(&mut self.replicas);
+        let mut previous = std::mem::take(&mut self.replicas);
         for entry in replicas {
-            let replica = match known.remove(&entry.backend) {
+            let replica = match previous.remove(&entry.backend) {
                 Some(replica) => Replica { entry, ..replica },
                 None => Replica {
                     entry,
@@ -165,7 +165,7 @@
             self.replicas.insert(backend, replica);
         }
         let mut actions = Vec::new();
-        for replica in known.into_values() {
+        for replica in previous.into_values() {
             for item in replica.running {
                 self.running.remove(&item);
                 let backend = replica.entry.backend.clone();
@@ -177,7 +177,7 @@
     }
 
     /// Queues an item for a slot, for the first time or after it was preempted.
-    pub fn wait(
+    pub fn enqueue(
         &mut self,
         item: ItemKey,
         waiting: WaitingItem,
@@ -189,7 +189,7 @@
     }
 
     /// Removes an item that ended, failed at its backend server, or whose job was stopped.
-    pub fn leave(&mut self, item: ItemKey, now: MonoMs) -> Vec<SchedulerAction> {
+    pub fn remove(&mut self, item: ItemKey, now: MonoMs) -> Vec<SchedulerAction> {
         self.waiting.retain(|(_, _, key), _| *key != item);
         if let Some(backend) = self.running.remove(&item)
             && let Some(replica) = self.replicas.get_mut(&backend)
@@ -200,7 +200,7 @@
     }
 
     /// Applies the response to a slot request sent at `requested_at`.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         grant: &BatchSlotGrant,
         requested_at: MonoMs,
@@ -211,7 +211,11 @@
     }
 
     /// Applies a pushed grant, which was not requested.
-    pub fn pushed(&mut self, grant: &BatchSlotGrant, now: MonoMs) -> Vec<SchedulerAction> {
+    pub fn handle_pushed_grant(
+        &mut self,
+        grant: &BatchSlotGrant,
+        now: MonoMs,
+    ) -> Vec<SchedulerAction> {
         self.apply_grant(grant, None);
         self.act(now)
     }
@@ -224,12 +228,12 @@
             return;
         }
         let order = (grant.term, grant.number);
-        let known = replica.active.as_ref();
-        let known = known.filter(|active| active.controller == grant.controller);
-        if known.is_some_and(|active| active.order >= order) {
+        let current = replica.active.as_ref();
+        let current = current.filter(|active| active.controller == grant.controller);
+        if current.is_some_and(|active| active.order >= order) {
             return;
         }
-        let Some(until) = until.or(known.map(|active| active.until)) else {
+        let Some(until) = until.or(current.map(|active| active.until)) else {
             return;
         };
         replica.active = Some(ActiveGrant {
@@ -306,18 +310,22 @@
     }
 
     /// The slot requests that are due, each with the controller to send it to.
-    pub fn asks(&mut self, now: MonoMs, wall: WallMs) -> Vec<(InstanceId, BatchSlotRequest)> {
+    pub fn due_requests(
+        &mut self,
+        now: MonoMs,
+        wall: WallMs,
+    ) -> Vec<(InstanceId, BatchSlotRequest)> {
         let mut requests = Vec::new();
         for backend in self.replicas_to_request(now) {
             let requested_at = self
                 .replicas
                 .get(&backend)
-                .and_then(|known| known.requested_at);
+                .and_then(|replica| replica.requested_at);
             let since_ms = requested_at.map_or(u64::MAX, |at| now.since_ms(at));
             if since_ms < REQUEST_GAP_MS {
                 continue;
             }
-            let request = self.ask(&backend, wall);
+            let request = self.slot_request(&backend, wall);
             let last_request = (request.in_use, request.wanted);
             let Some(replica) = self.replicas.get_mut(&backend) else {
                 continue;
@@ -338,7 +346,7 @@
     }
 
     /// The slots that this owner uses and wants at a backend server.
-    pub fn ask(&self, backend: &BackendId, wall: WallMs) -> BatchSlotRequest {
+    pub fn slot_request(&self, backend: &BackendId, wall: WallMs) -> BatchSlotRequest {
         let in_use = self.in_use(backend);
         let replica = self.replicas.get(backend);
         let mut wanted = in_use;
--- a/crates/foxtailhold/src/batch_control/window.rs
+++ b/crates/foxtailhold/src/batch_control/window.rs
@@ -46,7 +46,7 @@
     batch: u32,
     online_counts: BTreeMap<InstanceId, OnlineCount>,
     /// Number of known requests at the backend server, batch and online, after each change.
-    known: VecDeque<(MonoMs, u32)>,
+    in_flight_history: VecDeque<(MonoMs, u32)>,
     /// Excess over the known requests in each load report, by the time it was made.
     excess: VecDeque<(MonoMs, u32)>,
     pressure_at: Option<MonoMs>,
@@ -102,28 +102,32 @@
     /// Sets the number of batch items in flight.
     pub fn batch_in_flight(&mut self, count: u32, now: MonoMs) {
         self.batch = count;
-        self.record_known(now);
+        self.record_in_flight(now);
     }
 
-    fn record_known(&mut self, now: MonoMs) {
-        let known = self.batch + self.announced_online();
-        if self.known.back().is_some_and(|(_, last)| *last == known) {
+    fn record_in_flight(&mut self, now: MonoMs) {
+        let in_flight = self.batch + self.announced_online();
+        if self
+            .in_flight_history
+            .back()
+            .is_some_and(|(_, last)| *last == in_flight)
+        {
             return;
         }
-        self.known.push_back((now, known));
+        self.in_flight_history.push_back((now, in_flight));
         while self
-            .known
+            .in_flight_history
             .get(1)
             .is_some_and(|(at, _)| now.since_ms(*at) > HISTORY_MS)
         {
-            self.known.pop_front();
+            self.in_flight_history.pop_front();
         }
     }
 
     /// Adds `count` items that were in flight before this controller knew of them.
     pub fn adopt(&mut self, count: u32) {
-        for (_, known) in &mut self.known {
-            *known += count;
+        for (_, in_flight) in &mut self.in_flight_history {
+            *in_flight += count;
         }
         for (_, excess) in &mut self.excess {
             *excess = excess.saturating_sub(count);
@@ -132,7 +136,7 @@
     }
 
     /// Applies a load report; one made before the last is ignored.
-    pub fn reported(&mut self, report: &LoadReport, received_at: MonoMs) {
+    pub fn apply_load_report(&mut self, report: &LoadReport, received_at: MonoMs) {
         let made_at = MonoMs(received_at.0.saturating_sub(report.age_ms));
         if self.excess.back().is_some_and(|(last, _)| made_at < *last) {
             return;
@@ -142,7 +146,7 @@
         }
         self.slots = report.slots;
         let total = report.running + report.waiting;
-        let excess = total.saturating_sub(self.max_known(made_at));
+        let excess = total.saturating_sub(self.max_in_flight(made_at));
         self.excess.push_back((made_at, excess));
         if is_queued(report) {
             self.record_pressure(received_at);
@@ -158,7 +162,7 @@
 
     /// Applies a notice of online load; one older than the last of its instance is ignored. More
     /// requests than slots count as pressure.
-    pub fn noticed(&mut self, notice: &OnlineLoadNotice, now: MonoMs) {
+    pub fn apply_online_load(&mut self, notice: &OnlineLoadNotice, now: MonoMs) {
         if notice.pressed {
             self.record_pressure(now);
         }
@@ -172,7 +176,7 @@
             at: now,
         };
         self.online_counts.insert(notice.from.clone(), count);
-        self.record_known(now);
+        self.record_in_flight(now);
         if self.slots > 0 && self.batch > 0 && self.online() + self.batch > self.slots {
             self.record_pressure(now);
         }
@@ -182,7 +186,7 @@
     pub fn update(&mut self, now: MonoMs) {
         let valid = |count: &OnlineCount| now.since_ms(count.at) <= NOTICE_VALID_MS;
         self.online_counts.retain(|_, count| valid(count));
-        self.record_known(now);
+        self.record_in_flight(now);
         let Some((last, _)) = self.excess.back().copied() else {
             return;
         };
@@ -235,11 +239,11 @@
     /// The largest number of known requests that can have been at the backend server at `at`. A
     /// cancelled request stays until the engine's next step, and a started one is there before the
     /// controller hears of it.
-    fn max_known(&self, at: MonoMs) -> u32 {
+    fn max_in_flight(&self, at: MonoMs) -> u32 {
         let from = MonoMs(at.0.saturating_sub(UNCERTAINTY_MS));
         let mut before = 0;
         let mut maximum = 0;
-        for (changed_at, count) in &self.known {
+        for (changed_at, count) in &self.in_flight_history {
             if *changed_at <= from {
                 before = *count;
                 continue;
--- a/crates/foxtailhold/src/contract_sync.rs
+++ b/crates/foxtailhold/src/contract_sync.rs
@@ -217,10 +217,10 @@
     }
 
     /// Handles the head number returned by a read that was sent at `sent_at`, when the last applied
-    /// change was `number_then`. A lower head number comes from a stale read and confirms nothing.
-    pub fn on_head(&mut self, number: u64, sent_at: MonoMs, number_then: u64, now: MonoMs) {
+    /// change was `local_number`. A lower head number comes from a stale read and confirms nothing.
+    pub fn on_head(&mut self, number: u64, sent_at: MonoMs, local_number: u64, now: MonoMs) {
         self.step_done(true, now);
-        if number < number_then {
+        if number < local_number {
             self.wait_until = now + RETRY_MS;
             return;
         }
--- a/crates/foxtailhold/src/crashes.rs
+++ b/crates/foxtailhold/src/crashes.rs
@@ -32,10 +32,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashStatus {
     /// The request may run.
-    Free,
+    Allowed,
     /// The refusal is over. The request may run once, alone, as a probe that shows whether it is
     /// innocent.
-    OnProbation,
+    ProbeAllowed,
     /// The request is refused.
     Refused {
         /// Remaining duration of the refusal in ms.
@@ -146,11 +146,11 @@
     pub fn status(&self, fingerprint: Fingerprint, now: WallMs) -> CrashStatus {
         let evidence = self.records.get(&fingerprint);
         match evidence.and_then(CrashEvidence::refused_until) {
-            None => CrashStatus::Free,
+            None => CrashStatus::Allowed,
             Some(until) if until > now.0 => CrashStatus::Refused {
                 left_ms: until - now.0,
             },
-            Some(_) => CrashStatus::OnProbation,
+            Some(_) => CrashStatus::ProbeAllowed,
         }
     }
 
--- a/crates/foxtailhold/src/idempotency.rs
+++ b/crates/foxtailhold/src/idempotency.rs
@@ -272,7 +272,7 @@
     }
 }
 
-/// A held claim. [`HeldClaim::into_release`] or [`HeldClaim::answered`] ends it. If it is dropped
+/// A held claim. [`HeldClaim::into_release`] or [`HeldClaim::into_answered_row`] ends it. If it is dropped
 /// instead, the claim stays in the table and resends are told that the request may have run.
 #[derive(Debug)]
 pub struct HeldClaim {
@@ -299,7 +299,11 @@
 
     /// Ends the attempt with the complete response. Returns the row to write and the version that
     /// it replaces.
-    pub fn answered(self, answer: StoredAnswer, wall: WallMs) -> (ClaimRow, ExpectedVersion) {
+    pub fn into_answered_row(
+        self,
+        answer: StoredAnswer,
+        wall: WallMs,
+    ) -> (ClaimRow, ExpectedVersion) {
         let row = ClaimRow {
             written_at: wall,
             state: ClaimState::Answered(answer),
--- a/crates/foxtailhold/src/lease.rs
+++ b/crates/foxtailhold/src/lease.rs
@@ -25,12 +25,12 @@
 
 impl HeldLease {
     /// Records a committed renewal that was sent at `sent_at`.
-    pub fn renewed(&mut self, epoch: u64, sent_at: MonoMs) {
+    pub fn record_renewal(&mut self, epoch: u64, sent_at: MonoMs) {
         self.last_renewal = Some((epoch, sent_at));
     }
 
     /// Gives up the lease.
-    pub fn lost(&mut self) {
+    pub fn give_up(&mut self) {
         self.last_renewal = None;
     }
 
@@ -124,7 +124,7 @@
             .as_ref()
             .is_some_and(|last_row| self.is_own(&last_row.row))
         {
-            self.held.lost();
+            self.held.give_up();
         }
         let version = last_row.as_ref().map_or(0, |last_row| last_row.version) + 1;
         let row = match last_row {
@@ -156,7 +156,7 @@
     /// not have to wait for its expiry. Returns `None` if the row is not known. The holder must not
     /// act under the lease after this.
     pub fn end(&mut self) -> Option<(Condition, LeaseRow)> {
-        self.held.lost();
+        self.held.give_up();
         let last_row = self.last_row.take()?;
         let condition = Condition::unchanged(Some(&last_row));
         let row = LeaseRow {
@@ -176,7 +176,7 @@
         match outcome {
             TransactionOutcome::Committed => {
                 self.epoch = Some(renewal.row.epoch);
-                self.held.renewed(renewal.row.epoch, renewal.sent_at);
+                self.held.record_renewal(renewal.row.epoch, renewal.sent_at);
                 self.last_row = Some(Versioned {
                     version: renewal.version,
                     row: renewal.row,
@@ -198,27 +198,27 @@
 
 impl WatchedLease {
     /// Starts to observe a lease whose row was read with `version`; the response arrived at
-    /// `answered_at`.
-    pub fn new(version: u64, answered_at: MonoMs) -> Self {
+    /// `received_at`.
+    pub fn new(version: u64, received_at: MonoMs) -> Self {
         WatchedLease {
             version,
-            seen_at: answered_at,
+            seen_at: received_at,
         }
     }
 
-    /// Records a later read, whose response arrived at `answered_at`. The time at which the read
+    /// Records a later read, whose response arrived at `received_at`. The time at which the read
     /// was sent would be too early, because the holder may have sent its renewal after that.
-    pub fn observe(&mut self, version: u64, answered_at: MonoMs) {
+    pub fn observe(&mut self, version: u64, received_at: MonoMs) {
         if version == self.version {
             return;
         }
         self.version = version;
-        self.seen_at = answered_at;
+        self.seen_at = received_at;
     }
 
     /// Version on which a take-over has to be conditional, or `None` unless a read sent at
-    /// `asked_at` has found the row unchanged for longer than the term.
-    pub fn expired_version(&self, asked_at: MonoMs) -> Option<u64> {
-        (asked_at.since_ms(self.seen_at) > LEASE_TERM_MS).then_some(self.version)
+    /// `sent_at` has found the row unchanged for longer than the term.
+    pub fn expired_version(&self, sent_at: MonoMs) -> Option<u64> {
+        (sent_at.since_ms(self.seen_at) > LEASE_TERM_MS).then_some(self.version)
     }
 }
--- a/crates/foxtailhold/src/leaving.rs
+++ b/crates/foxtailhold/src/leaving.rs
@@ -57,11 +57,11 @@
     /// Records that this instance itself observes the backend server leaving. Returns whether no
     /// valid notice existed before.
     pub fn observe(&mut self, backend: &BackendId, wall: WallMs, now: MonoMs) -> bool {
-        let known = self.records.get(backend);
-        if known.is_some_and(|known| now.since_ms(known.received_at) < RENEWAL_AGE_MS) {
+        let record = self.records.get(backend);
+        if record.is_some_and(|record| now.since_ms(record.received_at) < RENEWAL_AGE_MS) {
             return false;
         }
-        let next = known.map_or(0, |known| known.number + 1);
+        let next = record.map_or(0, |record| record.number + 1);
         self.store(backend, next.max(wall.0), now)
     }
 
@@ -78,20 +78,23 @@
     pub fn is_leaving(&self, backend: &BackendId, now: MonoMs) -> bool {
         self.records
             .get(backend)
-            .is_some_and(|known| known.is_valid(now))
+            .is_some_and(|record| record.is_valid(now))
     }
 
     /// Notices to send to peers, the newest first.
     pub fn outgoing(&self, now: MonoMs) -> Vec<LeavingNotice> {
-        let valid = self.records.iter().filter(|(_, known)| known.is_valid(now));
+        let valid = self
+            .records
+            .iter()
+            .filter(|(_, record)| record.is_valid(now));
         let mut notices: Vec<(&BackendId, &NoticeRecord)> = valid.collect();
-        notices.sort_by_key(|(_, known)| Reverse(known.received_at));
+        notices.sort_by_key(|(_, record)| Reverse(record.received_at));
         notices.truncate(NOTICES_PER_MESSAGE);
         let mut outgoing = Vec::with_capacity(notices.len());
-        for (backend, known) in notices {
+        for (backend, record) in notices {
             outgoing.push(LeavingNotice {
                 backend: backend.clone(),
-                number: known.number,
+                number: record.number,
             });
         }
         outgoing
@@ -100,16 +103,16 @@
     /// Drops notices after [`NUMBER_TTL_MS`].
     pub fn tick(&mut self, now: MonoMs) {
         self.records
-            .retain(|_, known| now.since_ms(known.received_at) < NUMBER_TTL_MS);
+            .retain(|_, record| now.since_ms(record.received_at) < NUMBER_TTL_MS);
     }
 
     /// Stores a number if it is the newest. Returns whether the backend server had no valid notice.
     fn store(&mut self, backend: &BackendId, number: u64, now: MonoMs) -> bool {
-        let known = self.records.get(backend);
-        if known.is_some_and(|known| known.number >= number) {
+        let record = self.records.get(backend);
+        if record.is_some_and(|record| record.number >= number) {
             return false;
         }
-        if known.is_none() && self.records.len() >= MAX_NOTICES {
+        if record.is_none() && self.records.len() >= MAX_NOTICES {
             return false;
         }
         let is_new = !self.is_leaving(backend, now);
--- a/crates/foxtailhold/src/limits/coordinator.rs
+++ b/crates/foxtailhold/src/limits/coordinator.rs
@@ -128,7 +128,7 @@
             for (id, held) in &self.holders {
                 claims.push(ShareClaim {
                     wanted: wanted(&held.demand, limits).min(whole),
-                    asker: id == from,
+                    is_requester: id == from,
                 });
             }
             max_min(whole, whole / SPARE_DIVISOR, &mut claims)
@@ -191,7 +191,7 @@
     /// While grants of another coordinator may be valid, each instance is entitled to 1/n of the
     /// limit, the part that it would fall back to. A larger share is confirmed unless another
     /// holder lacks capacity.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         from: &InstanceId,
         request: &ShareRequest,
@@ -205,8 +205,8 @@
         let budget = Share::part(limits, views.live(), views.listed());
         let other_grants_valid = views.foreign_grants_until(&request.customer) > now;
         let division = self.division(&request.customer, limits, other_grants_valid, now);
-        let known = division.holders.get(from);
-        if known.is_some_and(|known| known.number >= request.number) {
+        let holder = division.holders.get(from);
+        if holder.is_some_and(|holder| holder.number >= request.number) {
             return None;
         }
         if other_grants_valid {
--- a/crates/foxtailhold/src/limits/divide.rs
+++ b/crates/foxtailhold/src/limits/divide.rs
@@ -9,7 +9,7 @@
     /// Amount that the holder could use.
     pub wanted: u32,
     /// Whether this is the holder whose part is computed.
-    pub asker: bool,
+    pub is_requester: bool,
 }
 
 /// Computes the asker's part of `whole`, of which `spare` is reserved for later holders. The asker
@@ -23,7 +23,7 @@
         let equal = remaining / (claims.len() - index) as u32;
         let granted = claim.wanted.min(equal);
         remaining -= granted;
-        if claim.asker {
+        if claim.is_requester {
             part = granted;
         }
     }
--- a/crates/foxtailhold/src/limits/holder.rs
+++ b/crates/foxtailhold/src/limits/holder.rs
@@ -179,7 +179,7 @@
     }
 
     /// The share request that is due, if any. It is sent once, to the coordinator at that time.
-    pub fn ask(
+    pub fn due_request(
         &mut self,
         customer: &CustomerId,
         limits: &CustomerLimits,
--- a/crates/foxtailhold/src/membership.rs
+++ b/crates/foxtailhold/src/membership.rs
@@ -76,8 +76,8 @@
 }
 
 impl Member {
-    fn overrides(&self, known: &Member) -> bool {
-        (self.incarnation, self.state) > (known.incarnation, known.state)
+    fn overrides(&self, other: &Member) -> bool {
+        (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 }
 
@@ -151,7 +151,7 @@
 
     /// All known members, this instance first.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        std::iter::once(&self.me).chain(self.records.values().map(|known| &known.member))
+        std::iter::once(&self.me).chain(self.records.values().map(|record| &record.member))
     }
 
     /// Marks this instance as leaving.
@@ -182,11 +182,11 @@
     pub fn probe_target(&mut self) -> Option<Member> {
         for _ in 0..2 {
             while let Some(id) = self.order.pop() {
-                let Some(known) = self.records.get(&id) else {
+                let Some(record) = self.records.get(&id) else {
                     continue;
                 };
-                if known.member.state != MemberState::Dead {
-                    return Some(known.member.clone());
+                if record.member.state != MemberState::Dead {
+                    return Some(record.member.clone());
                 }
             }
             self.order = self.records.keys().cloned().collect();
@@ -201,7 +201,7 @@
         if !self.probes.is_multiple_of(DEAD_PROBE_EVERY) {
             return None;
         }
-        let is_dead = |known: &&MemberRecord| known.member.state == MemberState::Dead;
+        let is_dead = |record: &&MemberRecord| record.member.state == MemberState::Dead;
         let dead: Vec<&MemberRecord> = self.records.values().filter(is_dead).collect();
         Some(dead.choose(&mut self.rng)?.member.clone())
     }
@@ -209,9 +209,9 @@
     /// Members to ask for an indirect probe of `target`, which did not respond.
     pub fn indirect_probers(&mut self, target: &InstanceId) -> Vec<Member> {
         let mut probers = Vec::new();
-        for known in self.records.values() {
-            if known.member.state == MemberState::Alive && known.member.id != *target {
-                probers.push(known.member.clone());
+        for record in self.records.values() {
+            if record.member.state == MemberState::Alive && record.member.id != *target {
+                probers.push(record.member.clone());
             }
         }
         probers.shuffle(&mut self.rng);
@@ -223,9 +223,9 @@
     /// record, so that it can refute it.
     pub fn probe(&mut self, to: Option<&InstanceId>, payload: GossipPayload) -> Gossip {
         let want_all = self.full_state_at.is_none();
-        let known = to.and_then(|to| self.records.get(to));
-        let known = known.map(|known| known.member.clone());
-        let record = known.filter(|known| known.state != MemberState::Alive);
+        let member = to.and_then(|to| self.records.get(to));
+        let member = member.map(|record| record.member.clone());
+        let record = member.filter(|member| member.state != MemberState::Alive);
         self.message(want_all, record, payload)
     }
 
@@ -271,15 +271,15 @@
     /// Records that a probe of `id` got no response, neither directly nor indirectly.
     pub fn on_probe_failure(&mut self, id: &InstanceId, now: MonoMs) {
         self.record_outcome(false);
-        let Some(known) = self.records.get(id) else {
+        let Some(record) = self.records.get(id) else {
             return;
         };
-        let state = match known.member.state {
+        let state = match record.member.state {
             MemberState::Alive => MemberState::Suspect,
             MemberState::Leaving => MemberState::Dead,
             MemberState::Suspect | MemberState::Dead => return,
         };
-        let mut member = known.member.clone();
+        let mut member = record.member.clone();
         member.state = state;
         self.merge(&[member], now);
     }
@@ -298,17 +298,17 @@
             self.full_state_at = None;
         }
         let mut dead = Vec::new();
-        for known in self.records.values() {
-            let waited_ms = now.since_ms(known.changed_at);
-            if known.member.state == MemberState::Suspect && waited_ms > suspicion_ms {
-                let mut member = known.member.clone();
+        for record in self.records.values() {
+            let waited_ms = now.since_ms(record.changed_at);
+            if record.member.state == MemberState::Suspect && waited_ms > suspicion_ms {
+                let mut member = record.member.clone();
                 member.state = MemberState::Dead;
                 dead.push(member);
             }
         }
         self.merge(&dead, now);
-        self.records.retain(|_, known| {
-            known.member.state != MemberState::Dead || now.since_ms(known.changed_at) < FORGET_MS
+        self.records.retain(|_, record| {
+            record.member.state != MemberState::Dead || now.since_ms(record.changed_at) < FORGET_MS
         });
         if self.records.is_empty() {
             self.probe_outcomes.clear();
@@ -318,9 +318,9 @@
     /// Handles a pause of this process: the time limits of suspects start again, and the instance
     /// counts as isolated until it hears from peers.
     fn handle_resume(&mut self, now: MonoMs) {
-        for known in self.records.values_mut() {
-            if known.member.state == MemberState::Suspect {
-                known.changed_at = now;
+        for record in self.records.values_mut() {
+            if record.member.state == MemberState::Suspect {
+                record.changed_at = now;
             }
         }
         self.full_state_at = None;
@@ -342,7 +342,7 @@
                 continue;
             }
             let newer = match self.records.get(&update.id) {
-                Some(known) => update.overrides(&known.member),
+                Some(record) => update.overrides(&record.member),
                 None => update.state != MemberState::Dead,
             };
             if !newer {
@@ -352,12 +352,12 @@
                 let index = self.rng.random_range(0..=self.order.len());
                 self.order.insert(index, update.id.clone());
             }
-            let known = MemberRecord {
+            let new_record = MemberRecord {
                 member: update.clone(),
                 changed_at: now,
                 transmissions_left,
             };
-            self.records.insert(update.id.clone(), known);
+            self.records.insert(update.id.clone(), new_record);
         }
     }
 
@@ -376,8 +376,8 @@
             .updates
             .iter()
             .find(|member| member.id == gossip.from)?;
-        let known = &self.records.get(&gossip.from)?.member;
-        (known != record).then(|| known.clone())
+        let current = &self.records.get(&gossip.from)?.member;
+        (current != record).then(|| current.clone())
     }
 
     fn count(&self) -> u32 {
@@ -402,16 +402,16 @@
         let mut updates = vec![self.me.clone()];
         updates.extend(sender);
         let mut pending = Vec::new();
-        for known in self.records.values_mut() {
-            if known.transmissions_left > 0 {
-                pending.push(known);
+        for record in self.records.values_mut() {
+            if record.transmissions_left > 0 {
+                pending.push(record);
             }
         }
-        pending.sort_by_key(|known| std::cmp::Reverse(known.transmissions_left));
+        pending.sort_by_key(|record| std::cmp::Reverse(record.transmissions_left));
         pending.truncate(UPDATES_PER_MESSAGE - updates.len());
-        for known in pending {
-            known.transmissions_left -= 1;
-            updates.push(known.member.clone());
+        for record in pending {
+            record.transmissions_left -= 1;
+            updates.push(record.member.clone());
         }
         Gossip {
             from: self.me.id.clone(),
--- a/crates/foxtailhold/src/orders/issuer.rs
+++ b/crates/foxtailhold/src/orders/issuer.rs
@@ -201,10 +201,10 @@
         }
     }
 
-    /// Processes the engine's state, requested at `asked_at`; `None` if the read failed.
-    pub fn engine_read(&mut self, asked_at: MonoMs, now: MonoMs, state: Option<EngineState>) {
+    /// Processes the engine's state, requested at `sent_at`; `None` if the read failed.
+    pub fn engine_read(&mut self, sent_at: MonoMs, now: MonoMs, state: Option<EngineState>) {
         match state {
-            Some(state) => self.engine_state = Some((asked_at, state)),
+            Some(state) => self.engine_state = Some((sent_at, state)),
             None => self.retry_at = now + RETRY_DELAY_MS,
         }
     }
@@ -380,7 +380,7 @@
             self.drop_lease();
             return;
         }
-        self.held.renewed(write.row.epoch, sent_at);
+        self.held.record_renewal(write.row.epoch, sent_at);
         self.renewed_at = sent_at;
         if write.desired_version.is_some() {
             self.fenced_version = write.desired_version;
@@ -395,7 +395,7 @@
 
     /// Stops issuing orders. The lease row is read again before the next write.
     fn drop_lease(&mut self) {
-        self.held.lost();
+        self.held.give_up();
         self.lease = LeaseView::Unknown;
         self.fenced_version = None;
     }
--- a/crates/foxtailhold/src/quarantine.rs
+++ b/crates/foxtailhold/src/quarantine.rs
@@ -118,7 +118,7 @@
         /// The backend server that runs the probe.
         backend: BackendId,
     },
-    /// A probe ended without a verdict.
+    /// A probe ended without a result.
     Inconclusive {
         /// The suspect that was under probe.
         fingerprint: Fingerprint,
@@ -247,9 +247,9 @@
     }
 
     /// The status of all requests that are suspected or convicted.
-    pub fn standings(&self, now: MonoMs) -> HashMap<Fingerprint, QuarantineStatus> {
-        let known = self.suspects.keys().chain(self.convicted.keys());
-        known
+    pub fn statuses(&self, now: MonoMs) -> HashMap<Fingerprint, QuarantineStatus> {
+        let fingerprints = self.suspects.keys().chain(self.convicted.keys());
+        fingerprints
             .map(|fingerprint| (*fingerprint, self.status(*fingerprint, now)))
             .collect()
     }
@@ -368,7 +368,7 @@
     }
 
     /// At the coordinator: handles a request to probe a suspect on one of `backends`, best first.
-    pub fn ask(
+    pub fn request_probe(
         &mut self,
         fingerprint: Fingerprint,
         backends: &[BackendId],
@@ -442,7 +442,10 @@
             let is_doubtful = self.is_doubtful(*fingerprint, probe);
             let suspect = self.suspects.get_mut(fingerprint);
             let doubted = suspect.map(|s| std::mem::replace(&mut s.doubted, is_doubtful));
-            notices.push(verdict(*fingerprint, is_doubtful && doubted == Some(false)));
+            notices.push(probe_result_notice(
+                *fingerprint,
+                is_doubtful && doubted == Some(false),
+            ));
         }
         for notice in &notices {
             self.on_notice(notice, now);
@@ -467,8 +470,8 @@
     }
 }
 
-fn verdict(fingerprint: Fingerprint, is_open: bool) -> QuarantineNotice {
-    if is_open {
+fn probe_result_notice(fingerprint: Fingerprint, is_inconclusive: bool) -> QuarantineNotice {
+    if is_inconclusive {
         return QuarantineNotice::Inconclusive { fingerprint };
     }
     QuarantineNotice::Convicted {
--- a/crates/foxtailhold/src/slots/allocator.rs
+++ b/crates/foxtailhold/src/slots/allocator.rs
@@ -31,7 +31,7 @@
 
     /// Handles a slot request and returns the decision on it. Decisions on other requests that
     /// became possible at the same time are appended to `decisions`.
-    pub fn ask(
+    pub fn request_slot(
         &mut self,
         now: MonoMs,
         request: SlotRequest,
@@ -39,14 +39,14 @@
     ) -> SlotDecision {
         let id = request.id.clone();
         let pool = self.pools.entry(request.pool.clone()).or_default();
-        let verdict = pool.ask(now, request);
-        if verdict != SlotDecision::Queued {
-            return verdict;
+        let decision = pool.request_slot(now, request);
+        if decision != SlotDecision::Queued {
+            return decision;
         }
         pool.decide(now, decisions);
         let own = decisions.iter().position(|decision| decision.request == id);
         match own.map(|index| decisions.swap_remove(index).decision) {
-            Some(Some(verdict)) => verdict,
+            Some(Some(decision)) => decision,
             _ => SlotDecision::Queued,
         }
     }
--- a/crates/foxtailhold/src/slots/pool.rs
+++ b/crates/foxtailhold/src/slots/pool.rs
@@ -136,7 +136,7 @@
 
     /// Handles a new or repeated slot request. A new online request that would miss its objective
     /// is refused; any other is queued until the next [`Pool::decide`].
-    pub fn ask(&mut self, now: MonoMs, request: SlotRequest) -> SlotDecision {
+    pub fn request_slot(&mut self, now: MonoMs, request: SlotRequest) -> SlotDecision {
         if let Some(backend) = self.granted_backend(&request.id) {
             return SlotDecision::Granted(backend);
         }
--- a/crates/foxtailhold/src/stall.rs
+++ b/crates/foxtailhold/src/stall.rs
@@ -26,7 +26,7 @@
 
 /// Latencies of one engine as observed by this instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Pace {
+pub struct EngineLatency {
     /// Mean time between events in µs; 0 before the first.
     pub gap_us: u64,
     /// Mean duration of a request in ms; 0 before the first.
@@ -42,18 +42,18 @@
 }
 
 /// Time limit between two events of a stream.
-pub fn next_event_bound_ms(pace: Pace) -> u64 {
-    (pace.gap_us * GAP_FACTOR / 1_000).clamp(MIN_BOUND_MS, MAX_BOUND_MS)
+pub fn next_event_bound_ms(latency: EngineLatency) -> u64 {
+    (latency.gap_us * GAP_FACTOR / 1_000).clamp(MIN_BOUND_MS, MAX_BOUND_MS)
 }
 
 /// Time limit for the first event: the requests ahead, the prompt, and a margin.
-pub fn first_event_bound_ms(load: &ReplicaLoad, pace: Pace, prompt_bytes: u64) -> u64 {
+pub fn first_event_bound_ms(load: &ReplicaLoad, latency: EngineLatency, prompt_bytes: u64) -> u64 {
     let slots = match load.report.slots {
         0 => DEFAULT_SLOTS,
         slots => slots,
     };
     let rounds = u64::from(load.estimate() / slots);
-    let service_ms = match pace.service_ms {
+    let service_ms = match latency.service_ms {
         0 => DEFAULT_SERVICE_MS,
         service_ms => service_ms,
     };
@@ -65,16 +65,16 @@
 /// Time limit for a whole unstreamed response of at most `max_tokens`.
 pub fn full_response_bound_ms(
     load: &ReplicaLoad,
-    pace: Pace,
+    latency: EngineLatency,
     prompt_bytes: u64,
     max_tokens: Option<u64>,
 ) -> u64 {
-    let first_ms = first_event_bound_ms(load, pace, prompt_bytes);
-    if pace.gap_us == 0 {
+    let first_ms = first_event_bound_ms(load, latency, prompt_bytes);
+    if latency.gap_us == 0 {
         return MAX_BOUND_MS;
     }
     let tokens = max_tokens.unwrap_or(DEFAULT_TOKENS);
-    let tokens_ms = tokens.saturating_mul(pace.gap_us) / 1_000;
+    let tokens_ms = tokens.saturating_mul(latency.gap_us) / 1_000;
     let answer_ms = tokens_ms.saturating_mul(WAIT_FACTOR);
     first_ms.saturating_add(answer_ms).min(MAX_BOUND_MS)
 }
--- a/crates/foxtailhold/src/suspect.rs
+++ b/crates/foxtailhold/src/suspect.rs
@@ -43,7 +43,7 @@
 
 impl ProbeNegotiation {
     /// Handles a response of the coordinator and returns the action to take.
-    pub fn answered(&mut self, answer: ProbeResponse, now: MonoMs) -> SuspectAction {
+    pub fn handle_response(&mut self, answer: ProbeResponse, now: MonoMs) -> SuspectAction {
         if answer != ProbeResponse::Clear {
             self.clear_since = None;
         }
--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -50,7 +50,7 @@
 fn grown_window(share_percent: u64) -> (CongestionWindow, MonoMs) {
     let mut window = CongestionWindow::new(share_percent);
     let mut now = START;
-    window.reported(&report(0, 0), now);
+    window.apply_load_report(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
         now = now + GROWTH_PERIOD_MS;
         window.update(now);
@@ -64,7 +64,7 @@
     let mut window = CongestionWindow::new(share_percent);
     window.update(START);
     assert_eq!(window.value(), 0, "no report yet");
-    window.reported(&report(0, 0), START);
+    window.apply_load_report(&report(0, 0), START);
     window.update(START + GROWTH_PERIOD_MS);
     assert_eq!(window.value(), 1);
     assert_eq!(grown_window(share_percent).0.value(), expected);
@@ -75,10 +75,10 @@
 #[test_case(40, 0; "more than the slots")]
 fn window_shrinks_at_once_with_online_load(in_flight: u32, expected: u32) {
     let (mut window, now) = grown_window(100);
-    window.noticed(&notice(1, in_flight, false), now);
+    window.apply_online_load(&notice(1, in_flight, false), now);
     window.update(now);
     assert_eq!(window.value(), expected);
-    window.noticed(&notice(1, 0, false), now);
+    window.apply_online_load(&notice(1, 0, false), now);
     window.update(now + GROWTH_PERIOD_MS);
     assert_eq!(
         window.value(),
@@ -90,14 +90,14 @@
 #[test]
 fn window_is_held_until_a_later_report_shows_no_queue() {
     let (mut window, now) = grown_window(100);
-    window.noticed(&notice(1, 0, true), now);
+    window.apply_online_load(&notice(1, 0, true), now);
     let old = LoadReport {
         age_ms: PRESSURE_HOLD_MS + 10,
         ..report(0, 0)
     };
-    window.reported(&old, now + PRESSURE_HOLD_MS);
+    window.apply_load_report(&old, now + PRESSURE_HOLD_MS);
     assert!(window.is_held(), "the report is older than the pressure");
-    window.reported(&report(0, 0), now + PRESSURE_HOLD_MS);
+    window.apply_load_report(&report(0, 0), now + PRESSURE_HOLD_MS);
     assert!(!window.is_held());
 }
 
@@ -146,9 +146,9 @@
 fn slots_go_to_the_owner_with_least_slack(late_s: u64, expected: (u32, u32)) {
     let mut controller = BatchController::new(instance("steward"), backend(), 1, 100);
     let mut now = START;
-    controller.asked(slot_request("late", 0, 100, late_s, 0), now);
-    controller.asked(slot_request("soon", 0, 100, 3_600, 0), now);
-    controller.reported(&report(0, 0), now);
+    controller.handle_request(slot_request("late", 0, 100, late_s, 0), now);
+    controller.handle_request(slot_request("soon", 0, 100, 3_600, 0), now);
+    controller.apply_load_report(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
         now = now + GROWTH_PERIOD_MS;
         controller.tick(now);
@@ -164,21 +164,21 @@
 fn slot_in_use_is_not_taken_for_an_owner_with_less_slack() {
     let mut controller = BatchController::new(instance("steward"), backend(), 1, 100);
     let mut now = START;
-    controller.asked(slot_request("late", 0, 100, 7_200, 0), now);
-    controller.reported(&report(0, 0), now);
+    controller.handle_request(slot_request("late", 0, 100, 7_200, 0), now);
+    controller.apply_load_report(&report(0, 0), now);
     for _ in 0..SLOTS + 1 {
         now = now + GROWTH_PERIOD_MS;
         controller.tick(now);
     }
-    let (granted, _) = controller.asked(slot_request("late", 15, 100, 7_200, 0), now);
-    controller.told(slot_request("late", 15, 100, 7_200, granted.number), now);
-    controller.asked(slot_request("soon", 0, 100, 60, 0), now);
+    let (granted, _) = controller.handle_request(slot_request("late", 15, 100, 7_200, 0), now);
+    controller.record_usage(slot_request("late", 15, 100, 7_200, granted.number), now);
+    controller.handle_request(slot_request("soon", 0, 100, 60, 0), now);
     let late = controller
         .grants()
         .next()
         .map(|(_, cancel_above, start)| (cancel_above, start));
     assert_eq!(late, Some((15, 0)), "its items go on, no new one starts");
-    controller.told(slot_request("late", 12, 100, 7_200, granted.number), now);
+    controller.record_usage(slot_request("late", 12, 100, 7_200, granted.number), now);
     controller.tick(now);
     let soon = controller
         .grants()
@@ -213,7 +213,7 @@
             order: 0,
             avoid: Vec::new(),
         };
-        scheduler.wait(item, waiting, START);
+        scheduler.enqueue(item, waiting, START);
     }
     scheduler
 }
@@ -221,13 +221,13 @@
 #[test]
 fn scheduler_starts_least_slack_first_and_preempts_the_newest() {
     let mut scheduler = scheduler(3);
-    let started = scheduler.answered(&grant("steward", 1, 2), START, START);
+    let started = scheduler.handle_response(&grant("steward", 1, 2), START, START);
     let start = |item| SchedulerAction::Start {
         item,
         backend: backend(),
     };
     assert_eq!(started, [start(2), start(1)]);
-    let preempted = scheduler.pushed(&grant("steward", 2, 1), START);
+    let preempted = scheduler.handle_pushed_grant(&grant("steward", 2, 1), START);
     let expected = SchedulerAction::Preempt {
         item: 1,
         backend: backend(),
@@ -239,18 +239,18 @@
 #[test_case("other", 9; "grant of another steward")]
 fn scheduler_ignores(controller: &str, number: u64) {
     let mut scheduler = scheduler(5);
-    scheduler.answered(&grant("steward", 2, 1), START, START);
-    scheduler.answered(&grant(controller, number, 5), START, START);
+    scheduler.handle_response(&grant("steward", 2, 1), START, START);
+    scheduler.handle_response(&grant(controller, number, 5), START, START);
     assert_eq!(scheduler.in_use(&backend()), 1);
 }
 
 #[test]
 fn pushed_grant_does_not_last_longer_than_the_request_before_it() {
     let mut scheduler = scheduler(5);
-    scheduler.pushed(&grant("steward", 1, 5), START);
+    scheduler.handle_pushed_grant(&grant("steward", 1, 5), START);
     assert_eq!(scheduler.in_use(&backend()), 0, "nothing was requested yet");
-    scheduler.answered(&grant("steward", 2, 1), START, START);
-    scheduler.pushed(&grant("steward", 3, 3), START + GRANT_MS);
+    scheduler.handle_response(&grant("steward", 2, 1), START, START);
+    scheduler.handle_pushed_grant(&grant("steward", 3, 3), START + GRANT_MS);
     assert_eq!(scheduler.in_use(&backend()), 3);
     let preempted = scheduler.act(START + GRANT_MS + 1);
     assert_eq!(preempted.len(), 3);
--- a/crates/foxtailhold/tests/batch_control_world/mod.rs
+++ b/crates/foxtailhold/tests/batch_control_world/mod.rs
@@ -128,7 +128,7 @@
                         .expect("a preempted item is live");
                     assert_eq!(*slots, 1, "an item that does not run was preempted");
                     *slots = 0;
-                    remaining.extend(owner_state.scheduler.wait(item, waiting(600), now));
+                    remaining.extend(owner_state.scheduler.enqueue(item, waiting(600), now));
                 }
             }
         }
@@ -200,7 +200,7 @@
                 let owner = owner.expect("the requester is an owner");
                 let mut response = None;
                 self.input(controller, |machine, now| {
-                    let (grant, mut others) = machine.asked(request, now);
+                    let (grant, mut others) = machine.handle_request(request, now);
                     response = Some(grant.clone());
                     others.push((owner_id(owner), grant));
                     others
@@ -219,7 +219,9 @@
                 requested_at,
             } => {
                 let owner_state = &mut self.owners[owner];
-                let actions = owner_state.scheduler.answered(&grant, requested_at, now);
+                let actions = owner_state
+                    .scheduler
+                    .handle_response(&grant, requested_at, now);
                 self.act(owner, actions);
             }
             Message::PushedGrant {
@@ -228,9 +230,11 @@
                 grant,
             } => {
                 let owner_state = &mut self.owners[owner];
-                let actions = owner_state.scheduler.pushed(&grant, now);
+                let actions = owner_state.scheduler.handle_pushed_grant(&grant, now);
                 self.act(owner, actions);
-                let request = self.owners[owner].scheduler.ask(&backend(), WallMs(0));
+                let request = self.owners[owner]
+                    .scheduler
+                    .slot_request(&backend(), WallMs(0));
                 self.messages.push(Message::Usage {
                     controller,
                     request,
@@ -239,10 +243,12 @@
             Message::Usage {
                 controller,
                 request,
-            } => self.controllers[controller].told(request, now),
+            } => self.controllers[controller].record_usage(request, now),
             Message::Notice { controller, notice } => {
                 let batch_before = self.controllers[controller].window().value();
-                self.input(controller, |machine, now| machine.noticed(&notice, now));
+                self.input(controller, |machine, now| {
+                    machine.apply_online_load(&notice, now)
+                });
                 let window = self.controllers[controller].window();
                 let shrank = window.is_held() && window.value() <= batch_before;
                 assert!(
@@ -266,7 +272,9 @@
             age_ms: lag_ms,
             ..LoadReport::default()
         };
-        self.input(controller, |machine, now| machine.reported(&report, now));
+        self.input(controller, |machine, now| {
+            machine.apply_load_report(&report, now)
+        });
     }
 
     fn tick(&mut self, owner: usize) {
@@ -277,7 +285,7 @@
             .set_replicas(vec![entry(owner_state.controller)], now);
         self.act(owner, actions);
         let owner_state = &mut self.owners[owner];
-        for (_, request) in owner_state.scheduler.asks(now, WallMs(0)) {
+        for (_, request) in owner_state.scheduler.due_requests(now, WallMs(0)) {
             self.messages.push(Message::SlotRequest {
                 controller: owner_state.controller,
                 request,
@@ -364,7 +372,9 @@
             self.next_item += 1;
             let owner_state = &mut self.owners[owner];
             owner_state.live.insert(item, 0);
-            let actions = owner_state.scheduler.wait(item, waiting(slack_s), self.now);
+            let actions = owner_state
+                .scheduler
+                .enqueue(item, waiting(slack_s), self.now);
             self.act(owner, actions);
         }
     }
@@ -382,7 +392,7 @@
             return;
         };
         owner_state.live.remove(&item);
-        let actions = owner_state.scheduler.leave(item, self.now);
+        let actions = owner_state.scheduler.remove(item, self.now);
         self.act(owner, actions);
     }
 
--- a/crates/foxtailhold/tests/batch_races.rs
+++ b/crates/foxtailhold/tests/batch_races.rs
@@ -133,8 +133,8 @@
                 ended: false,
             },
         }),
-        asked_at: MonoMs(sent_ms),
-        answered_at: MonoMs(answered_ms),
+        sent_at: MonoMs(sent_ms),
+        received_at: MonoMs(answered_ms),
     };
     let me = instance("watcher");
     let mut watched = WatchedLeases::new();
--- a/crates/foxtailhold/tests/batch_sim/world.rs
+++ b/crates/foxtailhold/tests/batch_sim/world.rs
@@ -302,13 +302,13 @@
             StoreResponse::Owner(found) => {
                 scan.view.owner = found;
                 if let Some(holder) = other_owner(&me, scan.view.owner.as_ref()).cloned() {
-                    scan.view.asked_at = now;
+                    scan.view.sent_at = now;
                     return self.send(index, Waiter::Scan, StoreRequest::ReadLease(holder));
                 }
             }
             StoreResponse::Lease(found) => {
                 scan.view.owner_lease = found;
-                scan.view.answered_at = now;
+                scan.view.received_at = now;
             }
             _ => return self.job_scanned(index, None),
         }
--- a/crates/foxtailhold/tests/common/shares.rs
+++ b/crates/foxtailhold/tests/common/shares.rs
@@ -12,7 +12,7 @@
 
 pub const STEP_MS: u64 = 20;
 pub const INSTANCES: usize = 4;
-pub const TERMS: CustomerLimits = CustomerLimits {
+pub const LIMITS: CustomerLimits = CustomerLimits {
     requests_per_s: 100.0,
     burst_requests: 40.0,
     tokens_per_s: 1e9,
@@ -152,17 +152,21 @@
                 continue;
             }
             match message {
-                Message::Ask(ask) => {
-                    let grant =
-                        node.coordinator
-                            .ask(&instance(from), &ask, &TERMS, &node.views, now);
+                Message::Ask(request) => {
+                    let grant = node.coordinator.handle_request(
+                        &instance(from),
+                        &request,
+                        &LIMITS,
+                        &node.views,
+                        now,
+                    );
                     if let Some(grant) = grant {
                         self.post(to, from, Message::Grant(grant));
                     }
                     self.recall(to);
                 }
                 Message::Recall => node.holder.recalled(now),
-                Message::Grant(grant) => node.holder.granted(&TERMS, &grant, now),
+                Message::Grant(grant) => node.holder.granted(&LIMITS, &grant, now),
             }
         }
     }
@@ -186,9 +190,9 @@
             if !node.running {
                 continue;
             }
-            if let Some(ask) = node.holder.ask(&customer(), &TERMS, number, now) {
+            if let Some(request) = node.holder.due_request(&customer(), &LIMITS, number, now) {
                 let coordinator = self.coordinator_of(index);
-                self.post(index, coordinator, Message::Ask(ask));
+                self.post(index, coordinator, Message::Ask(request));
             }
             if self.nodes[index].holder.is_forgettable(now) {
                 self.nodes[index].holder = ShareHolder::new(now);
@@ -215,11 +219,11 @@
         for attempt in 0..2 {
             let node = &mut self.nodes[index];
             let listed = node.views.listed();
-            let verdict = match attempt {
-                0 => node.holder.admit(&TERMS, listed, 0.0, now),
-                _ => node.holder.admit_again(&TERMS, listed, 0.0, now),
+            let decision = match attempt {
+                0 => node.holder.admit(&LIMITS, listed, 0.0, now),
+                _ => node.holder.admit_again(&LIMITS, listed, 0.0, now),
             };
-            match verdict {
+            match decision {
                 LimitDecision::Admitted => {
                     node.holder.finish(0.0);
                     return true;
@@ -234,9 +238,9 @@
             if now.since_ms(since) >= 50 {
                 node.waiting_since = None;
                 let before = node.holder.in_fallback(self.now);
-                node.holder.fall_back(&TERMS, listed, now);
+                node.holder.fall_back(&LIMITS, listed, now);
                 if node.holder.in_fallback(self.now) && !before {
-                    self.allowed += TERMS.burst_requests / f64::from(listed);
+                    self.allowed += LIMITS.burst_requests / f64::from(listed);
                 }
             }
         }
@@ -291,7 +295,7 @@
             };
         }
         let fraction = granted + f64::from(u8::from(changing)) + fallback;
-        self.allowed += fraction * TERMS.requests_per_s * STEP_MS as f64 / 1_000.0;
+        self.allowed += fraction * LIMITS.requests_per_s * STEP_MS as f64 / 1_000.0;
         self.check();
     }
 
@@ -302,7 +306,7 @@
         self.min_excess = self.min_excess.min(excess + self.unaccounted_burst());
         self.worst = self
             .worst
-            .max(excess - self.min_excess - TERMS.burst_requests);
+            .max(excess - self.min_excess - LIMITS.burst_requests);
         let slack = INSTANCES as f64 + 2.0;
         assert!(
             self.worst <= slack,
@@ -335,12 +339,12 @@
                 0.0
             };
         }
-        bursts * TERMS.burst_requests
+        bursts * LIMITS.burst_requests
     }
 
     pub fn disturbed(&mut self) {
         self.changes.push(self.now);
-        self.allowed += TERMS.burst_requests;
+        self.allowed += LIMITS.burst_requests;
     }
 
     pub fn set_view(&mut self, index: usize, members: &[usize]) {
--- a/crates/foxtailhold/tests/contract_sync_fuzz.rs
+++ b/crates/foxtailhold/tests/contract_sync_fuzz.rs
@@ -311,11 +311,13 @@
             self.instances[index].sync.on_failed(step, draw, now);
             return;
         }
-        let stood_at = self.instances[index].sync.registry().number();
+        let local_number = self.instances[index].sync.registry().number();
         match step {
             SyncStep::ReadHead => {
                 let head = self.head_at(read_ms);
-                self.instances[index].sync.on_head(head, now, stood_at, now);
+                self.instances[index]
+                    .sync
+                    .on_head(head, now, local_number, now);
             }
             SyncStep::AskPeer { after } => {
                 let answer = self.instances[peer].sync.registry().updates_after(after);
--- a/crates/foxtailhold/tests/crashes.rs
+++ b/crates/foxtailhold/tests/crashes.rs
@@ -46,7 +46,7 @@
     assert_eq!(registry.crashes(REQUEST), expected);
     let is_refused = matches!(registry.status(REQUEST, NOW), CrashStatus::Refused { .. });
     assert_eq!(is_refused, expected >= MAX_CRASHES);
-    assert_eq!(registry.status(Fingerprint(8), NOW), CrashStatus::Free);
+    assert_eq!(registry.status(Fingerprint(8), NOW), CrashStatus::Allowed);
 }
 
 #[test]
@@ -63,7 +63,7 @@
         let last = CrashStatus::Refused { left_ms: 1 };
         assert_eq!(registry.status(REQUEST, now), last);
         now = WallMs(now.0 + 1);
-        assert_eq!(registry.status(REQUEST, now), CrashStatus::OnProbation);
+        assert_eq!(registry.status(REQUEST, now), CrashStatus::ProbeAllowed);
         registry.crashed(REQUEST, crash("late", probe as u64), now);
     }
     let left_ms = REFUSAL_MS[MAX_PROBES];
@@ -108,7 +108,7 @@
     assert!(registry.clear(REQUEST));
     assert!(!registry.clear(REQUEST));
     registry.crashed(REQUEST, crash("c", 1), NOW);
-    assert_eq!(registry.status(REQUEST, NOW), CrashStatus::Free);
+    assert_eq!(registry.status(REQUEST, NOW), CrashStatus::Allowed);
 }
 
 #[test]
--- a/crates/foxtailhold/tests/idempotency_fuzz/world.rs
+++ b/crates/foxtailhold/tests/idempotency_fuzz/world.rs
@@ -230,7 +230,7 @@
                     content_type: None,
                     body: response_of_attempt(index),
                 };
-                let (row, expected) = held.answered(answer, WallMs(self.now_ms));
+                let (row, expected) = held.into_answered_row(answer, WallMs(self.now_ms));
                 self.table.write(Write::Put(expected, row), outcome);
                 Stage::Ended
             }
--- a/crates/foxtailhold/tests/lease.rs
+++ b/crates/foxtailhold/tests/lease.rs
@@ -8,7 +8,7 @@
 
 fn lease_with_epoch(epoch: u64) -> HeldLease {
     let mut lease = HeldLease::default();
-    lease.renewed(epoch, SENT_AT);
+    lease.record_renewal(epoch, SENT_AT);
     lease
 }
 
@@ -30,7 +30,7 @@
 #[test]
 fn nobody_acts_on_a_lease_that_was_given_up() {
     let mut lease = lease_with_epoch(3);
-    lease.lost();
+    lease.give_up();
     assert_eq!(
         (lease.valid_until(3), lease.epoch_at(SENT_AT)),
         (None, None)
--- a/crates/foxtailhold/tests/limits.rs
+++ b/crates/foxtailhold/tests/limits.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::shares::{INSTANCES, TERMS, World};
+use common::shares::{INSTANCES, LIMITS, World};
 use test_case::test_case;
 
 #[test_case(&[0]; "one instance")]
@@ -50,7 +50,7 @@
         .collect();
     world.kill(coordinator);
     let admitted = world.flood(&others, 10_000);
-    let limit = 1_000.0 + TERMS.burst_requests;
+    let limit = 1_000.0 + LIMITS.burst_requests;
     assert!(
         admitted >= 0.6 * 1_000.0,
         "{admitted} without a coordinator"
@@ -72,8 +72,8 @@
     let first = world.flood(&all, 4_000);
     let later = world.flood(&all, 10_000);
     println!("partition: {first} of 400 in the first 4 s, then {later} of 1000 in 10 s");
-    assert!(first <= 2.0 * 400.0 + TERMS.burst_requests, "{first}");
-    assert!(later <= 1_000.0 + TERMS.burst_requests, "{later}");
+    assert!(first <= 2.0 * 400.0 + LIMITS.burst_requests, "{first}");
+    assert!(later <= 1_000.0 + LIMITS.burst_requests, "{later}");
     assert!(later >= 800.0, "{later}");
 }
 
@@ -114,7 +114,7 @@
         world.set_view(*index, &others);
     }
     let admitted = world.flood(&others, 1_000);
-    let newcomers = 2.0 * (100.0 + TERMS.burst_requests) / INSTANCES as f64;
+    let newcomers = 2.0 * (100.0 + LIMITS.burst_requests) / INSTANCES as f64;
     assert!(
         admitted <= 100.0 + newcomers + 5.0,
         "{admitted} in a second"
--- a/crates/foxtailhold/tests/limits_coordinator.rs
+++ b/crates/foxtailhold/tests/limits_coordinator.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::shares::{INSTANCES, TERMS, customer, instance};
+use common::shares::{INSTANCES, LIMITS, customer, instance};
 use foxtailhold::limits::{
     Credit, Demand, FULL_SHARE_PPM, LEASE_MS, LimitCoordinator, LimitDecision, MembershipViews,
     Share, ShareGrant, ShareHolder, ShareRequest,
@@ -39,12 +39,17 @@
 
     /// Sends a share request of an instance that could use the whole limit and holds `held`; `None`
     /// returns the share.
-    fn ask(&mut self, from: usize, held: Option<Share>, at: MonoMs) -> Option<ShareGrant> {
+    fn request_share(
+        &mut self,
+        from: usize,
+        held: Option<Share>,
+        at: MonoMs,
+    ) -> Option<ShareGrant> {
         self.number += 1;
         let demand = Demand {
-            requests_per_s: TERMS.requests_per_s,
-            tokens_per_s: TERMS.tokens_per_s,
-            slots: TERMS.slots,
+            requests_per_s: LIMITS.requests_per_s,
+            tokens_per_s: LIMITS.tokens_per_s,
+            slots: LIMITS.slots,
             in_flight: 0,
         };
         let request = ShareRequest {
@@ -56,11 +61,11 @@
         };
         let from = instance(from);
         self.coordinator
-            .ask(&from, &request, &TERMS, &self.views, at)
+            .handle_request(&from, &request, &LIMITS, &self.views, at)
     }
 
     fn share(&mut self, from: usize, held: Share, at: MonoMs) -> Share {
-        self.ask(from, Some(held), at).unwrap().share
+        self.request_share(from, Some(held), at).unwrap().share
     }
 }
 
@@ -97,11 +102,13 @@
     let mut coordinator = Coordinator::new();
     let mut granted = 0.0;
     for _ in 0..20 {
-        let grant = coordinator.ask(0, Some(Share::default()), NOW).unwrap();
+        let grant = coordinator
+            .request_share(0, Some(Share::default()), NOW)
+            .unwrap();
         granted += grant.credit.requests;
-        coordinator.ask(0, None, NOW);
+        coordinator.request_share(0, None, NOW);
     }
-    assert!(granted <= TERMS.burst_requests + 1e-6, "{granted}");
+    assert!(granted <= LIMITS.burst_requests + 1e-6, "{granted}");
 }
 
 #[test]
@@ -109,7 +116,10 @@
     let mut coordinator = Coordinator::new();
     coordinator.share(0, Share::default(), NOW);
     coordinator.number = 0;
-    assert_eq!(coordinator.ask(0, Some(Share::default()), NOW), None);
+    assert_eq!(
+        coordinator.request_share(0, Some(Share::default()), NOW),
+        None
+    );
 }
 
 #[test]
@@ -125,7 +135,7 @@
     let without_me = others.iter().map(|index| instance(*index)).collect();
     coordinator.views.set(without_me, INSTANCES as u32, NOW);
     assert_eq!(
-        coordinator.ask(others[0], Some(Share::default()), NOW),
+        coordinator.request_share(others[0], Some(Share::default()), NOW),
         None
     );
     let all = (0..INSTANCES).map(instance).collect();
@@ -137,7 +147,7 @@
     let claimed = Share {
         requests_ppm: FULL_SHARE_PPM / 2,
         tokens_ppm: part + 1,
-        slots: TERMS.slots / 2,
+        slots: LIMITS.slots / 2,
     };
     assert_eq!(coordinator.share(others[1], claimed, NOW + 3), claimed);
     let last = coordinator.share(others[2], Share::default(), NOW + 4);
@@ -151,12 +161,12 @@
 fn a_first_request_is_admitted_on_a_share_without_credit() {
     let mut holder = ShareHolder::new(NOW);
     let count = INSTANCES as u32;
-    assert_eq!(holder.admit(&TERMS, count, 1.0, NOW), LimitDecision::Wait);
-    let request = holder.ask(&customer(), &TERMS, 1, NOW).unwrap();
+    assert_eq!(holder.admit(&LIMITS, count, 1.0, NOW), LimitDecision::Wait);
+    let request = holder.due_request(&customer(), &LIMITS, 1, NOW).unwrap();
     let grant = ShareGrant {
         customer: customer(),
         number: request.number,
-        share: Share::part(&TERMS, 1, 16),
+        share: Share::part(&LIMITS, 1, 16),
         credit: Credit {
             requests: 0.0,
             tokens: 1.0,
@@ -164,12 +174,12 @@
         renew_soon: true,
         rising: false,
     };
-    holder.granted(&TERMS, &grant, NOW);
+    holder.granted(&LIMITS, &grant, NOW);
     assert_eq!(
-        holder.admit(&TERMS, count, 1.0, NOW),
+        holder.admit(&LIMITS, count, 1.0, NOW),
         LimitDecision::Admitted
     );
-    let second = holder.admit(&TERMS, count, 1.0, NOW);
+    let second = holder.admit(&LIMITS, count, 1.0, NOW);
     assert!(matches!(second, LimitDecision::Over { .. }), "{second:?}");
 }
 
--- a/crates/foxtailhold/tests/limits_newcomers.rs
+++ b/crates/foxtailhold/tests/limits_newcomers.rs
@@ -12,7 +12,7 @@
 use test_case::test_case;
 
 const NOW: MonoMs = MonoMs(100_000);
-const TERMS: CustomerLimits = CustomerLimits {
+const LIMITS: CustomerLimits = CustomerLimits {
     requests_per_s: 10_000.0,
     burst_requests: 10_000.0,
     tokens_per_s: 1e6,
@@ -70,8 +70,8 @@
 /// A holder that has requested its first share.
 fn waiting_holder() -> ShareHolder {
     let mut holder = ShareHolder::new(NOW);
-    assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), LimitDecision::Wait);
-    assert!(holder.ask(&customer(), &TERMS, 1, NOW).is_some());
+    assert_eq!(holder.admit(&LIMITS, COUNT, 10.0, NOW), LimitDecision::Wait);
+    assert!(holder.due_request(&customer(), &LIMITS, 1, NOW).is_some());
     holder
 }
 
@@ -81,8 +81,10 @@
     let mut sum = Share::default();
     for index in 0..COUNT {
         let from = instance(index as usize);
-        let asked = share_request(u64::from(index) + 1, Share::default());
-        let grant = coordinator.ask(&from, &asked, &TERMS, &views, NOW).unwrap();
+        let request = share_request(u64::from(index) + 1, Share::default());
+        let grant = coordinator
+            .handle_request(&from, &request, &LIMITS, &views, NOW)
+            .unwrap();
         let share = grant.share;
         assert!(share.slots > 0, "instance {index}: {share:?}");
         let least_ppm = FULL_SHARE_PPM / 1_000;
@@ -93,7 +95,7 @@
         assert!(share.tokens_ppm > least_ppm, "instance {index}: {share:?}");
         sum = sum.plus(share);
     }
-    assert!(sum.requests_ppm <= FULL_SHARE_PPM && sum.slots <= TERMS.slots);
+    assert!(sum.requests_ppm <= FULL_SHARE_PPM && sum.slots <= LIMITS.slots);
 }
 
 #[test]
@@ -104,35 +106,35 @@
         .unwrap()
         .clone();
     let mut views = MembershipViews::new(me.clone(), NOW);
-    let first = coordinator.ask(
+    let first = coordinator.handle_request(
         &me,
         &share_request(1, Share::default()),
-        &TERMS,
+        &LIMITS,
         &views,
         NOW,
     );
     let first = first.unwrap().share;
-    assert_eq!(first, Share::part(&TERMS, 1, 1));
+    assert_eq!(first, Share::part(&LIMITS, 1, 1));
     views.set((0..COUNT as usize).map(instance).collect(), COUNT, NOW + 1);
     let other = (0..COUNT as usize).map(instance).find(|id| *id != me);
     let other = other.unwrap();
-    let none = coordinator.ask(
+    let none = coordinator.handle_request(
         &other,
         &share_request(1, Share::default()),
-        &TERMS,
+        &LIMITS,
         &views,
         NOW + 2,
     );
     assert_eq!(none.unwrap().share, Share::default());
-    let kept = coordinator.ask(&me, &share_request(2, first), &TERMS, &views, NOW + 3);
+    let kept = coordinator.handle_request(&me, &share_request(2, first), &LIMITS, &views, NOW + 3);
     let kept = kept.unwrap().share;
     assert!(kept.slots < first.slots, "{kept:?}");
     assert!(kept.requests_ppm < first.requests_ppm, "{kept:?}");
-    coordinator.ask(&me, &share_request(3, kept), &TERMS, &views, NOW + 4);
-    let found = coordinator.ask(
+    coordinator.handle_request(&me, &share_request(3, kept), &LIMITS, &views, NOW + 4);
+    let found = coordinator.handle_request(
         &other,
         &share_request(2, Share::default()),
-        &TERMS,
+        &LIMITS,
         &views,
         NOW + 5,
     );
@@ -149,22 +151,22 @@
         .clone();
     let views = MembershipViews::new(me.clone(), NOW);
     let other = (0..COUNT as usize).map(instance).find(|id| *id != me);
-    let first = coordinator.ask(
+    let first = coordinator.handle_request(
         &other.unwrap(),
         &share_request(1, Share::default()),
-        &TERMS,
+        &LIMITS,
         &views,
         NOW + 1,
     );
-    assert_eq!(first.unwrap().share, Share::part(&TERMS, 1, 2));
-    let own = coordinator.ask(
+    assert_eq!(first.unwrap().share, Share::part(&LIMITS, 1, 2));
+    let own = coordinator.handle_request(
         &me,
         &share_request(1, Share::default()),
-        &TERMS,
+        &LIMITS,
         &views,
         NOW + 2,
     );
-    assert_eq!(own.unwrap().share, Share::part(&TERMS, 1, 2));
+    assert_eq!(own.unwrap().share, Share::part(&LIMITS, 1, 2));
 }
 
 #[test]
@@ -178,14 +180,14 @@
     let other = (0..COUNT as usize)
         .map(instance)
         .find(|id| views.coordinator(&customer()) != Some(id));
-    let grant = coordinator.ask(
+    let grant = coordinator.handle_request(
         &other.unwrap(),
         &share_request(1, small),
-        &TERMS,
+        &LIMITS,
         &views,
         NOW + 1,
     );
-    let part = Share::part(&TERMS, 1, COUNT);
+    let part = Share::part(&LIMITS, 1, COUNT);
     assert_eq!(grant.unwrap().share, small.max(part));
 }
 
@@ -195,18 +197,18 @@
 #[test_case(Share { requests_ppm: 900, tokens_ppm: 900, slots: 0 }; "no slots")]
 fn first_requests_wait_while_all_is_granted_elsewhere(share: Share) {
     let mut holder = waiting_holder();
-    holder.granted(&TERMS, &grant_of(share), NOW);
-    assert_eq!(holder.admit(&TERMS, COUNT, 10.0, NOW), LimitDecision::Wait);
+    holder.granted(&LIMITS, &grant_of(share), NOW);
+    assert_eq!(holder.admit(&LIMITS, COUNT, 10.0, NOW), LimitDecision::Wait);
 }
 
 #[test]
 fn an_answer_without_room_after_the_fallback_is_no_refusal() {
     let mut holder = waiting_holder();
-    holder.fall_back(&TERMS, COUNT, NOW + 50);
-    let first = holder.admit(&TERMS, COUNT, 10.0, NOW + 50);
+    holder.fall_back(&LIMITS, COUNT, NOW + 50);
+    let first = holder.admit(&LIMITS, COUNT, 10.0, NOW + 50);
     assert_eq!(first, LimitDecision::Admitted);
-    holder.granted(&TERMS, &grant_of(Share::default()), NOW + 60);
-    let second = holder.admit(&TERMS, COUNT, 10.0, NOW + 60);
+    holder.granted(&LIMITS, &grant_of(Share::default()), NOW + 60);
+    let second = holder.admit(&LIMITS, COUNT, 10.0, NOW + 60);
     assert_eq!(second, LimitDecision::Wait);
 }
 
@@ -223,17 +225,17 @@
         rising,
         ..grant_of(share)
     };
-    holder.granted(&TERMS, &grant, NOW);
+    holder.granted(&LIMITS, &grant, NOW);
     assert_eq!(
-        holder.admit(&TERMS, COUNT, 10.0, NOW),
+        holder.admit(&LIMITS, COUNT, 10.0, NOW),
         LimitDecision::Admitted
     );
-    let second = holder.admit(&TERMS, COUNT, 10.0, NOW);
+    let second = holder.admit(&LIMITS, COUNT, 10.0, NOW);
     match other {
         LimitDecision::Wait => assert_eq!(second, LimitDecision::Wait),
         _ => assert!(matches!(second, LimitDecision::Over { .. }), "{second:?}"),
     }
-    let late = holder.admit(&TERMS, COUNT, 10.0, NOW + 2_000);
+    let late = holder.admit(&LIMITS, COUNT, 10.0, NOW + 2_000);
     assert!(matches!(late, LimitDecision::Over { .. }), "{late:?}");
 }
 
--- a/crates/foxtailhold/tests/orders_fuzz/world.rs
+++ b/crates/foxtailhold/tests/orders_fuzz/world.rs
@@ -282,8 +282,8 @@
             }
             IssuerAction::ReadEngine => {
                 let state = (outcome == CallOutcome::Answered).then(|| self.engine.clone());
-                let asked_at = MonoMs(decided_at);
-                self.issuers[index].issuer.engine_read(asked_at, now, state);
+                let sent_at = MonoMs(decided_at);
+                self.issuers[index].issuer.engine_read(sent_at, now, state);
             }
             IssuerAction::SendOrder(order) => {
                 let desired = self.issuers[index].desired.as_ref().unwrap().version;
--- a/crates/foxtailhold/tests/quarantine.rs
+++ b/crates/foxtailhold/tests/quarantine.rs
@@ -39,7 +39,7 @@
         &QuarantineNotice::Cleared { fingerprint: OTHER },
         MonoMs(950),
     );
-    let response = quarantine.ask(SUSPECT, &[id("engine-1")], MonoMs(1_000));
+    let response = quarantine.request_probe(SUSPECT, &[id("engine-1")], MonoMs(1_000));
     assert!(
         matches!(response, ProbeResponse::Granted { .. }),
         "{response:?}"
@@ -47,9 +47,12 @@
     quarantine
 }
 
-/// The verdict on a probe that crashed at 1,500 ms, with other requests of these ages on the same
+/// The notices on a probe that crashed at 1,500 ms, with other requests of these ages on the same
 /// backend server.
-fn verdict(quarantine: &mut Quarantine, others: &[(Fingerprint, u64)]) -> Vec<QuarantineNotice> {
+fn crash_probe(
+    quarantine: &mut Quarantine,
+    others: &[(Fingerprint, u64)],
+) -> Vec<QuarantineNotice> {
     let now = MonoMs(1_500);
     let mut flights = vec![(SUSPECT, 100)];
     flights.extend(others);
@@ -68,7 +71,7 @@
     convicted: bool,
 ) {
     let mut quarantine = under_probe();
-    let notices = verdict(&mut quarantine, others);
+    let notices = crash_probe(&mut quarantine, others);
     let expected = match convicted {
         true => QuarantineNotice::Convicted {
             fingerprint: SUSPECT,
@@ -86,8 +89,8 @@
 #[test]
 fn doubt_counts_once() {
     let mut quarantine = under_probe();
-    verdict(&mut quarantine, &[(OTHER, 100)]);
-    let response = quarantine.ask(SUSPECT, &[id("engine-2")], MonoMs(2_000));
+    crash_probe(&mut quarantine, &[(OTHER, 100)]);
+    let response = quarantine.request_probe(SUSPECT, &[id("engine-2")], MonoMs(2_000));
     assert!(
         matches!(response, ProbeResponse::Granted { .. }),
         "{response:?}"
@@ -108,11 +111,12 @@
     let mut quarantine = under_probe();
     let flights = [(OTHER, 50)];
     quarantine.on_notice(&crash("engine-3", 1, &flights), MonoMs(1_000));
-    let wait = quarantine.ask(OTHER, &[id("engine-1")], MonoMs(1_000));
+    let wait = quarantine.request_probe(OTHER, &[id("engine-1")], MonoMs(1_000));
     assert!(matches!(wait, ProbeResponse::Wait { .. }), "{wait:?}");
-    let same = quarantine.ask(SUSPECT, &[id("engine-2")], MonoMs(1_000));
+    let same = quarantine.request_probe(SUSPECT, &[id("engine-2")], MonoMs(1_000));
     assert!(matches!(same, ProbeResponse::Wait { .. }), "{same:?}");
-    let elsewhere = quarantine.ask(OTHER, &[id("engine-1"), id("engine-2")], MonoMs(1_000));
+    let elsewhere =
+        quarantine.request_probe(OTHER, &[id("engine-1"), id("engine-2")], MonoMs(1_000));
     let granted = ProbeResponse::Granted {
         backend: id("engine-2"),
         strict: true,
@@ -145,7 +149,7 @@
     );
 
     let mut quarantine = under_probe();
-    verdict(&mut quarantine, &[]);
+    crash_probe(&mut quarantine, &[]);
     let until = MonoMs(1_500) + GATHER_MS + CONVICTION_MS;
     let left = quarantine.status(SUSPECT, MonoMs(until.0 - 1));
     assert_eq!(left, QuarantineStatus::Convicted { left_ms: 1 });
@@ -153,9 +157,9 @@
 }
 
 #[test]
-fn starting_instance_learns_verdicts_and_probes_from_a_peer() {
+fn starting_instance_learns_convictions_and_probes_from_a_peer() {
     let mut quarantine = under_probe();
-    verdict(&mut quarantine, &[]);
+    crash_probe(&mut quarantine, &[]);
     let mut started = Quarantine::default();
     for notice in quarantine.snapshot(MonoMs(2_000)) {
         started.on_notice(&notice, MonoMs(5));
--- a/crates/foxtailhold/tests/quarantine_fuzz/world.rs
+++ b/crates/foxtailhold/tests/quarantine_fuzz/world.rs
@@ -273,8 +273,11 @@
         let live = self.live();
         let ids: Vec<_> = live.iter().map(|backend| id(*backend)).collect();
         let (now, fingerprint) = (self.mono(), Fingerprint(request));
-        let answer = self.tables[COORDINATOR].ask(fingerprint, &ids, now);
-        match self.attempts[index].negotiation.answered(answer, now) {
+        let answer = self.tables[COORDINATOR].request_probe(fingerprint, &ids, now);
+        match self.attempts[index]
+            .negotiation
+            .handle_response(answer, now)
+        {
             SuspectAction::Probe {
                 backend,
                 strict,
--- a/crates/foxtailhold/tests/routing.rs
+++ b/crates/foxtailhold/tests/routing.rs
@@ -11,7 +11,7 @@
 use foxtailhold::routing::{
     BoundedAffinity, Candidate, LeastLoaded, RoutePolicy, RouteQuery, affinity_seed,
 };
-use foxtailhold::stall::{self, MAX_BOUND_MS, MIN_BOUND_MS, Pace};
+use foxtailhold::stall::{self, EngineLatency, MAX_BOUND_MS, MIN_BOUND_MS};
 use foxtailhold::time::MonoMs;
 use test_case::test_case;
 
@@ -247,20 +247,20 @@
         },
         ..ReplicaLoad::default()
     };
-    let pace = |gap_us, service_ms| Pace { gap_us, service_ms };
-    assert_eq!(stall::next_event_bound_ms(pace(5_000, 0)), MIN_BOUND_MS);
-    assert_eq!(stall::next_event_bound_ms(pace(400_000, 0)), 10_000);
+    let latency = |gap_us, service_ms| EngineLatency { gap_us, service_ms };
+    assert_eq!(stall::next_event_bound_ms(latency(5_000, 0)), MIN_BOUND_MS);
+    assert_eq!(stall::next_event_bound_ms(latency(400_000, 0)), 10_000);
     assert_eq!(
-        stall::next_event_bound_ms(pace(u64::MAX / 100, 0)),
+        stall::next_event_bound_ms(latency(u64::MAX / 100, 0)),
         MAX_BOUND_MS
     );
-    let idle = stall::first_event_bound_ms(&load(0), pace(5_000, 1_000), 100);
-    let queued = stall::first_event_bound_ms(&load(64), pace(5_000, 1_000), 100);
-    let long = stall::first_event_bound_ms(&load(0), pace(5_000, 1_000), 400_000);
+    let idle = stall::first_event_bound_ms(&load(0), latency(5_000, 1_000), 100);
+    let queued = stall::first_event_bound_ms(&load(64), latency(5_000, 1_000), 100);
+    let long = stall::first_event_bound_ms(&load(0), latency(5_000, 1_000), 400_000);
     assert!(queued >= idle + 4_000 && long >= idle + 10_000 - 10);
-    let short = stall::full_response_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(10));
-    let many = stall::full_response_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(1_000));
+    let short = stall::full_response_bound_ms(&load(0), latency(5_000, 1_000), 100, Some(10));
+    let many = stall::full_response_bound_ms(&load(0), latency(5_000, 1_000), 100, Some(1_000));
     assert!(many >= short + 14_000);
-    let huge = stall::full_response_bound_ms(&load(0), pace(5_000, 1_000), 100, Some(u64::MAX));
+    let huge = stall::full_response_bound_ms(&load(0), latency(5_000, 1_000), 100, Some(u64::MAX));
     assert_eq!(huge, MAX_BOUND_MS);
 }
--- a/crates/foxtailhold/tests/slots.rs
+++ b/crates/foxtailhold/tests/slots.rs
@@ -69,8 +69,8 @@
     slot_request: SlotRequest,
 ) -> (SlotDecision, Vec<SlotNotice>) {
     let mut decisions = Vec::new();
-    let verdict = allocator.ask(MonoMs(at_ms), slot_request, &mut decisions);
-    (verdict, decisions)
+    let decision = allocator.request_slot(MonoMs(at_ms), slot_request, &mut decisions);
+    (decision, decisions)
 }
 
 fn granted(allocator: &mut Allocator, at_ms: u64, slot_request: SlotRequest) -> BackendId {
@@ -161,8 +161,8 @@
     let mut granted_count = 0;
     for number in 0..8 {
         let relaxed = request_from("entry-1", number, Urgency::Batch, 9_000);
-        let verdict = submit(&mut allocator, 0, relaxed).0;
-        granted_count += u32::from(verdict != SlotDecision::Queued);
+        let decision = submit(&mut allocator, 0, relaxed).0;
+        granted_count += u32::from(decision != SlotDecision::Queued);
     }
     assert!(
         (4..8).contains(&granted_count),
@@ -248,9 +248,9 @@
 fn a_request_that_would_be_late_is_refused_at_once_with_a_retry_time() {
     let mut allocator = allocator(&[1]);
     granted(&mut allocator, 0, request(1, ONLINE));
-    let verdict = submit(&mut allocator, 0, request(2, ONLINE)).0;
-    let SlotDecision::Refused { retry_after_ms } = verdict else {
-        panic!("not refused: {verdict:?}");
+    let decision = submit(&mut allocator, 0, request(2, ONLINE)).0;
+    let SlotDecision::Refused { retry_after_ms } = decision else {
+        panic!("not refused: {decision:?}");
     };
     assert!((150..=1_500).contains(&retry_after_ms));
     assert_eq!(release(&mut allocator, 10, 1, DONE), []);
--- a/crates/foxtailhold/tests/suspect.rs
+++ b/crates/foxtailhold/tests/suspect.rs
@@ -17,7 +17,7 @@
     };
     for after_ms in [0, 300, CLEAR_CONFIRMATION_MS - 1] {
         assert_eq!(
-            negotiation.answered(ProbeResponse::Clear, START + after_ms),
+            negotiation.handle_response(ProbeResponse::Clear, START + after_ms),
             again
         );
     }
@@ -26,10 +26,10 @@
 #[test]
 fn a_suspect_is_sent_if_the_notice_that_cleared_it_was_lost() {
     let mut negotiation = ProbeNegotiation::default();
-    negotiation.answered(ProbeResponse::Clear, START);
+    negotiation.handle_response(ProbeResponse::Clear, START);
     let later = START + CLEAR_CONFIRMATION_MS;
     assert_eq!(
-        negotiation.answered(ProbeResponse::Clear, later),
+        negotiation.handle_response(ProbeResponse::Clear, later),
         SuspectAction::Send
     );
 }
@@ -37,25 +37,28 @@
 #[test]
 fn another_response_restarts_the_confirmation_time() {
     let mut negotiation = ProbeNegotiation::default();
-    negotiation.answered(ProbeResponse::Clear, START);
+    negotiation.handle_response(ProbeResponse::Clear, START);
     let wait = ProbeResponse::Wait { after_ms: 7 };
     let later = START + CLEAR_CONFIRMATION_MS;
     assert_eq!(
-        negotiation.answered(wait, later),
+        negotiation.handle_response(wait, later),
         SuspectAction::Retry { after_ms: 7 }
     );
     let again = SuspectAction::Retry {
         after_ms: PROBE_RETRY_MS,
     };
-    assert_eq!(negotiation.answered(ProbeResponse::Clear, later), again);
+    assert_eq!(
+        negotiation.handle_response(ProbeResponse::Clear, later),
+        again
+    );
 }
 
 #[test]
-fn verdicts_and_grants_apply_at_once() {
+fn convictions_and_grants_apply_at_once() {
     let mut negotiation = ProbeNegotiation::default();
     let convicted = ProbeResponse::Convicted { left_ms: 9 };
     assert_eq!(
-        negotiation.answered(convicted, START),
+        negotiation.handle_response(convicted, START),
         SuspectAction::Refuse { left_ms: 9 }
     );
     let backend = BackendId::try_from("engine-1").unwrap();
@@ -69,5 +72,5 @@
         strict: true,
         quiet_ms: 200,
     };
-    assert_eq!(negotiation.answered(granted, START), next);
+    assert_eq!(negotiation.handle_response(granted, START), next);
 }
