--- a/crates/foxtailhold-caller/src/gateway.rs
+++ b/crates/foxtailhold-caller/src/gateway.rs
@@ -34,7 +34,7 @@
 /// An inference request.
 #[derive(Debug, Clone)]
 pub struct Inference {
-    /// Who asks.
+    /// The caller, and the conditions set in the headers.
     pub context: RequestContext,
     /// `/v1/chat/completions` or `/v1/completions`.
     pub path: &'static str,
@@ -51,7 +51,7 @@
 /// A call to a plain service.
 #[derive(Debug, Clone)]
 pub struct PlainCall {
-    /// Who asks.
+    /// The caller, and the conditions set in the headers.
     pub context: RequestContext,
     /// Name of the service.
     pub service: TargetName,
@@ -139,7 +139,7 @@
 /// A request to create a batch job.
 #[derive(Debug, Clone)]
 pub struct BatchRequest {
-    /// Who asks.
+    /// The caller, and the conditions set in the headers.
     pub context: RequestContext,
     /// The input.
     pub input_file: FileId,
--- a/crates/foxtailhold-engine/src/client.rs
+++ b/crates/foxtailhold-engine/src/client.rs
@@ -41,7 +41,7 @@
     pub path: &'a str,
     /// JSON body as sent by the caller.
     pub body: &'a Bytes,
-    /// Whether the body asks for a stream.
+    /// Whether the body requests a stream.
     pub streamed: bool,
     /// The output received so far, if the request resumes an interrupted stream.
     pub resume: Option<Resume<'a>>,
--- a/crates/foxtailhold-entry/examples/limits_cost.rs
+++ b/crates/foxtailhold-entry/examples/limits_cost.rs
@@ -69,10 +69,7 @@
     now: MonoMs,
 ) -> Result<()> {
     let from = InstanceId::try_from(ME)?;
-    let requests = ShareRequests {
-        from,
-        requests: requests,
-    };
+    let requests = ShareRequests { from, requests };
     let grants = limits.grant_shares(&requests, registry, now).grants;
     limits.apply_grants(&requests.requests, &grants, now);
     Ok(())
--- a/crates/foxtailhold-entry/src/actors/jobs.rs
+++ b/crates/foxtailhold-entry/src/actors/jobs.rs
@@ -21,14 +21,14 @@
 use crate::tables;
 
 /// Period at which an instance scans the open jobs. Where there are more than
-/// [`MAX_FLEET_SCANS_PER_S`] instances, each skips a random part of its scans.
+/// `MAX_FLEET_SCANS_PER_S` instances, each skips a random part of its scans.
 pub const SCAN_PERIOD_MS: u64 = 1_000;
 /// Most periodic scans per second of all instances together, on average.
 const MAX_FLEET_SCANS_PER_S: f64 = 40.0;
 /// Longest period between two sweeps for orphaned result objects.
 const MAX_SWEEP_PERIOD_MS: u64 = 60_000;
 
-/// The actor that owns the runs of batch jobs on this instance.
+/// The actor that owns the executions of batch jobs on this instance.
 #[derive(Debug)]
 pub struct JobsActor<P>(pub Shared<P>);
 
@@ -36,12 +36,12 @@
 #[derive(Debug, Default)]
 pub struct JobsState {
     registry: JobRegistry,
-    runs: HashMap<JobId, CancellationToken>,
-    /// Requests to stop a job that wait for its run to end.
+    executions: HashMap<JobId, CancellationToken>,
+    /// Requests to stop a job that wait for its execution to end.
     stop_replies: HashMap<JobId, Vec<RpcReplyPort<()>>>,
     /// Leases of other owners, observed to see when they expire.
     watched: WatchedLeases,
-    /// Requests to stop all jobs that wait for the last run to end.
+    /// Requests to stop all jobs that wait for the last execution to end.
     stop_all_replies: Vec<RpcReplyPort<()>>,
 }
 
@@ -73,14 +73,14 @@
             JobsMessage::Sweep => self.sweep(),
             JobsMessage::Scanned(scan) => self.scan_ended(&myself, state, scan),
             JobsMessage::Ended(job) => {
-                state.runs.remove(&job);
+                state.executions.remove(&job);
                 state.registry.ended(&job);
                 answer_all(state.stop_replies.remove(&job).unwrap_or_default());
             }
             JobsMessage::Stop(job, reply) => state.stop(&job, reply),
             JobsMessage::StopAll(reply) => {
                 state.registry.close();
-                for stop in state.runs.values() {
+                for stop in state.executions.values() {
                     stop.cancel();
                 }
                 state.stop_all_replies.push(reply);
@@ -100,7 +100,7 @@
             answer_all(vec![reply]);
             return;
         }
-        if let Some(stop) = self.runs.get(job) {
+        if let Some(stop) = self.executions.get(job) {
             stop.cancel();
         }
         self.stop_replies
@@ -112,10 +112,10 @@
     /// Answers the requests to stop a job that a scan may have been about to start and that does
     /// not run here after all.
     fn answer_settled_stops(&mut self) {
-        let runs = &self.runs;
+        let executions = &self.executions;
         let settled = self
             .stop_replies
-            .extract_if(|job, _| !runs.contains_key(job));
+            .extract_if(|job, _| !executions.contains_key(job));
         for (_, replies) in settled {
             answer_all(replies);
         }
@@ -179,7 +179,7 @@
             tokio::spawn(async move { owner::release(&shared, &owned).await });
         }
         for job in scan.cancelling {
-            if let Some(stop) = state.runs.get(&job)
+            if let Some(stop) = state.executions.get(&job)
                 && state.registry.must_stop(&job)
             {
                 stop.cancel();
@@ -191,11 +191,11 @@
     fn start(&self, myself: &ActorRef<JobsMessage>, state: &mut JobsState, owned: OwnedJob) {
         let stop = CancellationToken::new();
         let job = owned.row.job.clone();
-        state.runs.insert(job.clone(), stop.clone());
+        state.executions.insert(job.clone(), stop.clone());
         let (shared, myself) = (self.0.clone(), myself.clone());
         tokio::spawn(async move {
             let end = runner::run(&shared, owned.clone(), &stop).await;
-            log::info!("run of job {job} ended: {end:?}");
+            log::info!("execution of job {job} ended: {end:?}");
             if end == JobRunOutcome::Stopped && shared.is_stopping() {
                 owner::release(&shared, &owned).await;
             }
--- a/crates/foxtailhold-entry/src/actors/limits.rs
+++ b/crates/foxtailhold-entry/src/actors/limits.rs
@@ -161,7 +161,7 @@
         }
         let requests = ShareRequests {
             from: coordinator,
-            requests: requests,
+            requests,
         };
         let grants = grant_shares(shared, &requests);
         apply_grants(shared, &requests.requests, &grants);
@@ -188,10 +188,7 @@
         return;
     };
     let from = shared.settings.instance.clone();
-    let requests = ShareRequests {
-        from,
-        requests: requests,
-    };
+    let requests = ShareRequests { from, requests };
     let request = PeerRequest::Shares(requests.clone());
     let answer = shared
         .peers
--- a/crates/foxtailhold-entry/src/actors/membership.rs
+++ b/crates/foxtailhold-entry/src/actors/membership.rs
@@ -184,8 +184,8 @@
         });
     }
 
-    /// Asks other members to probe one that did not answer: the connection may be broken only
-    /// between it and this instance.
+    /// Requests an indirect probe, by other members, of one that did not answer: the connection may
+    /// be broken only between it and this instance.
     fn probe_indirectly(
         &self,
         myself: &ActorRef<MembershipMessage>,
--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -125,8 +125,8 @@
         self.counters.report.store(Some(Arc::new((report, now))));
     }
 
-    /// State from the fleet list, or `Leaving` if its own report or a marking by
-    /// [`Self::set_announced_leaving`] says so.
+    /// State from the fleet list, or `Leaving` if its own report or a leaving notice
+    /// ([`Self::set_announced_leaving`]) says so.
     pub fn state(&self) -> FleetState {
         if self.counters.announced_leaving.load(Ordering::Relaxed) || self.report_says_leaving() {
             return FleetState::Leaving;
@@ -147,11 +147,11 @@
         self.set_announced_leaving(true);
     }
 
-    /// Sets whether the instances have told each other that it is leaving.
-    pub fn set_announced_leaving(&self, marked: bool) {
+    /// Sets whether an instance has announced by a leaving notice that it is leaving.
+    pub fn set_announced_leaving(&self, is_leaving: bool) {
         self.counters
             .announced_leaving
-            .store(marked, Ordering::Relaxed);
+            .store(is_leaving, Ordering::Relaxed);
     }
 
     fn report_says_leaving(&self) -> bool {
@@ -295,7 +295,7 @@
 
 impl InFlightGuard {
     /// Start time of the process that received the request, in ms since the Unix epoch by that
-    /// machine's clock; 0 if no load report had told it.
+    /// machine's clock; 0 if no load report had stated it.
     pub fn started_unix_ms(&self) -> u64 {
         self.started_unix_ms
     }
--- a/crates/foxtailhold-entry/src/crashes.rs
+++ b/crates/foxtailhold-entry/src/crashes.rs
@@ -85,8 +85,8 @@
     false
 }
 
-/// Checks whether a failure was a crash of the backend server. If so, tells all instances which
-/// requests were in flight there.
+/// Checks whether a failure was a crash of the backend server. If so, notifies all instances of
+/// the requests that were in flight there.
 pub async fn report_if_crashed<P: Platform>(
     shared: &Shared<P>,
     server: &BackendState,
@@ -131,7 +131,7 @@
         .map(|member| member.peer_address)
 }
 
-/// Asks the coordinator for a probe of a suspect request on one of `backends`. `None` if the
+/// Requests a probe of a suspect request on one of `backends` from the coordinator. `None` if the
 /// coordinator does not answer.
 pub async fn request_probe<P: Platform>(
     shared: &Shared<P>,
--- a/crates/foxtailhold-entry/src/error.rs
+++ b/crates/foxtailhold-entry/src/error.rs
@@ -25,8 +25,8 @@
     /// A socket or signal handler could not be set up.
     #[error("signals cannot be received: {0}")]
     Signal(#[from] std::io::Error),
-    /// Requests were still in flight when the planned stop reached its time limit; they were cut
-    /// off.
+    /// Requests were still in flight when the planned stop reached its time limit; they were
+    /// aborted.
     #[error("requests were still in flight {stop_wait_ms} ms after the stop began")]
     #[diagnostic(help("raise --stop-wait-ms above the longest answer"))]
     CutRequests {
--- a/crates/foxtailhold-entry/src/gateway/batches.rs
+++ b/crates/foxtailhold-entry/src/gateway/batches.rs
@@ -24,7 +24,7 @@
 use crate::shared::Shared;
 use crate::tables;
 
-/// Time limit for telling the job's preferred owner of a new job.
+/// Time limit for notifying the job's preferred owner of a new job.
 const OFFER_TIMEOUT_MS: u64 = 500;
 /// Attempts to settle a write whose answer was lost.
 const MAX_WRITE_ATTEMPTS: u32 = 3;
@@ -174,8 +174,8 @@
     object(shared, row).await
 }
 
-/// Tells the job's preferred owner that the job exists. If the message is lost, the periodic scan
-/// finds the job.
+/// Notifies the job's preferred owner that the job exists. If the message is lost, the periodic
+/// scan finds the job.
 fn offer<P: Platform>(shared: &Shared<P>, customer: &CustomerId, job: &JobId) {
     let members = shared.live_members();
     let ids = members.iter().map(|member| &member.id);
--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -38,7 +38,7 @@
 const PREFIX_BYTES: usize = 512;
 /// Backend servers offered to the coordinator for a probe.
 const MAX_PROBE_BACKENDS: usize = 8;
-/// Pause before the probe coordinator is asked again after it did not answer.
+/// Backoff before a probe is requested again after the probe coordinator did not answer.
 const COORDINATOR_RETRY_MS: u64 = 100;
 
 /// A request as it is sent to backend servers.
@@ -54,7 +54,7 @@
     pub body: Bytes,
     /// Identifies the request in crash records, so that repeats of it are recognized.
     pub fingerprint: Fingerprint,
-    /// Whether the caller asked for a stream.
+    /// Whether the caller requested a stream.
     pub streamed: bool,
     /// Upper bound of the tokens to generate; `None` if the body sets none.
     pub max_tokens: Option<u64>,
--- a/crates/foxtailhold-entry/src/gateway/mod.rs
+++ b/crates/foxtailhold-entry/src/gateway/mod.rs
@@ -109,8 +109,8 @@
         Ok(admitted)
     }
 
-    /// Checks the customer's limits. If this instance holds no share yet, it first asks the
-    /// customer's limit coordinator.
+    /// Checks the customer's limits. If this instance holds no share yet, it first requests
+    /// one from the customer's limit coordinator.
     async fn within_limits(&self, contract: &Contract, tokens: f64) -> Result<AdmittedRequest> {
         let shared = &self.0;
         let customer = &contract.customer;
--- a/crates/foxtailhold-entry/src/instance.rs
+++ b/crates/foxtailhold-entry/src/instance.rs
@@ -32,13 +32,13 @@
 use crate::settings::Settings;
 use crate::shared::{Actors, Shared};
 
-/// Time in which gossip tells all instances of a planned stop.
+/// Time in which gossip announces a planned stop to all instances.
 pub const LEAVE_PROPAGATION_MS: u64 = 1_500;
 /// Upper limit of the wait for the contracts at start, before requests of callers are taken.
 const LOAD_WAIT_MS: u64 = 5_000;
 /// Interval at which the start checks whether the contracts are loaded.
 const LOAD_CHECK_MS: u64 = 10;
-/// Time limit for telling all instances directly of a planned stop.
+/// Time limit for announcing a planned stop to all instances directly.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
 /// Time limit for ending the lease in a planned stop.
 const LEASE_END_TIMEOUT_MS: u64 = 3_000;
@@ -177,9 +177,7 @@
             .membership
             .call(MembershipMessage::Leave, leave_timeout);
         if announced.await.is_err() {
-            log::warn!(
-                "not all instances were told of the planned stop within {LEAVE_TIMEOUT_MS} ms"
-            );
+            log::warn!("planned stop not announced to all instances within {LEAVE_TIMEOUT_MS} ms");
         }
         self.callers.end_connections();
         let wait = Some(Duration::from_millis(JOBS_STOP_TIMEOUT_MS));
--- a/crates/foxtailhold-entry/src/jobs/chunk_slots.rs
+++ b/crates/foxtailhold-entry/src/jobs/chunk_slots.rs
@@ -1,5 +1,5 @@
-//! The chunk slots of one instance, shared by the runs of all its jobs. A slot is the right to have
-//! one chunk in progress.
+//! The chunk slots of one instance, shared by all jobs that it executes. A slot is the right to
+//! have one chunk in progress.
 
 use std::sync::Arc;
 
@@ -38,13 +38,13 @@
         self.estimator.lock()
     }
 
-    /// Returns a guard that gives one taken slot back when it is dropped.
+    /// Returns a guard that releases one acquired slot when it is dropped.
     pub fn guard(&self) -> ChunkSlotGuard {
         ChunkSlotGuard(self.clone())
     }
 }
 
-/// Guard of a chunk slot that was taken; dropping it frees the slot.
+/// Guard of an acquired chunk slot; dropping it releases the slot.
 #[derive(Debug)]
 pub struct ChunkSlotGuard(SharedChunkSlots);
 
--- a/crates/foxtailhold-entry/src/jobs/item.rs
+++ b/crates/foxtailhold-entry/src/jobs/item.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Builds the request to an engine. It asks for a stream if the answer can be assembled from
+    /// Builds the request to an engine. It requests a stream if the answer can be assembled from
     /// one.
     pub fn outgoing(&self, id: RequestId, body: ItemBody) -> OutgoingRequest {
         let fingerprint = Fingerprint::of(self.customer, self.item.body.get().as_bytes());
--- a/crates/foxtailhold-entry/src/jobs/item_body.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_body.rs
@@ -74,7 +74,7 @@
     pub model: TargetName,
     /// The body without `stream` and `stream_options`.
     pub whole: Bytes,
-    /// The body that asks for a stream; `None` if the answer cannot be assembled from streamed
+    /// The body that requests a stream; `None` if the answer cannot be assembled from streamed
     /// text.
     pub streamed: Option<Bytes>,
     /// Most tokens to generate; `None` if the body sets no limit.
--- a/crates/foxtailhold-entry/src/jobs/owner.rs
+++ b/crates/foxtailhold-entry/src/jobs/owner.rs
@@ -86,8 +86,8 @@
     Ok(view)
 }
 
-/// Claims a job that has no owner, whose owner's lease has ended, or that an earlier run of this
-/// instance owned. Returns `None` if another instance owns it or this instance holds no lease.
+/// Claims a job that has no owner, whose owner's lease has ended, or that an earlier process of
+/// this instance owned. Returns `None` if another instance owns it or this instance holds no lease.
 pub async fn claim<P: Platform>(
     shared: &Shared<P>,
     key: &str,
--- a/crates/foxtailhold-entry/src/jobs/runner.rs
+++ b/crates/foxtailhold-entry/src/jobs/runner.rs
@@ -20,15 +20,15 @@
 use crate::jobs::{chunk, owner};
 use crate::shared::Shared;
 
-/// Period at which a run checks its lease, its deadline and whether a chunk slot is free.
+/// Period at which an execution checks its lease, its deadline and whether a chunk slot is free.
 const TICK_MS: u64 = 100;
 
-/// Why the run of a job on this instance ended.
+/// Why the execution of a job on this instance ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobRunOutcome {
     /// The state machine reached its end: the job is finished, or its ownership is lost.
     Ended(ExecutionEnd),
-    /// The run was cancelled by this instance, for a cancelled job or a planned stop.
+    /// The execution was cancelled by this instance, for a cancelled job or a planned stop.
     Stopped,
 }
 
@@ -55,7 +55,7 @@
 
 struct Runner<P> {
     shared: Shared<P>,
-    run: JobExecution,
+    execution: JobExecution,
     attempts: HashMap<u32, ChunkAttempt>,
     final_write: Option<JoinHandle<()>>,
     lease_state: watch::Sender<LeaseState>,
@@ -77,7 +77,7 @@
     let (sender, events) = mpsc::unbounded_channel();
     let mut runner = Runner {
         shared: shared.clone(),
-        run: JobExecution::new(owned, &finished),
+        execution: JobExecution::new(owned, &finished),
         attempts: HashMap::new(),
         final_write: None,
         lease_state: watch::Sender::new(LeaseState::Lapsed),
@@ -124,7 +124,7 @@
     }
 
     fn lease_state(&self) -> LeaseState {
-        let epoch = self.run.owned().epoch;
+        let epoch = self.execution.owned().epoch;
         let now = self.shared.clock.mono();
         let lease_state = self.shared.lease.load().lease_state(epoch, now);
         self.lease_state.send_if_modified(|published| {
@@ -141,7 +141,7 @@
             let lease_state = self.lease_state();
             let now = self.shared.clock.wall();
             let slot = self.acquire_slot(lease_state);
-            match self.run.step(now, lease_state, slot.is_some()) {
+            match self.execution.step(now, lease_state, slot.is_some()) {
                 ExecutionStep::StartChunk(index) => self.start(index, slot?),
                 ExecutionStep::StopChunks(indices) => self.stop_items(&indices).await,
                 ExecutionStep::Finish(finish) => self.finish(*finish),
@@ -153,17 +153,17 @@
 
     fn acquire_slot(&self, lease_state: LeaseState) -> Option<ChunkSlotGuard> {
         let now = self.shared.clock.wall();
-        let row = &self.run.owned().row;
-        let backlog = self.run.backlog(lease_state);
+        let row = &self.execution.owned().row;
+        let backlog = self.execution.backlog(lease_state);
         let mono = self.shared.clock.mono();
         let shared_slots = &self.shared.chunk_slots;
         shared_slots.estimator().update(&row.job, backlog, mono);
         let mut slots = shared_slots.lock();
-        if !self.run.wants_chunk_slot(now, lease_state) {
+        if !self.execution.wants_chunk_slot(now, lease_state) {
             slots.cancel_wait(&row.job);
             return None;
         }
-        let chunks_left = self.run.chunks_left();
+        let chunks_left = self.execution.chunks_left();
         let slack_ms = slots.slack_ms(row.deadline_wall_ms, chunks_left, now);
         let acquired = slots.try_acquire(&row.job, slack_ms);
         drop(slots);
@@ -172,7 +172,7 @@
 
     fn start(&mut self, index: u32, slot: ChunkSlotGuard) {
         let shared = self.shared.clone();
-        let owned = self.run.owned().clone();
+        let owned = self.execution.owned().clone();
         let lease_state = self.lease_state.subscribe();
         let sender = self.sender.clone();
         let task = tokio::spawn(async move {
@@ -200,10 +200,10 @@
 
     fn handle_event(&mut self, event: RunnerEvent) {
         match event {
-            RunnerEvent::AllStarted(index) => self.run.all_items_started(index),
+            RunnerEvent::AllStarted(index) => self.execution.all_items_started(index),
             RunnerEvent::ResultsStored(index, row) => self.commit(index, row),
             RunnerEvent::CommitEnded(index, row, step) => self.committed(index, &row, step),
-            RunnerEvent::FinishEnded(step) => self.run.finish_ended(step),
+            RunnerEvent::FinishEnded(step) => self.execution.finish_ended(step),
         }
     }
 
@@ -213,8 +213,8 @@
         let Some(attempt) = self.attempts.get_mut(&index) else {
             return;
         };
-        self.run.commit_started(index);
-        let commit = ChunkCommit::new(self.run.owned(), index, row);
+        self.execution.commit_started(index);
+        let commit = ChunkCommit::new(self.execution.owned(), index, row);
         let (shared, sender) = (self.shared.clone(), self.sender.clone());
         attempt.task = tokio::spawn(async move {
             let step = chunk::commit(&shared, &commit).await;
@@ -227,7 +227,7 @@
         let attempt = self.attempts.remove(&index);
         if step == ChunkCommitResult::Committed {
             self.shared.metrics.batch_chunks.inc();
-            let job = self.run.owned().row.job.clone();
+            let job = self.execution.owned().row.job.clone();
             self.shared
                 .timeline
                 .note(TimelineEvent::ChunkDone { job, chunk: index });
@@ -239,7 +239,7 @@
                     .record_chunk_duration(chunk_ms);
             }
         }
-        self.run.commit_ended(index, row, step);
+        self.execution.commit_ended(index, row, step);
     }
 
     fn finish(&mut self, finish: FinishTransaction) {
@@ -263,7 +263,7 @@
     }
 
     async fn close(mut self) {
-        let job = &self.run.owned().row.job;
+        let job = &self.execution.owned().row.job;
         self.shared.chunk_slots.lock().cancel_wait(job);
         let now = self.shared.clock.mono();
         self.shared.chunk_slots.estimator().remove(job, now);
--- a/crates/foxtailhold-entry/src/jobs/slot_wait.rs
+++ b/crates/foxtailhold-entry/src/jobs/slot_wait.rs
@@ -14,7 +14,7 @@
 /// Wait before sending again while the actor is not running.
 const RESEND_DELAY_MS: u64 = 100;
 
-/// The channel of one item. Dropping it gives back the slot or ends the wait for one.
+/// The channel of one item. Dropping it releases the slot or ends the wait for one.
 #[derive(Debug)]
 pub struct SlotChannel<P: Platform> {
     shared: Shared<P>,
@@ -66,7 +66,7 @@
         while self.signals.recv().await != Some(SlotSignal::Preempt) {}
     }
 
-    /// Gives the slot back.
+    /// Releases the slot.
     pub fn release(&self) {
         self.send(BatchControllerMessage::ItemLeft(self.item));
     }
--- a/crates/foxtailhold-entry/src/limits.rs
+++ b/crates/foxtailhold-entry/src/limits.rs
@@ -93,7 +93,8 @@
 pub enum Decision {
     /// The request is within the limits.
     Admitted(AdmittedRequest),
-    /// The coordinator has to be asked first. Check again when the channel is closed.
+    /// A share has to be requested from the coordinator first. Check again when the channel is
+    /// closed.
     Wait(watch::Receiver<()>),
     /// The request will fit the limits shortly. Check again after the pause.
     Pause {
@@ -293,8 +294,8 @@
         due
     }
 
-    /// Marks these customers' shares for renewal at once, as their coordinators ask, and returns
-    /// the share requests.
+    /// Marks these customers' shares for renewal at once, as their coordinators require, and
+    /// returns the share requests.
     pub fn apply_recall(&self, customers: &[CustomerId], now: MonoMs) -> Vec<ShareRequest> {
         let mut due = Vec::new();
         for customer in customers {
--- a/crates/foxtailhold-entry/src/messages.rs
+++ b/crates/foxtailhold-entry/src/messages.rs
@@ -27,7 +27,7 @@
     PeerStatus {
         /// Status of the peer's contracts.
         status: ContractStatus,
-        /// When the message that it answers was sent; `None` if the peer sent it unasked.
+        /// When the message that it answers was sent; `None` if it answers none.
         sent_at: Option<MonoMs>,
         /// Peer address of the sender.
         address: SocketAddr,
@@ -145,7 +145,8 @@
     IndirectProbe(InstanceId, bool),
     /// Instances of the fleet list.
     Seeds(Vec<FleetInstance>),
-    /// A planned stop begins. Answered once each other instance has been told or did not answer.
+    /// A planned stop begins. Answered once every other instance has been notified or has
+    /// timed out.
     Leave(RpcReplyPort<()>),
 }
 
--- a/crates/foxtailhold-entry/src/shared.rs
+++ b/crates/foxtailhold-entry/src/shared.rs
@@ -80,7 +80,7 @@
     pub contract_sync: ArcSwap<ContractSync>,
     /// Backend servers of the fleet list.
     pub backends: ArcSwap<BackendTable>,
-    /// Backend servers that are leaving, as the instances have told each other.
+    /// Backend servers that are leaving, by the notices that instances exchange.
     pub leaving: ArcSwap<LeavingBackends>,
     /// Suspect and convicted requests; a request that is not listed is clear.
     pub crash_statuses: ArcSwap<HashMap<Fingerprint, QuarantineStatus>>,
--- a/crates/foxtailhold-peer/src/message.rs
+++ b/crates/foxtailhold-peer/src/message.rs
@@ -25,21 +25,21 @@
     },
     /// Contract changes that were just accepted.
     Contracts(ContractSyncData),
-    /// Tells the preferred owner of a job that the job was accepted.
+    /// Notifies the preferred owner of a job that the job was accepted.
     JobOffered {
         /// Customer of the job.
         customer: CustomerId,
         /// Id of the job.
         job: JobId,
     },
-    /// Asks the preferred owner of a new job whether the job can be finished in time.
+    /// Requests a deadline check of a new job from its preferred owner.
     CheckJobDeadline {
         /// Number of items of the job.
         items: u64,
         /// Time in which the job must be finished.
         window_ms: u64,
     },
-    /// Tells the owner of a job that its cancellation is committed. Answered once no item of it
+    /// Notifies the owner of a job that its cancellation is committed. Answered once no item of it
     /// runs.
     JobCancelled {
         /// Id of the job.
@@ -47,16 +47,16 @@
     },
     /// Requests shares of customers' limits from their coordinator.
     Shares(ShareRequests),
-    /// Tells a holder of shares that another instance needs a part of them: it requests smaller
-    /// shares at once.
+    /// Recalls shares of limits from a holder because another instance needs a part of them: the
+    /// holder requests smaller shares at once.
     SharesRecalled(Vec<CustomerId>),
     /// Requests slots for batch items from the batch controller of an engine.
     SlotsRequested(BatchSlotRequest),
-    /// Tells a job owner the slots that a batch controller grants it from now on.
+    /// Notifies a job owner of the slots that a batch controller grants it from now on.
     SlotsGranted(BatchSlotGrant),
     /// Notifies the batch controller of an engine of online work there.
     OnlineLoad(OnlineLoadNotice),
-    /// Asks for an indirect probe of another instance. Answered with `Done` if that instance
+    /// Requests an indirect probe of another instance. Answered with `Done` if that instance
     /// answers.
     IndirectProbe {
         /// Peer address of the instance to probe.
@@ -64,7 +64,7 @@
     },
     /// Backend servers that are leaving.
     BackendsLeaving(Vec<LeavingNotice>),
-    /// Notices of crashes, probes and verdicts.
+    /// Notices of crashes, probes and convictions.
     Crashes(Vec<QuarantineNotice>),
     /// Requests the whole table of crash notices.
     CrashTable,
--- a/crates/foxtailhold-relay/src/crashes.rs
+++ b/crates/foxtailhold-relay/src/crashes.rs
@@ -17,17 +17,17 @@
 /// request that was running at the same backend server, and is all that is lost if all instances
 /// stop at once.
 const MIN_PERSISTED_CRASHES: usize = 2;
-/// Time after which the next attempt of a request on probation is admitted if the previous one gave
-/// no result. It is longer than attempts usually take.
-const PROBATION_INTERVAL_MS: u64 = 5_000;
+/// Time after which the next probe of a request is admitted if the previous one gave no result. It
+/// is longer than attempts usually take.
+const PROBE_INTERVAL_MS: u64 = 5_000;
 
 #[derive(Debug, Default)]
 struct CrashState {
     registry: CrashRegistry,
     /// Version of each known row.
     row_versions: HashMap<Fingerprint, u64>,
-    /// When this instance last admitted an attempt of each request on probation.
-    probation_attempts: HashMap<Fingerprint, MonoMs>,
+    /// When this instance last admitted a probe, by request.
+    last_probes: HashMap<Fingerprint, MonoMs>,
     /// Requests whose row differs from the evidence of this instance.
     dirty: BTreeSet<Fingerprint>,
 }
@@ -45,19 +45,19 @@
         self.state.lock().registry.is_empty()
     }
 
-    /// Whether a request may run, is on probation or is refused.
+    /// Whether a request may run, may run only as a probe, or is refused.
     pub fn status(&self, fingerprint: Fingerprint, now: WallMs) -> CrashStatus {
         self.state.lock().registry.status(fingerprint, now)
     }
 
-    /// Admits an attempt of a request on probation. At most one is admitted at a time.
-    pub fn admit_on_probation(&self, fingerprint: Fingerprint, now: MonoMs) -> bool {
+    /// Admits a probe of a request whose refusal is over. At most one is admitted at a time.
+    pub fn admit_probe(&self, fingerprint: Fingerprint, now: MonoMs) -> bool {
         let mut state = self.state.lock();
-        let last_admitted = state.probation_attempts.get(&fingerprint);
-        if last_admitted.is_some_and(|at| now.since_ms(*at) < PROBATION_INTERVAL_MS) {
+        let last_admitted = state.last_probes.get(&fingerprint);
+        if last_admitted.is_some_and(|at| now.since_ms(*at) < PROBE_INTERVAL_MS) {
             return false;
         }
-        state.probation_attempts.insert(fingerprint, now);
+        state.last_probes.insert(fingerprint, now);
         true
     }
 
@@ -102,7 +102,7 @@
         let mut state = self.state.lock();
         let crashes = state.registry.crashes(fingerprint);
         state.registry.clear(fingerprint);
-        state.probation_attempts.remove(&fingerprint);
+        state.last_probes.remove(&fingerprint);
         if state.row_versions.contains_key(&fingerprint) {
             state.dirty.insert(fingerprint);
             self.dirty_added.notify_one();
@@ -172,7 +172,7 @@
     pub fn expire(&self, now: WallMs) -> Vec<Fingerprint> {
         let mut state = self.state.lock();
         for fingerprint in state.registry.expire(now) {
-            state.probation_attempts.remove(&fingerprint);
+            state.last_probes.remove(&fingerprint);
         }
         let is_empty_row =
             |fingerprint: &&Fingerprint| state.registry.evidence(**fingerprint).is_none();
--- a/crates/foxtailhold-relay/src/fleet.rs
+++ b/crates/foxtailhold-relay/src/fleet.rs
@@ -219,7 +219,7 @@
     }
 
     /// Returns the backend servers that accept new work. If some backend servers of a service state
-    /// their start, all do; an entry of the service without one has another writer and is left out.
+    /// their start, all do; an entry of the service without one has another writer and is skipped.
     pub fn snapshot(&self) -> Backends {
         let all = self.entries.values().map(|entry| &entry.backend);
         let with_start = all.filter(|backend| backend.started_unix_ms > 0);
--- a/crates/foxtailhold-relay/src/jobs/owner.rs
+++ b/crates/foxtailhold-relay/src/jobs/owner.rs
@@ -21,8 +21,8 @@
 /// connection between instances and far shorter than the slack of an item.
 const OWNER_TIMEOUT_MS: u64 = 1_200;
 
-/// The same for an instance that hears from no other: it may be the one that is cut off, so it
-/// waits longer.
+/// The same for an instance that receives no message from any other: it may itself be the isolated
+/// one, so it waits longer.
 const OWNER_TIMEOUT_ISOLATED_MS: u64 = 3_600;
 
 /// Runs the jobs of this instance and takes over those of instances that are down. When `leave` is
--- a/crates/foxtailhold-relay/src/jobs/sweep.rs
+++ b/crates/foxtailhold-relay/src/jobs/sweep.rs
@@ -13,7 +13,7 @@
 
 /// Interval between sweeps; jobs are kept for minutes.
 const SWEEP_INTERVAL_MS: u64 = 2_000;
-/// An instance that has been down for this time is left out when sweeps are assigned.
+/// Sweeps are not assigned to an instance that has been down for this time.
 const SWEEPER_DOWN_MS: u64 = 5_000;
 /// Jobs are kept this much longer than promised, because the clocks of instances differ.
 const RETENTION_MARGIN_MS: u64 = 10_000;
--- a/crates/foxtailhold-relay/src/metrics.rs
+++ b/crates/foxtailhold-relay/src/metrics.rs
@@ -247,7 +247,7 @@
         self.response_times.get_or_create(&label).observe(seconds);
     }
 
-    /// Counts a stream that was cut off.
+    /// Counts a stream that ended before its last event.
     pub fn stream_cut(&self, route: &str) {
         let route = route.to_owned();
         self.streams_cut.get_or_create(&RouteLabel { route }).inc();
--- a/crates/foxtailhold-relay/src/peers/slot.rs
+++ b/crates/foxtailhold-relay/src/peers/slot.rs
@@ -43,7 +43,7 @@
 /// What a request needs from the allocator.
 #[derive(Debug, Clone)]
 pub struct SlotQuery<'a> {
-    /// Service whose engines are asked for.
+    /// Service at one of whose engines a slot is requested.
     pub pool: &'a TargetName,
     /// Online with a priority, or batch.
     pub urgency: Urgency,
--- a/crates/foxtailhold-relay/src/relay.rs
+++ b/crates/foxtailhold-relay/src/relay.rs
@@ -33,8 +33,9 @@
 const EVENT_GAP_FACTOR: u64 = 3;
 /// Lower bound of the gap that counts as silence.
 const MIN_EVENT_GAP_TIMEOUT_MS: u64 = 600;
-/// Retry delay for callers of a request on probation, which another instance may then admit.
-const PROBATION_RETRY_AFTER_MS: u64 = 1_000;
+/// Retry delay for callers of a request that may run only as a probe, which another instance may
+/// then admit.
+const PROBE_RETRY_AFTER_MS: u64 = 1_000;
 /// Slot requests made if the allocator grants backend servers that this instance does not know.
 /// Instances learn of changes within milliseconds of each other.
 const MAX_SLOT_REQUESTS: u32 = 3;
@@ -76,7 +77,7 @@
 
 impl<D: Dialect> Relay<D> {
     /// Sends a request to one backend server and waits for the response head until
-    /// `response_deadline`. The backend server is told that it has until `deadline`.
+    /// `response_deadline`. The deadline sent to the backend server is `deadline`.
     pub async fn send_to(
         &self,
         backend: &BackendServer,
@@ -183,8 +184,8 @@
             CrashStatus::Refused { left_ms } => Some(left_ms),
             CrashStatus::ProbeAllowed => {
                 let may_run = self.peers.is_assigned(&fingerprint.0.to_be_bytes())
-                    && crashes.admit_on_probation(fingerprint, self.clock.mono());
-                (!may_run).then_some(PROBATION_RETRY_AFTER_MS)
+                    && crashes.admit_probe(fingerprint, self.clock.mono());
+                (!may_run).then_some(PROBE_RETRY_AFTER_MS)
             }
         }
     }
--- a/crates/foxtailhold-relay/src/shared_store/message.rs
+++ b/crates/foxtailhold-relay/src/shared_store/message.rs
@@ -26,7 +26,7 @@
     Follow {
         /// Name of the table.
         table: String,
-        /// Version after which changes are wanted.
+        /// Version after which changes are requested.
         after: u64,
         /// Longest wait for a change.
         wait_ms: u64,
--- a/crates/foxtailhold-relay/src/shared_store/mod.rs
+++ b/crates/foxtailhold-relay/src/shared_store/mod.rs
@@ -1,8 +1,9 @@
 //! Access to the platform's store, through another instance if it cannot be reached directly.
 //!
-//! The store may reject some machines, or be cut off from them, while it serves others. An instance
-//! that cannot reach it asks a live instance to make its calls. Every commit is conditional or
-//! idempotent, so a commit that was tried twice is harmless: the second one finds the first.
+//! The store may reject some machines, or be unreachable for them, while it serves others. An
+//! instance that cannot reach it sends its calls through a live instance. Every commit is
+//! conditional or idempotent, so a commit that was tried twice is harmless: the second one finds
+//! the first.
 
 mod health;
 mod message;
@@ -33,8 +34,8 @@
 const STORE_PATH: &str = "/store";
 /// Size limit of a call or answer: the largest object, with room.
 const MAX_MESSAGE_BYTES: usize = 10 << 20;
-/// Time limit of a call through another instance, in addition to the wait that the call itself asks
-/// for.
+/// Time limit of a call through another instance, in addition to the wait that the call itself
+/// requests.
 const PEER_CALL_TIMEOUT_MS: u64 = 1_200;
 /// A commit without a response after this time is also tried through another instance. A batch job
 /// must be accepted within about 400 ms, and a network partition only shows by silence.
@@ -166,7 +167,7 @@
     }
 
     /// Makes a call through another instance after the direct call failed. If both fail, the error
-    /// tells that the call may have taken effect if that holds for either.
+    /// states that the call may have taken effect if that holds for either.
     async fn retry_through_peer(
         &self,
         call: &StoreCall,
--- a/crates/foxtailhold-relay/src/upstream.rs
+++ b/crates/foxtailhold-relay/src/upstream.rs
@@ -106,8 +106,8 @@
         request
     }
 
-    /// Sends the request and waits for the response head until `response_deadline`. The backend
-    /// server is told that it has until `deadline`.
+    /// Sends the request and waits for the response head until `response_deadline`. The
+    /// deadline sent to the backend server is `deadline`.
     pub async fn send<D: Dialect>(
         &self,
         dialect: &D,
--- a/crates/foxtailhold/src/batch_control/scheduler.rs
+++ b/crates/foxtailhold/src/batch_control/scheduler.rs
@@ -405,7 +405,7 @@
     }
 }
 
-/// Whether the controller must hear of the change before the next regular slot request.
+/// Whether the change must be sent to the controller before the next regular slot request.
 fn is_significant_change(last_request: (u32, u32), now: (u32, u32)) -> bool {
     let step = (last_request.0 / 8).max(1);
     last_request.0.abs_diff(now.0) >= step
--- a/crates/foxtailhold/src/batch_control/window.rs
+++ b/crates/foxtailhold/src/batch_control/window.rs
@@ -45,7 +45,8 @@
     headroom: u32,
     batch: u32,
     online_counts: BTreeMap<InstanceId, OnlineCount>,
-    /// Number of known requests at the backend server, batch and online, after each change.
+    /// Number of requests at the backend server that the controller knows of, batch and online,
+    /// after each change.
     in_flight_history: VecDeque<(MonoMs, u32)>,
     /// Excess over the known requests in each load report, by the time it was made.
     excess: VecDeque<(MonoMs, u32)>,
--- a/crates/foxtailhold/src/idempotency.rs
+++ b/crates/foxtailhold/src/idempotency.rs
@@ -272,8 +272,9 @@
     }
 }
 
-/// A held claim. [`HeldClaim::into_release`] or [`HeldClaim::into_answered_row`] ends it. If it is dropped
-/// instead, the claim stays in the table and resends are told that the request may have run.
+/// A held claim. [`HeldClaim::into_release`] or [`HeldClaim::into_answered_row`] ends it. If it is
+/// dropped instead, the claim stays in the table and resends are refused because the request may
+/// have run.
 #[derive(Debug)]
 pub struct HeldClaim {
     row: ClaimRow,
--- a/crates/foxtailhold/src/limits/coordinator.rs
+++ b/crates/foxtailhold/src/limits/coordinator.rs
@@ -45,7 +45,7 @@
     holders: BTreeMap<InstanceId, HolderState>,
     requests: TokenBucket,
     tokens: TokenBucket,
-    /// When holders were last asked to renew early, to free capacity for another holder.
+    /// When holders were last recalled to renew early, to free capacity for another holder.
     recalled_at: Option<MonoMs>,
 }
 
--- a/crates/foxtailhold/src/limits/divide.rs
+++ b/crates/foxtailhold/src/limits/divide.rs
@@ -12,9 +12,10 @@
     pub is_requester: bool,
 }
 
-/// Computes the asker's part of `whole`, of which `spare` is reserved for later holders. The asker
-/// gets what it claims if all claims fit, otherwise an equal part of what smaller claims leave
-/// over. Most of the unclaimed part is spread evenly, so that a growing demand finds room at once.
+/// Computes the requester's part of `whole`, of which `spare` is reserved for later holders. The
+/// requester gets what it claims if all claims fit, otherwise an equal part of what smaller claims
+/// leave over. Most of the unclaimed part is spread evenly, so that a growing demand finds room at
+/// once.
 pub fn max_min(whole: u32, spare: u32, claims: &mut [ShareClaim]) -> u32 {
     claims.sort_by_key(|claim| claim.wanted);
     let mut remaining = whole.saturating_sub(spare);
--- a/crates/foxtailhold/src/limits/holder.rs
+++ b/crates/foxtailhold/src/limits/holder.rs
@@ -14,8 +14,8 @@
 /// Longest time that requests wait for other holders to free capacity, which those do at their next
 /// renewal.
 const CAPACITY_WAIT_MS: u64 = EXCHANGE_MS + 2 * FAST_RENEWAL_MS;
-/// Renewal period while requests wait for capacity. The coordinator has asked the other holders to
-/// renew by then.
+/// Renewal period while requests wait for capacity. The coordinator has recalled the other
+/// holders' shares by then.
 const CAPACITY_RENEWAL_MS: u64 = 50;
 /// A share request without a response after this time counts as lost.
 pub const RESPONSE_TIMEOUT_MS: u64 = 600;
--- a/crates/foxtailhold/src/membership.rs
+++ b/crates/foxtailhold/src/membership.rs
@@ -28,7 +28,7 @@
 pub const FORGET_MS: u64 = 60_000;
 /// The full state of a peer is requested this often, to repair what gossip lost.
 pub const RESYNC_MS: u64 = 60_000;
-/// Number of members that are asked to probe a member that did not respond.
+/// Number of members that probe a member indirectly that did not respond.
 pub const INDIRECT_PROBES: usize = 3;
 /// One probe in this many also goes to a dead member, which may only have been isolated.
 const DEAD_PROBE_EVERY: u32 = 4;
@@ -206,7 +206,7 @@
         Some(dead.choose(&mut self.rng)?.member.clone())
     }
 
-    /// Members to ask for an indirect probe of `target`, which did not respond.
+    /// Members that are to probe `target` indirectly, which did not respond.
     pub fn indirect_probers(&mut self, target: &InstanceId) -> Vec<Member> {
         let mut probers = Vec::new();
         for record in self.records.values() {
@@ -316,7 +316,7 @@
     }
 
     /// Handles a pause of this process: the time limits of suspects start again, and the instance
-    /// counts as isolated until it hears from peers.
+    /// counts as isolated until it receives messages from peers.
     fn handle_resume(&mut self, now: MonoMs) {
         for record in self.records.values_mut() {
             if record.member.state == MemberState::Suspect {
--- a/crates/foxtailhold/src/quarantine.rs
+++ b/crates/foxtailhold/src/quarantine.rs
@@ -37,7 +37,7 @@
 /// and stop sending requests there, and the requests that are already there show that they do not
 /// crash the engine.
 pub const PROBE_DELAY_MS: u64 = 200;
-/// Time after which an instance asks for a probe again.
+/// Time after which an instance requests a probe again.
 pub const PROBE_RETRY_MS: u64 = 40;
 /// Largest number of entries in each table; the entry that expires first is dropped.
 pub const MAX_ENTRIES: usize = 8_192;
@@ -151,7 +151,7 @@
     },
 }
 
-/// Response to an instance that asks to probe a suspect.
+/// Response to an instance that requests a probe of a suspect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeResponse {
     /// The suspect may be sent to this backend server; no other suspect runs there.
@@ -163,9 +163,9 @@
         /// Time in ms to wait before the request is sent.
         quiet_ms: u64,
     },
-    /// No probe is possible now; ask again later.
+    /// No probe is possible now; the request must be repeated later.
     Wait {
-        /// Time in ms after which to ask again.
+        /// Time in ms after which to request the probe again.
         after_ms: u64,
     },
     /// The coordinator does not suspect the request.
@@ -425,7 +425,8 @@
         Some(notice)
     }
 
-    /// Drops expired entries and returns the verdicts that are due.
+    /// Drops expired entries and returns the notices that are due: for each crashed probe, whether
+    /// the request is convicted or the probe was inconclusive.
     pub fn tick(&mut self, now: MonoMs) -> Vec<QuarantineNotice> {
         self.suspects.retain(|_, suspect| suspect.expires_at > now);
         self.convicted.retain(|_, until| *until > now);
--- a/crates/foxtailhold/src/slots/health.rs
+++ b/crates/foxtailhold/src/slots/health.rs
@@ -1,4 +1,4 @@
-//! Health of one backend server, judged by the responses that all instances received from it.
+//! Health of one backend server, estimated from the responses that all instances received from it.
 
 use crate::breaker::{Availability, Breaker};
 use crate::slots::SlotOutcome;
--- a/crates/foxtailhold/src/suspect.rs
+++ b/crates/foxtailhold/src/suspect.rs
@@ -5,7 +5,7 @@
 use crate::time::MonoMs;
 
 /// A suspect is treated as cleared once the coordinator has reported it as clear for this time,
-/// during which notices are sent again and again. Before that, the coordinator may not have heard
+/// during which notices are sent again and again. Before that, the coordinator may not know
 /// of the crash; after it, the notice that cleared the suspect must have been lost.
 pub const CLEAR_CONFIRMATION_MS: u64 = 2_000;
 
@@ -28,7 +28,7 @@
         /// Remaining duration of the conviction in ms.
         left_ms: u64,
     },
-    /// Check the status of the request again and ask the coordinator again.
+    /// Check the status of the request again and request the probe again.
     Retry {
         /// Time in ms after which to retry.
         after_ms: u64,
--- a/crates/foxtailhold/tests/batch_control_rules.rs
+++ b/crates/foxtailhold/tests/batch_control_rules.rs
@@ -236,7 +236,7 @@
 }
 
 #[test_case("steward", 1; "older grant")]
-#[test_case("other", 9; "grant of another steward")]
+#[test_case("other", 9; "grant of another controller")]
 fn scheduler_ignores(controller: &str, number: u64) {
     let mut scheduler = scheduler(5);
     scheduler.handle_response(&grant("steward", 2, 1), START, START);
--- a/crates/foxtailhold/tests/quarantine.rs
+++ b/crates/foxtailhold/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Verdicts on requests suspected of crashing backend servers. Guards against innocent requests
+//! Convictions of requests suspected of crashing backend servers. Guards against innocent requests
 //! that are convicted and against crashing requests that are never convicted.
 
 use foxtailhold::ids::{BackendId, CustomerId};
