--- a/crates/foxtailhold-entry/src/backends.rs
+++ b/crates/foxtailhold-entry/src/backends.rs
@@ -17,8 +17,8 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// Requests sent up to this long before the time at which a load report was taken are counted
-/// again, because the report may have left the backend server before it saw them.
+/// Requests sent up to this long before the time at which a load report was taken are still counted
+/// on top of it, because the report may have been taken before the backend server received them.
 const REPORT_MARGIN_MS: u64 = 20;
 
 #[derive(Debug)]
