--- a/crates/foxtailhold-entry/src/gateway/dispatch.rs
+++ b/crates/foxtailhold-entry/src/gateway/dispatch.rs
@@ -389,7 +389,7 @@
         let started_at = Instant::now();
         let error = match send(shared, outgoing, resume, &server, timeout_ms).await {
             Ok(answer) => {
-                let probe = answered(&server, &answer, probe, started_at);
+                let probe = record_answer(&server, &answer, probe, started_at);
                 return Ok(StartedAnswer {
                     server,
                     in_flight,
@@ -399,14 +399,14 @@
             }
             Err(error) => error,
         };
-        failed(shared, &server, &in_flight, probe, &error).await;
+        record_failed_attempt(shared, &server, &in_flight, probe, &error).await;
         attempts.record_failure(&server, error, shared.clock.mono());
     }
     Err(attempts.refusal(&outgoing.model))
 }
 
 /// Records a full response as a success and ends its probe. For a stream the probe goes on.
-fn answered<P: Platform>(
+fn record_answer<P: Platform>(
     server: &BackendState,
     answer: &EngineAnswer,
     probe: Option<ProbeGuard<P>>,
@@ -424,7 +424,7 @@
 }
 
 /// Checks whether a failure was a crash, and ends the attempt's probe with that result.
-pub async fn failed<P: Platform>(
+pub async fn record_failed_attempt<P: Platform>(
     shared: &Shared<P>,
     server: &BackendState,
     in_flight: &InFlightGuard,
--- a/crates/foxtailhold-entry/src/gateway/idempotency.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency.rs
@@ -80,8 +80,8 @@
     shared: Shared<P>,
     once_request: OnceRequest,
 ) -> Result<Whole> {
-    let claimer = ClaimAttempt::new(shared.unique(), once_request.digest.clone());
-    match table::claim(&shared, &once_request.key, claimer).await {
+    let attempt = ClaimAttempt::new(shared.unique(), once_request.digest.clone());
+    match table::claim(&shared, &once_request.key, attempt).await {
         ClaimStep::Held(claim) => send_claimed(&shared, once_request, claim).await,
         ClaimStep::Answer(row, answer) => {
             table::restore(&shared, &once_request.key, &row, answer).await
--- a/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
+++ b/crates/foxtailhold-entry/src/gateway/idempotency/table.rs
@@ -76,13 +76,13 @@
 }
 
 /// Writes the claim until it is held, answered from the store, or refused.
-pub async fn claim<P: Platform>(shared: &Shared<P>, key: &str, claimer: ClaimAttempt) -> ClaimStep {
-    let mut claimer = claimer;
+pub async fn claim<P: Platform>(shared: &Shared<P>, key: &str, attempt: ClaimAttempt) -> ClaimStep {
+    let mut attempt = attempt;
     loop {
-        let expected = claimer.expected();
-        let row = claimer.row(shared.clock.mono(), shared.clock.wall());
+        let expected = attempt.expected();
+        let row = attempt.row(shared.clock.mono(), shared.clock.wall());
         let written = write(shared, key, expected, row).await;
-        claimer = match claimer.handle_write(written) {
+        attempt = match attempt.handle_write(written) {
             ClaimStep::Write(next) => next,
             decided => return decided,
         };
--- a/crates/foxtailhold-entry/src/gateway/stream.rs
+++ b/crates/foxtailhold-entry/src/gateway/stream.rs
@@ -165,7 +165,7 @@
                 ..
             } = attempt;
             stream.close();
-            dispatch::failed(&self.shared, &server, &in_flight, probe, &error).await;
+            dispatch::record_failed_attempt(&self.shared, &server, &in_flight, probe, &error).await;
             self.attempts
                 .record_failure(&server, error, self.shared.clock.mono());
         }
--- a/crates/foxtailhold-entry/src/jobs/item_attempt.rs
+++ b/crates/foxtailhold-entry/src/jobs/item_attempt.rs
@@ -181,7 +181,7 @@
     probe: Option<ProbeGuard<P>>,
     error: &EngineError,
 ) {
-    dispatch::failed(shared, server, in_flight, probe, error).await;
+    dispatch::record_failed_attempt(shared, server, in_flight, probe, error).await;
     if !matches!(error, EngineError::Full) {
         server.record_failure(shared.clock.mono());
     }
--- a/crates/foxtailhold/tests/common/gossip.rs
+++ b/crates/foxtailhold/tests/common/gossip.rs
@@ -19,7 +19,7 @@
     pub alive: bool,
     pub paused: bool,
     /// Whether all messages from and to this instance are lost.
-    pub cut: bool,
+    pub partitioned: bool,
     started_ms: u64,
 }
 
@@ -77,7 +77,7 @@
             membership,
             alive: true,
             paused: false,
-            cut: false,
+            partitioned: false,
             started_ms: self.now_ms,
         });
         index
@@ -90,7 +90,7 @@
             membership,
             alive: true,
             paused: false,
-            cut: false,
+            partitioned: false,
             started_ms: self.now_ms,
         };
     }
@@ -121,8 +121,8 @@
     }
 
     fn is_delivered(&mut self, from: usize, to: usize) -> bool {
-        let cut = self.nodes[from].cut || self.nodes[to].cut;
-        !cut && self.runs(to) && self.rng.random_range(0..100) >= self.lost_percent
+        let partitioned = self.nodes[from].partitioned || self.nodes[to].partitioned;
+        !partitioned && self.runs(to) && self.rng.random_range(0..100) >= self.lost_percent
     }
 
     /// Delivers a message and its response. Returns whether the response arrived.
@@ -206,7 +206,7 @@
     pub fn seen(&self, index: usize) -> BTreeMap<Option<MemberState>, usize> {
         let mut seen = BTreeMap::new();
         for (other, node) in self.nodes.iter().enumerate() {
-            if other == index || !self.runs(other) || node.cut {
+            if other == index || !self.runs(other) || node.partitioned {
                 continue;
             }
             let state = node.membership.members().find(|m| m.id == id(index));
--- a/crates/foxtailhold/tests/common/shares.rs
+++ b/crates/foxtailhold/tests/common/shares.rs
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 enum Message {
-    Ask(ShareRequest),
+    Request(ShareRequest),
     Grant(ShareGrant),
     Recall,
 }
@@ -58,7 +58,7 @@
     now: MonoMs,
     pub nodes: Vec<Node>,
     net: Vec<InFlight>,
-    pub cut: BTreeSet<(usize, usize)>,
+    pub partitions: BTreeSet<(usize, usize)>,
     pub loss_percent: u64,
     pub delay_ms: u64,
     number: u64,
@@ -94,7 +94,7 @@
             now,
             nodes,
             net: Vec::new(),
-            cut: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             loss_percent: 0,
             delay_ms: 2,
             number: 0,
@@ -110,7 +110,7 @@
     }
 
     fn reaches(&self, a: usize, b: usize) -> bool {
-        !self.cut.contains(&(a.min(b), a.max(b)))
+        !self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
     pub fn coordinator_of(&self, index: usize) -> usize {
@@ -152,7 +152,7 @@
                 continue;
             }
             match message {
-                Message::Ask(request) => {
+                Message::Request(request) => {
                     let grant = node.coordinator.handle_request(
                         &instance(from),
                         &request,
@@ -192,7 +192,7 @@
             }
             if let Some(request) = node.holder.due_request(&customer(), &LIMITS, number, now) {
                 let coordinator = self.coordinator_of(index);
-                self.post(index, coordinator, Message::Ask(request));
+                self.post(index, coordinator, Message::Request(request));
             }
             if self.nodes[index].holder.is_forgettable(now) {
                 self.nodes[index].holder = ShareHolder::new(now);
--- a/crates/foxtailhold/tests/limits.rs
+++ b/crates/foxtailhold/tests/limits.rs
@@ -64,7 +64,7 @@
     let all = [0, 1, 2, 3];
     world.flood(&all, 3_000);
     for (a, b) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
-        world.cut.insert((a, b));
+        world.partitions.insert((a, b));
     }
     for (index, side) in [(0, [0, 1]), (1, [0, 1]), (2, [2, 3]), (3, [2, 3])] {
         world.set_view(index, &side);
--- a/crates/foxtailhold/tests/limits_fuzz.rs
+++ b/crates/foxtailhold/tests/limits_fuzz.rs
@@ -27,7 +27,7 @@
         loss_percent: u64,
         delay_ms: u64,
     },
-    Cut {
+    Partition {
         a: usize,
         b: usize,
     },
@@ -61,7 +61,7 @@
         let flooded = prop::collection::vec(0..INSTANCES, 1..=INSTANCES);
         let calm = prop_oneof![
             8 => (flooded, 1u64..60).prop_map(|(instances, steps)| Step::Flood { instances, steps }),
-            1 => (one.clone(), one.clone()).prop_map(|(a, b)| Step::Cut { a, b }),
+            1 => (one.clone(), one.clone()).prop_map(|(a, b)| Step::Partition { a, b }),
             1 => Just(Step::Heal),
             8 => (one.clone(), 1u32..80).prop_map(|(instance, count)| Step::Requests { instance, count }),
             8 => (1u64..40).prop_map(|steps| Step::Advance { ms: steps * STEP_MS }),
@@ -113,10 +113,10 @@
                 world.loss_percent = loss_percent;
                 world.delay_ms = delay_ms;
             }
-            Step::Cut { a, b } => {
-                world.cut.insert((a.min(b), a.max(b)));
+            Step::Partition { a, b } => {
+                world.partitions.insert((a.min(b), a.max(b)));
             }
-            Step::Heal => world.cut.clear(),
+            Step::Heal => world.partitions.clear(),
             Step::View { instance, members } => world.set_view(instance, &members),
             Step::Kill { instance } => world.kill(instance),
             Step::Restart { instance } => world.restart(instance),
--- a/crates/foxtailhold/tests/limits_replays.rs
+++ b/crates/foxtailhold/tests/limits_replays.rs
@@ -11,7 +11,7 @@
     world.flood(&[0, 1, 2], 220);
     world.advance(660);
     world.flood(&[3], 720);
-    world.cut.insert((2, 3));
+    world.partitions.insert((2, 3));
     world.advance(400);
     (world.loss_percent, world.delay_ms) = (76, 0);
     world.advance(180);
@@ -36,7 +36,7 @@
     world.advance(380);
     world.flood(&[1], 300);
     world.flood(&[3], 640);
-    world.cut.insert((1, 2));
+    world.partitions.insert((1, 2));
     world.flood(&[1], 380);
     world.advance(480);
     world.flood(&[1], 740);
@@ -48,9 +48,9 @@
 #[test]
 fn run_3_keeps_the_bound() {
     let mut world = World::new();
-    world.cut.clear();
+    world.partitions.clear();
     world.flood(&[1, 0], 200);
-    world.cut.insert((1, 2));
+    world.partitions.insert((1, 2));
     world.flood(&[0], 1080);
     (world.loss_percent, world.delay_ms) = (0, 2);
     world.request(3, 1);
@@ -84,7 +84,7 @@
     let mut world = World::new();
     world.flood(&[3, 2], 660);
     world.flood(&[2], 100);
-    world.cut.insert((2, 3));
+    world.partitions.insert((2, 3));
     world.request(2, 1);
     world.flood(&[3], 940);
     world.advance(560);
@@ -97,10 +97,10 @@
 #[test]
 fn run_6_keeps_the_bound() {
     let mut world = World::new();
-    world.cut.clear();
+    world.partitions.clear();
     (world.loss_percent, world.delay_ms) = (0, 2);
     world.flood(&[2], 20);
-    world.cut.clear();
+    world.partitions.clear();
     world.flood(&[1, 2], 1060);
     (world.loss_percent, world.delay_ms) = (93, 0);
     world.request(1, 41);
@@ -118,7 +118,7 @@
 fn run_7_keeps_the_bound() {
     let mut world = World::new();
     world.flood(&[1, 0], 320);
-    world.cut.insert((0, 2));
+    world.partitions.insert((0, 2));
     world.flood(&[0], 660);
     (world.loss_percent, world.delay_ms) = (0, 2);
     world.flood(&[0], 1180);
@@ -139,7 +139,7 @@
     (world.loss_percent, world.delay_ms) = (67, 0);
     world.flood(&[3], 920);
     (world.loss_percent, world.delay_ms) = (94, 0);
-    world.cut.insert((0, 0));
+    world.partitions.insert((0, 0));
     world.flood(&[0], 60);
     world.flood(&[1], 200);
     world.flood(&[0], 800);
--- a/crates/foxtailhold/tests/membership.rs
+++ b/crates/foxtailhold/tests/membership.rs
@@ -74,7 +74,7 @@
 #[test]
 fn isolated_instance_detects_it_and_rejoins() {
     let mut nodes = converged(11, 11);
-    nodes.nodes[5].cut = true;
+    nodes.nodes[5].partitioned = true;
     nodes.periods_until(10, |nodes| nodes.nodes[5].membership.is_isolated());
     for _ in 0..40 {
         nodes.period();
@@ -82,7 +82,7 @@
             assert_eq!(node.membership.is_isolated(), index == 5);
         }
     }
-    nodes.nodes[5].cut = false;
+    nodes.nodes[5].partitioned = false;
     nodes.periods_until(40, |nodes| {
         let others = (0..11).all(|index| nodes.agreed(index, MemberState::Alive));
         others && !nodes.nodes[5].membership.is_isolated()
--- a/crates/foxtailhold/tests/membership_fuzz.rs
+++ b/crates/foxtailhold/tests/membership_fuzz.rs
@@ -23,7 +23,7 @@
     Kill(usize),
     Pause(usize),
     Resume(usize),
-    Cut(usize, bool),
+    Partition(usize, bool),
     /// Restart under the same name, with the clock moved by this many milliseconds.
     Restart(usize, i64),
     Leave(usize),
@@ -50,7 +50,7 @@
             2 => index.clone().prop_map(Transition::Kill),
             2 => index.clone().prop_map(Transition::Pause),
             2 => index.clone().prop_map(Transition::Resume),
-            2 => (index.clone(), any::<bool>()).prop_map(|(index, cut)| Transition::Cut(index, cut)),
+            2 => (index.clone(), any::<bool>()).prop_map(|(index, partitioned)| Transition::Partition(index, partitioned)),
             2 => (index.clone(), -500..500_i64).prop_map(|(index, offset)| Transition::Restart(index, offset)),
             1 => index.prop_map(Transition::Leave),
             1 => (0..40_u32).prop_map(Transition::Lose),
@@ -68,7 +68,7 @@
     nodes.lost_percent = 0;
     for node in &mut nodes.nodes {
         node.paused = false;
-        node.cut = false;
+        node.partitioned = false;
     }
     // Instances that removed each other while partitioned only meet again through the fleet list.
     nodes.reseed();
@@ -120,7 +120,9 @@
             }
             Transition::Pause(index) if index < count => nodes.nodes[index].paused = true,
             Transition::Resume(index) if index < count => nodes.nodes[index].paused = false,
-            Transition::Cut(index, cut) if index < count => nodes.nodes[index].cut = cut,
+            Transition::Partition(index, partitioned) if index < count => {
+                nodes.nodes[index].partitioned = partitioned
+            }
             Transition::Restart(index, offset) if index < count => {
                 let before = nodes.nodes[index].membership.me().incarnation;
                 nodes.restart(index, before.saturating_add_signed(offset).max(1));
--- a/crates/foxtailhold/tests/suspect.rs
+++ b/crates/foxtailhold/tests/suspect.rs
@@ -1,5 +1,5 @@
 //! Handling of a suspect request by an instance. Guards against a suspect that is sent because the
-//! coordinator of probes has not yet heard of the crash, and against one that is held back for ever
+//! coordinator of probes does not know of the crash yet, and against one that is held back for ever
 //! because the notice that cleared it was lost.
 
 use foxtailhold::ids::BackendId;
