--- a/crates/foxtailhold-experiment/src/lib.rs
+++ b/crates/foxtailhold-experiment/src/lib.rs
@@ -15,5 +15,5 @@
 pub mod plot;
 pub mod report;
 pub mod sheet;
-pub mod tally;
+pub mod statistics;
 pub mod world;
--- a/crates/foxtailhold-experiment/src/options.rs
+++ b/crates/foxtailhold-experiment/src/options.rs
@@ -13,7 +13,7 @@
 use crate::plot::PlotError;
 use crate::report::{Report, Row};
 use crate::sheet::{Sheet, SheetError};
-use crate::tally::Tally;
+use crate::statistics::Tally;
 use crate::world::{Outage, Run, play};
 
 /// Result of checking options and of playing.
--- a/crates/foxtailhold-experiment/src/placement/mod.rs
+++ b/crates/foxtailhold-experiment/src/placement/mod.rs
@@ -1,10 +1,10 @@
 //! Policies that decide which engine gets which request, and when.
 
 mod allocator;
-mod each;
+mod independent;
 
 pub use allocator::Central;
-pub use each::{Alone, Each, InAnswers, Knowledge, Shared};
+pub use independent::{Alone, Each, InAnswers, Knowledge, Shared};
 
 use crate::arrivals::Kind;
 use crate::sheet::Sheet;
--- a/crates/foxtailhold-experiment/src/plot.rs
+++ b/crates/foxtailhold-experiment/src/plot.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::report::{Report, Row};
-use crate::tally::WINDOW_US;
+use crate::statistics::WINDOW_US;
 
 const SIZE_PX: (u32, u32) = (960, 420);
 
--- a/crates/foxtailhold-experiment/src/report.rs
+++ b/crates/foxtailhold-experiment/src/report.rs
@@ -1,7 +1,7 @@
 //! Tables of runs.
 
 use crate::bound::Bound;
-use crate::tally::Tally;
+use crate::statistics::Tally;
 
 /// One policy's runs.
 #[derive(Debug, Clone)]
--- a/crates/foxtailhold-experiment/src/world/ends.rs
+++ b/crates/foxtailhold-experiment/src/world/ends.rs
@@ -2,7 +2,7 @@
 
 use crate::arrivals::Kind;
 use crate::placement::{End, Placement};
-use crate::tally::Fate;
+use crate::statistics::Fate;
 use crate::world::{Event, World};
 
 /// A request that engines had no room for is offered again so often.
--- a/crates/foxtailhold-experiment/src/world/loss.rs
+++ b/crates/foxtailhold-experiment/src/world/loss.rs
@@ -2,7 +2,7 @@
 
 use crate::arrivals::Kind;
 use crate::placement::Placement;
-use crate::tally::Fate;
+use crate::statistics::Fate;
 use crate::world::World;
 
 /// Events of an unfinished item are kept in pieces of so many, as owners of jobs do.
--- a/crates/foxtailhold-experiment/src/world/mod.rs
+++ b/crates/foxtailhold-experiment/src/world/mod.rs
@@ -10,7 +10,7 @@
 use crate::engine::{Engine, Full, Sign, Work};
 use crate::placement::{Action, End, Offer, Placement};
 use crate::sheet::{Sheet, Site};
-use crate::tally::{Fate, Tally};
+use crate::statistics::{Fate, Tally};
 
 /// Policies are told of the time so often, in microseconds.
 pub const TICK_US: u64 = 20_000;
--- a/crates/foxtailhold-experiment/tests/policies.rs
+++ b/crates/foxtailhold-experiment/tests/policies.rs
@@ -4,7 +4,7 @@
 use foxtailhold_experiment::bound::bound;
 use foxtailhold_experiment::options::Policy;
 use foxtailhold_experiment::sheet::{Sheet, SheetError};
-use foxtailhold_experiment::tally::Tally;
+use foxtailhold_experiment::statistics::Tally;
 use foxtailhold_experiment::world::{Outage, Run};
 use test_case::test_case;
 
