--- a/crates/foxtailhold-experiment/src/arrivals.rs
+++ b/crates/foxtailhold-experiment/src/arrivals.rs
@@ -14,7 +14,7 @@
     /// The instance that it arrives at.
     pub instance: usize,
     /// What it is.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Prompt tokens.
     pub prompt_tokens: u64,
     /// Tokens of the answer.
@@ -25,23 +25,23 @@
 
 /// Who waits for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A person.
     Online,
     /// Nobody: an item of a batch job.
     Batch,
 }
 
-/// Draws of one run.
-struct Draws<'a> {
+/// ArrivalGenerator of one run.
+struct ArrivalGenerator<'a> {
     sheet: &'a Sheet,
     instances: Vec<Site>,
     rng: SmallRng,
 }
 
-impl Draws<'_> {
+impl ArrivalGenerator<'_> {
     /// A number around `mean`, at least 1.
-    fn around(&mut self, mean: f64, spread: f64) -> u64 {
+    fn sample_size(&mut self, mean: f64, spread: f64) -> u64 {
         let drawn = match Normal::new(mean, mean * spread) {
             Ok(normal) => normal.sample(&mut self.rng),
             Err(_) => mean,
@@ -69,9 +69,9 @@
         Request {
             at_us,
             instance: self.instance_of(zone),
-            kind: Kind::Online,
-            prompt_tokens: self.around(online.prompt_tokens, online.spread),
-            answer_tokens: self.around(online.events, online.spread)
+            kind: RequestKind::Online,
+            prompt_tokens: self.sample_size(online.prompt_tokens, online.spread),
+            answer_tokens: self.sample_size(online.events, online.spread)
                 * self.sheet.engine.tokens_per_event,
             due_us: at_us + online.objective_ms * 1_000,
         }
@@ -80,13 +80,13 @@
     fn job(&mut self, zone: usize, at_us: u64, requests: &mut Vec<Request>) {
         let batch = self.sheet.batch;
         let instance = self.instance_of(zone);
-        for _ in 0..self.around(batch.items, batch.spread) {
+        for _ in 0..self.sample_size(batch.items, batch.spread) {
             requests.push(Request {
                 at_us,
                 instance,
-                kind: Kind::Batch,
-                prompt_tokens: self.around(batch.prompt_tokens, batch.spread),
-                answer_tokens: self.around(batch.events, batch.spread)
+                kind: RequestKind::Batch,
+                prompt_tokens: self.sample_size(batch.prompt_tokens, batch.spread),
+                answer_tokens: self.sample_size(batch.events, batch.spread)
                     * self.sheet.engine.tokens_per_event,
                 due_us: at_us + batch.due_ms * 1_000,
             });
@@ -95,41 +95,48 @@
 }
 
 /// Factor of the mean rate at a time.
-pub fn factor(sheet: &Sheet, at_us: u64) -> f64 {
-    let (ebb, flood) = (sheet.online.ebb, sheet.online.flood);
-    let in_turn_ms = (at_us / 1_000) % (ebb.1 + flood.1);
-    if in_turn_ms < ebb.1 { ebb.0 } else { flood.0 }
+pub fn rate_factor(sheet: &Sheet, at_us: u64) -> f64 {
+    let (off_peak, peak) = (sheet.online.off_peak, sheet.online.peak);
+    let in_turn_ms = (at_us / 1_000) % (off_peak.1 + peak.1);
+    if in_turn_ms < off_peak.1 {
+        off_peak.0
+    } else {
+        peak.0
+    }
 }
 
 /// All requests of a run of this length, in the order of their arrival.
 pub fn draw(sheet: &Sheet, length_us: u64, seed: u64) -> Vec<Request> {
-    let mut draws = Draws {
+    let mut generator = ArrivalGenerator {
         sheet,
         instances: sheet.instances(),
         rng: SmallRng::seed_from_u64(seed),
     };
     let mut requests = Vec::new();
-    let most = sheet.online.ebb.0.max(sheet.online.flood.0);
+    let max_factor = sheet.online.off_peak.0.max(sheet.online.peak.0);
     for (zone, rates) in sheet.zones.iter().enumerate() {
         let mut at_us = 0;
-        while let Some(gap_us) = draws.gap_us(rates.online_per_s * most) {
+        while let Some(gap_us) = generator.gap_us(rates.online_per_s * max_factor) {
             at_us += gap_us;
             if at_us >= length_us {
                 break;
             }
             // Thinning of a process at the highest rate (Lewis and Shedler, 1979).
-            if draws.rng.random_bool(factor(sheet, at_us) / most) {
-                let request = draws.online(zone, at_us);
+            if generator
+                .rng
+                .random_bool(rate_factor(sheet, at_us) / max_factor)
+            {
+                let request = generator.online(zone, at_us);
                 requests.push(request);
             }
         }
         at_us = 0;
-        while let Some(gap_us) = draws.gap_us(rates.jobs_per_s) {
+        while let Some(gap_us) = generator.gap_us(rates.jobs_per_s) {
             at_us += gap_us;
             if at_us >= length_us {
                 break;
             }
-            draws.job(zone, at_us, &mut requests);
+            generator.job(zone, at_us, &mut requests);
         }
     }
     requests.sort_by_key(|request| request.at_us);
--- a/crates/foxtailhold-experiment/src/bound.rs
+++ b/crates/foxtailhold-experiment/src/bound.rs
@@ -2,15 +2,15 @@
 //!
 //! Engines give the most tokens when all slots are full, so tokens at that rate are the capacity.
 //! Online requests take theirs first. Of the batch items, those that cannot all be served by their
-//! times are left out, the largest first (Moore, 1968), which serves as many as possible. Items may
+//! times are remaining out, the largest first (Moore, 1968), which serves as many as possible. Items may
 //! be served before they come and are never limited by the speed of a single request, so the
 //! result is at least what the best policy could reach.
 
 use std::collections::BinaryHeap;
 
-use crate::arrivals::{Kind, Request, factor};
+use crate::arrivals::{Request, RequestKind, rate_factor};
 use crate::sheet::Sheet;
-use crate::world::Run;
+use crate::world::Scenario;
 
 /// Step in which capacity is added up, in microseconds.
 const STEP_US: u64 = 10_000;
@@ -37,16 +37,16 @@
 }
 
 /// Tokens that engines could give up to each step, without the outage.
-fn capacity(run: &Run<'_>) -> Vec<f64> {
-    let rate = tokens_per_us(run.sheet);
+fn capacity(scenario: &Scenario<'_>) -> Vec<f64> {
+    let rate = tokens_per_us(scenario.sheet);
     let mut sum = 0.0;
     let mut capacity = vec![0.0];
-    for step in 0..run.length_us / STEP_US {
+    for step in 0..scenario.length_us / STEP_US {
         let at_us = step * STEP_US;
-        let is_away = run
+        let is_down = scenario
             .outage
             .is_some_and(|o| at_us >= o.at_us && at_us < o.at_us + o.for_us);
-        if !is_away {
+        if !is_down {
             sum += rate * STEP_US as f64;
         }
         capacity.push(sum);
@@ -54,37 +54,38 @@
     capacity
 }
 
-fn is_lost(run: &Run<'_>, request: &Request) -> bool {
-    run.outage
+fn is_lost(scenario: &Scenario<'_>, request: &Request) -> bool {
+    scenario
+        .outage
         .is_some_and(|o| (o.at_us..o.at_us + o.for_us).contains(&request.at_us))
 }
 
 /// Takes the online requests out of the capacity, each in the step of its arrival or as soon after
-/// as there is some left; returns how many were begun by their time.
-fn serve_online(run: &Run<'_>, capacity: &mut [f64]) -> (u64, u64) {
+/// as there is some remaining; returns how many were begun by their time.
+fn serve_online(scenario: &Scenario<'_>, capacity: &mut [f64]) -> (u64, u64) {
     let steps = capacity.len() - 1;
     let mut free: Vec<f64> = (0..steps).map(|s| capacity[s + 1] - capacity[s]).collect();
-    let (mut owed, mut in_time, mut first) = (0, 0, 0);
-    for request in run
+    let (mut expected, mut in_time, mut first) = (0, 0, 0);
+    for request in scenario
         .requests
         .iter()
-        .filter(|request| request.kind == Kind::Online)
+        .filter(|request| request.kind == RequestKind::Online)
     {
-        owed += 1;
-        if is_lost(run, request) {
+        expected += 1;
+        if is_lost(scenario, request) {
             continue;
         }
         first = first.max((request.at_us / STEP_US) as usize);
-        let mut left = request.answer_tokens as f64;
+        let mut remaining = request.answer_tokens as f64;
         while first < steps && free[first] <= 0.0 {
             first += 1;
         }
         in_time += u64::from(first as u64 * STEP_US <= request.due_us);
         let mut step = first;
-        while step < steps && left > 0.0 {
-            let taken = free[step].min(left);
+        while step < steps && remaining > 0.0 {
+            let taken = free[step].min(remaining);
             free[step] -= taken;
-            left -= taken;
+            remaining -= taken;
             step += 1;
         }
     }
@@ -93,24 +94,24 @@
         sum += free;
         capacity[step + 1] = sum;
     }
-    (owed, in_time)
+    (expected, in_time)
 }
 
 /// The bound of a run.
-pub fn bound(run: &Run<'_>) -> Bound {
-    let mut capacity = capacity(run);
+pub fn bound(scenario: &Scenario<'_>) -> Bound {
+    let mut capacity = capacity(scenario);
     let all = capacity.last().copied().unwrap_or_default();
-    let needed: f64 = run
+    let needed: f64 = scenario
         .requests
         .iter()
         .map(|request| request.answer_tokens as f64)
         .sum();
-    let (owed, in_time) = serve_online(run, &mut capacity);
-    let batch = run
+    let (expected, in_time) = serve_online(scenario, &mut capacity);
+    let batch = scenario
         .requests
         .iter()
-        .filter(|r| r.kind == Kind::Batch && !is_lost(run, r));
-    let mut items: Vec<&Request> = batch.filter(|r| r.due_us <= run.length_us).collect();
+        .filter(|r| r.kind == RequestKind::Batch && !is_lost(scenario, r));
+    let mut items: Vec<&Request> = batch.filter(|r| r.due_us <= scenario.length_us).collect();
     items.sort_by_key(|item| item.due_us);
     let mut taken = BinaryHeap::new();
     let mut tokens = 0;
@@ -130,7 +131,7 @@
         }
     };
     Bound {
-        online: share(in_time, owed),
+        online: share(in_time, expected),
         batch: share(taken.len() as u64, items.len() as u64),
         load: needed / all,
     }
@@ -141,6 +142,9 @@
     let per_s: f64 = sheet.zones.iter().map(|zone| zone.online_per_s).sum();
     let tokens = sheet.online.events * sheet.engine.tokens_per_event as f64;
     let mean = per_s * tokens / (tokens_per_us(sheet) * 1e6);
-    let flood_at_us = sheet.online.ebb.1 * 1_000;
-    (mean * factor(sheet, 0), mean * factor(sheet, flood_at_us))
+    let peak_start_us = sheet.online.off_peak.1 * 1_000;
+    (
+        mean * rate_factor(sheet, 0),
+        mean * rate_factor(sheet, peak_start_us),
+    )
 }
--- a/crates/foxtailhold-experiment/src/engine.rs
+++ b/crates/foxtailhold-experiment/src/engine.rs
@@ -10,25 +10,25 @@
 
 /// A request in an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Work {
+pub struct EngineRequest {
     /// Number of the request.
     pub request: usize,
     /// Tokens to read before the first one is given: the prompt, and what another engine has given.
-    pub to_read: u64,
+    pub prefill_tokens: u64,
     /// Tokens still to give.
-    pub to_give: u64,
+    pub decode_tokens: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Running {
-    work: Work,
-    given: u64,
-    first_at_us: u64,
+    work: EngineRequest,
+    generated_tokens: u64,
+    first_token_at_us: u64,
 }
 
 /// What became visible at the end of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum StepOutput {
     /// An event came; the first one is number 1.
     Event {
         /// Of which request.
@@ -45,17 +45,17 @@
 
 /// The engine has no room for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Full;
+pub struct QueueFull;
 
 /// One engine.
 #[derive(Debug)]
 pub struct Engine {
     shape: EngineShape,
     speed: f64,
-    waiting: VecDeque<Work>,
+    waiting: VecDeque<EngineRequest>,
     running: Vec<Running>,
     step_ends_us: Option<u64>,
-    counted_us: u64,
+    counted_until_us: u64,
     busy_slot_us: u64,
 }
 
@@ -68,15 +68,15 @@
             waiting: VecDeque::new(),
             running: Vec::new(),
             step_ends_us: None,
-            counted_us: 0,
+            counted_until_us: 0,
             busy_slot_us: 0,
         }
     }
 
     /// Takes a request in, and returns whether a step begins by it.
-    pub fn submit(&mut self, now_us: u64, work: Work) -> Result<bool, Full> {
+    pub fn submit(&mut self, now_us: u64, work: EngineRequest) -> Result<bool, QueueFull> {
         if self.waiting.len() >= self.shape.queue {
-            return Err(Full);
+            return Err(QueueFull);
         }
         self.waiting.push_back(work);
         if self.step_ends_us.is_some() {
@@ -88,10 +88,10 @@
 
     /// Ends a request early; returns the tokens that it was given here.
     pub fn cancel(&mut self, now_us: u64, request: usize) -> u64 {
-        self.count(now_us);
+        self.update_busy_time(now_us);
         self.waiting.retain(|work| work.request != request);
         let found = self.running.iter().position(|r| r.work.request == request);
-        found.map_or(0, |index| self.running.remove(index).given)
+        found.map_or(0, |index| self.running.remove(index).generated_tokens)
     }
 
     /// When the step that runs ends.
@@ -106,45 +106,49 @@
 
     /// Slot time in use up to now, in microseconds.
     pub fn busy_slot_us(&mut self, now_us: u64) -> u64 {
-        self.count(now_us);
+        self.update_busy_time(now_us);
         self.busy_slot_us
     }
 
     /// Ends the step that ran, and begins the next one where there is work.
-    pub fn step(&mut self, now_us: u64, signs: &mut Vec<Sign>) {
-        self.count(now_us);
+    pub fn step(&mut self, now_us: u64, outputs: &mut Vec<StepOutput>) {
+        self.update_busy_time(now_us);
         for running in &mut self.running {
-            if now_us < running.first_at_us {
+            if now_us < running.first_token_at_us {
                 continue;
             }
-            running.given += 1;
-            let (request, given) = (running.work.request, running.given);
-            let is_last = given == running.work.to_give;
+            running.generated_tokens += 1;
+            let (request, generated_tokens) = (running.work.request, running.generated_tokens);
+            let is_last = generated_tokens == running.work.decode_tokens;
             // The first event goes out with the first token.
-            if given == 1 || given % self.shape.tokens_per_event == 0 || is_last {
-                let number = 1 + given / self.shape.tokens_per_event;
-                signs.push(Sign::Event { request, number });
+            if generated_tokens == 1
+                || generated_tokens % self.shape.tokens_per_event == 0
+                || is_last
+            {
+                let number = 1 + generated_tokens / self.shape.tokens_per_event;
+                outputs.push(StepOutput::Event { request, number });
             }
             if is_last {
-                signs.push(Sign::Ended { request });
+                outputs.push(StepOutput::Ended { request });
             }
         }
-        self.running.retain(|r| r.given < r.work.to_give);
+        self.running
+            .retain(|r| r.generated_tokens < r.work.decode_tokens);
         self.begin_step(now_us);
     }
 
     fn begin_step(&mut self, now_us: u64) {
-        self.count(now_us);
+        self.update_busy_time(now_us);
         let mut read = 0;
         while self.running.len() < self.shape.slots {
             let Some(work) = self.waiting.pop_front() else {
                 break;
             };
-            read += work.to_read;
+            read += work.prefill_tokens;
             self.running.push(Running {
                 work,
-                given: 0,
-                first_at_us: now_us + self.shape.first_token_us,
+                generated_tokens: 0,
+                first_token_at_us: now_us + self.shape.first_token_us,
             });
         }
         if self.running.is_empty() {
@@ -158,8 +162,8 @@
         self.step_ends_us = Some(now_us + took_us.max(1.0) as u64);
     }
 
-    fn count(&mut self, now_us: u64) {
-        self.busy_slot_us += (now_us - self.counted_us) * self.running.len() as u64;
-        self.counted_us = now_us;
+    fn update_busy_time(&mut self, now_us: u64) {
+        self.busy_slot_us += (now_us - self.counted_until_us) * self.running.len() as u64;
+        self.counted_until_us = now_us;
     }
 }
--- a/crates/foxtailhold-experiment/src/main.rs
+++ b/crates/foxtailhold-experiment/src/main.rs
@@ -22,16 +22,16 @@
 
 fn run(cli: Cli) -> miette::Result<String> {
     let options = Options::try_from(cli)?;
-    let report = options.play()?;
+    let report = options.simulate()?;
     if let Some(directory) = &options.plots {
         plot::write(&report, directory)?;
     }
-    let (ebb, flood) = online_load(&options.sheet);
+    let (off_peak, peak) = online_load(&options.sheet);
     let head = format!(
         "{}: online needs {:.0}% of all slots in the ebb, {:.0}% in the flood; {} seeds of {} s\n\n",
         report.deployment,
-        ebb * 100.0,
-        flood * 100.0,
+        off_peak * 100.0,
+        peak * 100.0,
         options.seeds,
         options.length_us / 1_000_000
     );
--- a/crates/foxtailhold-experiment/src/options.rs
+++ b/crates/foxtailhold-experiment/src/options.rs
@@ -9,12 +9,14 @@
 use crate::arrivals;
 use crate::bound::bound;
 use crate::cli::Cli;
-use crate::placement::{Alone, Central, Each, InAnswers, Layout, Shared};
+use crate::placement::{
+    AllocatorPlacement, IndependentPlacement, OwnRequests, ReportedLoads, SharedCounts, Topology,
+};
 use crate::plot::PlotError;
 use crate::report::{Report, Row};
 use crate::sheet::{Sheet, SheetError};
-use crate::statistics::Tally;
-use crate::world::{Outage, Run, play};
+use crate::statistics::RunStatistics;
+use crate::world::{Outage, Scenario, simulate};
 
 /// Result of checking options and of playing.
 pub type Result<T> = std::result::Result<T, OptionsError>;
@@ -62,11 +64,11 @@
 pub enum Policy {
     /// One instance grants all places.
     Allocator,
-    /// Each on its own, with what the others told last.
+    /// Each instance on its own, with what the others told last.
     SharedView,
-    /// Each on its own, with what engines told in their answers.
+    /// Each instance on its own, with what engines told in their answers.
     InAnswers,
-    /// Each on its own, with its own requests only.
+    /// Each instance on its own, with its own requests only.
     Alone,
 }
 
@@ -90,13 +92,19 @@
     }
 
     /// Plays a run.
-    pub fn play(self, run: Run<'_>) -> Result<Tally> {
-        let layout = Layout::from(run.sheet);
+    pub fn simulate(self, scenario: Scenario<'_>) -> Result<RunStatistics> {
+        let topology = Topology::from(scenario.sheet);
         Ok(match self {
-            Policy::Allocator => play(run, Central::new(layout)?),
-            Policy::SharedView => play(run, Each::<Shared>::new(layout)),
-            Policy::InAnswers => play(run, Each::<InAnswers>::new(layout)),
-            Policy::Alone => play(run, Each::<Alone>::new(layout)),
+            Policy::Allocator => simulate(scenario, AllocatorPlacement::new(topology)?),
+            Policy::SharedView => simulate(
+                scenario,
+                IndependentPlacement::<SharedCounts>::new(topology),
+            ),
+            Policy::InAnswers => simulate(
+                scenario,
+                IndependentPlacement::<ReportedLoads>::new(topology),
+            ),
+            Policy::Alone => simulate(scenario, IndependentPlacement::<OwnRequests>::new(topology)),
         })
     }
 }
@@ -178,26 +186,26 @@
 
 impl Options {
     /// Plays all policies with all seeds.
-    pub fn play(&self) -> Result<Report> {
+    pub fn simulate(&self) -> Result<Report> {
         let mut rows: Vec<Row> = Vec::new();
         for policy in &self.policies {
             rows.push(Row {
                 policy: policy.name(),
-                tallies: Vec::new(),
+                statistics: Vec::new(),
             });
         }
         let mut bounds = Vec::new();
         for seed in 1..=self.seeds {
             let requests = arrivals::draw(&self.sheet, self.length_us, seed);
-            let run = Run {
+            let scenario = Scenario {
                 sheet: &self.sheet,
                 requests: &requests,
                 length_us: self.length_us,
                 outage: self.outage,
             };
-            bounds.push(bound(&run));
+            bounds.push(bound(&scenario));
             for (policy, row) in self.policies.iter().zip(&mut rows) {
-                row.tallies.push(policy.play(run)?);
+                row.statistics.push(policy.simulate(scenario)?);
             }
         }
         let slots = self.sheet.engines().len() * self.sheet.engine.slots;
--- a/crates/foxtailhold-experiment/src/placement/allocator.rs
+++ b/crates/foxtailhold-experiment/src/placement/allocator.rs
@@ -1,4 +1,4 @@
-//! One instance grants all places: the product's own allocator, with the flight of its messages.
+//! One instance grants all backends: the product's own allocator, with the flight of its messages.
 
 use std::collections::HashMap;
 
@@ -9,19 +9,19 @@
 };
 use foxtailhold::time::MonoMs;
 
-use crate::arrivals::Kind;
-use crate::placement::{Action, End, Layout, Offer, Placement};
+use crate::arrivals::RequestKind;
+use crate::placement::{Action, AttemptEnd, PendingRequest, Placement, Topology};
 
 /// Online requests that wait ask again so often, as the instances do.
-const ASK_AGAIN_US: u64 = 100_000;
+const ONLINE_RETRY_US: u64 = 100_000;
 /// The same for batch items.
-const ASK_BATCH_AGAIN_US: u64 = 1_000_000;
+const BATCH_RETRY_US: u64 = 1_000_000;
 
 /// Messages between instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum Message {
     /// An ask arrives at the allocator.
-    Ask {
+    SlotRequest {
         /// The request.
         request: usize,
         /// The ask's number.
@@ -39,8 +39,8 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Asking {
-    offer: Offer,
+struct OpenSlotRequest {
+    pending: PendingRequest,
     number: u64,
     asked_at_us: u64,
     sent_at_us: Option<u64>,
@@ -48,30 +48,30 @@
 
 /// The policy. The first instance is the allocator.
 #[derive(Debug)]
-pub struct Central {
-    layout: Layout,
+pub struct AllocatorPlacement {
+    topology: Topology,
     pool: TargetName,
     zones: Vec<AvailabilityZone>,
     instances: Vec<InstanceId>,
     engines: Vec<BackendId>,
     allocator: Allocator,
-    asking: HashMap<usize, Asking>,
+    open_requests: HashMap<usize, OpenSlotRequest>,
     by_number: HashMap<u64, usize>,
     next_number: u64,
 }
 
-impl Central {
+impl AllocatorPlacement {
     /// An allocator of a deployment's engines.
-    pub fn new(layout: Layout) -> Result<Self, IdError> {
+    pub fn new(topology: Topology) -> Result<Self, IdError> {
         let names = |count: usize, name: &str| -> Vec<String> {
             (0..count).map(|index| format!("{name}-{index}")).collect()
         };
-        let zone_count = layout.instances.iter().chain(&layout.engines).max();
+        let zone_count = topology.instances.iter().chain(&topology.engines).max();
         let zone_names = names(zone_count.map_or(0, |last| last + 1), "zone");
         let zones = zone_names.iter().map(|name| name.as_str().try_into());
-        let instance_names = names(layout.instances.len(), "instance");
-        let engine_names = names(layout.engines.len(), "engine");
-        let mut central = Central {
+        let instance_names = names(topology.instances.len(), "instance");
+        let engine_names = names(topology.engines.len(), "engine");
+        let mut placement = AllocatorPlacement {
             pool: TargetName::try_from("engines")?,
             zones: zones.collect::<Result<_, _>>()?,
             instances: instance_names
@@ -83,108 +83,123 @@
                 .map(|name| name.as_str().try_into())
                 .collect::<Result<_, _>>()?,
             allocator: Allocator::default(),
-            asking: HashMap::new(),
+            open_requests: HashMap::new(),
             by_number: HashMap::new(),
             next_number: 0,
-            layout,
+            topology,
         };
-        central.begin();
-        Ok(central)
+        placement.reset();
+        Ok(placement)
     }
 
-    fn begin(&mut self) {
-        let mut places = Vec::new();
-        for (backend, zone) in self.engines.iter().zip(&self.layout.engines) {
-            places.push(BackendSlots {
+    fn reset(&mut self) {
+        let mut backends = Vec::new();
+        for (backend, zone) in self.engines.iter().zip(&self.topology.engines) {
+            backends.push(BackendSlots {
                 backend: backend.clone(),
                 zone: self.zones[*zone].clone(),
-                slots: self.layout.slots as u32,
+                slots: self.topology.slots as u32,
             });
         }
         self.allocator = Allocator::default();
-        self.allocator.set_backends(&self.pool, &places);
+        self.allocator.set_backends(&self.pool, &backends);
     }
 
-    fn flight_us(&self, instance: usize) -> u64 {
+    fn latency_us(&self, instance: usize) -> u64 {
         match instance {
             0 => 0,
-            other => self.layout.flight_us[0][other],
+            other => self.topology.latency_us[0][other],
         }
     }
 
-    fn ask_id(&self, instance: usize, number: u64) -> SlotRequestId {
+    fn slot_request_id(&self, instance: usize, number: u64) -> SlotRequestId {
         SlotRequestId {
             instance: self.instances[instance].clone(),
             number,
         }
     }
 
-    fn send_ask(&self, now_us: u64, asking: &Asking, actions: &mut Vec<Action<Note>>) {
-        actions.push(Action::Note {
-            at_us: now_us + self.flight_us(asking.offer.instance),
-            note: Note::Ask {
-                request: asking.offer.request,
-                number: asking.number,
+    fn send_slot_request(
+        &self,
+        now_us: u64,
+        slot_request: &OpenSlotRequest,
+        actions: &mut Vec<Action<Message>>,
+    ) {
+        actions.push(Action::Message {
+            at_us: now_us + self.latency_us(slot_request.pending.instance),
+            message: Message::SlotRequest {
+                request: slot_request.pending.request,
+                number: slot_request.number,
             },
         });
     }
 
-    fn ask(&mut self, now_us: u64, request: usize, number: u64, actions: &mut Vec<Action<Note>>) {
-        let Some(asking) = self.asking.get(&request).filter(|a| a.number == number) else {
+    fn handle_slot_request(
+        &mut self,
+        now_us: u64,
+        request: usize,
+        number: u64,
+        actions: &mut Vec<Action<Message>>,
+    ) {
+        let Some(slot_request) = self
+            .open_requests
+            .get(&request)
+            .filter(|a| a.number == number)
+        else {
             return;
         };
-        let offer = asking.offer;
-        let zone = self.layout.instances[offer.instance];
-        let ask = SlotRequest {
-            id: self.ask_id(offer.instance, number),
+        let pending = slot_request.pending;
+        let zone = self.topology.instances[pending.instance];
+        let core_request = SlotRequest {
+            id: self.slot_request_id(pending.instance, number),
             pool: self.pool.clone(),
-            urgency: match offer.kind {
-                Kind::Online => Urgency::Online { priority: 0 },
-                Kind::Batch => Urgency::Batch,
+            urgency: match pending.kind {
+                RequestKind::Online => Urgency::Online { priority: 0 },
+                RequestKind::Batch => Urgency::Batch,
             },
-            slack_ms: offer.due_us.saturating_sub(now_us) / 1_000,
-            avoid: offer
+            slack_ms: pending.due_us.saturating_sub(now_us) / 1_000,
+            avoid: pending
                 .avoid
                 .iter()
                 .map(|engine| self.engines[*engine].clone())
                 .collect(),
             zone: self.zones[zone].clone(),
         };
-        let mut decisions = Vec::new();
-        let id = ask.id.clone();
-        let verdict = self
+        let mut notices = Vec::new();
+        let id = core_request.id.clone();
+        let decision = self
             .allocator
-            .ask(MonoMs(now_us / 1_000), ask, &mut decisions);
+            .ask(MonoMs(now_us / 1_000), core_request, &mut notices);
         let own = SlotNotice {
             request: id,
-            decision: Some(verdict),
+            decision: Some(decision),
         };
-        self.pass_on(now_us, &own, actions);
-        for decision in &decisions {
-            self.pass_on(now_us, decision, actions);
+        self.deliver(now_us, &own, actions);
+        for decision in &notices {
+            self.deliver(now_us, decision, actions);
         }
     }
 
-    fn pass_on(&mut self, now_us: u64, decision: &SlotNotice, actions: &mut Vec<Action<Note>>) {
+    fn deliver(&mut self, now_us: u64, decision: &SlotNotice, actions: &mut Vec<Action<Message>>) {
         let Some(request) = self.by_number.get(&decision.request.number).copied() else {
             return;
         };
-        let Some(instance) = self.asking.get(&request).map(|a| a.offer.instance) else {
+        let Some(instance) = self.open_requests.get(&request).map(|a| a.pending.instance) else {
             return;
         };
-        let at_us = now_us + self.flight_us(instance);
-        let Some(asking) = self.asking.get_mut(&request) else {
+        let at_us = now_us + self.latency_us(instance);
+        let Some(slot_request) = self.open_requests.get_mut(&request) else {
             return;
         };
         match &decision.decision {
             Some(SlotDecision::Granted(backend)) => {
-                if asking.sent_at_us.is_some() {
+                if slot_request.sent_at_us.is_some() {
                     return;
                 }
                 let Some(engine) = self.engines.iter().position(|engine| engine == backend) else {
                     return;
                 };
-                asking.sent_at_us = Some(at_us);
+                slot_request.sent_at_us = Some(at_us);
                 actions.push(Action::Send {
                     at_us,
                     request,
@@ -200,115 +215,125 @@
                     retry_after_ms,
                 });
             }
-            None => actions.push(Action::Cut { at_us, request }),
+            None => actions.push(Action::Preempt { at_us, request }),
         }
     }
 
-    fn pass_all_on(
+    fn deliver_all(
         &mut self,
         now_us: u64,
-        decisions: &[SlotNotice],
-        actions: &mut Vec<Action<Note>>,
+        notices: &[SlotNotice],
+        actions: &mut Vec<Action<Message>>,
     ) {
-        for decision in decisions {
-            self.pass_on(now_us, decision, actions);
+        for decision in notices {
+            self.deliver(now_us, decision, actions);
         }
     }
 }
 
-impl Placement for Central {
-    type Note = Note;
+impl Placement for AllocatorPlacement {
+    type Message = Message;
 
-    fn offer(&mut self, now_us: u64, offer: Offer, actions: &mut Vec<Action<Note>>) {
+    fn enqueue(
+        &mut self,
+        now_us: u64,
+        pending: PendingRequest,
+        actions: &mut Vec<Action<Message>>,
+    ) {
         self.next_number += 1;
-        let asking = Asking {
-            offer,
+        let slot_request = OpenSlotRequest {
+            pending,
             number: self.next_number,
             asked_at_us: now_us,
             sent_at_us: None,
         };
-        self.asking.insert(offer.request, asking);
-        self.by_number.insert(asking.number, offer.request);
-        self.send_ask(now_us, &asking, actions);
+        self.open_requests.insert(pending.request, slot_request);
+        self.by_number.insert(slot_request.number, pending.request);
+        self.send_slot_request(now_us, &slot_request, actions);
     }
 
-    fn ended(
+    fn on_attempt_end(
         &mut self,
         now_us: u64,
         request: usize,
-        end: End,
+        end: AttemptEnd,
         _load: Option<u32>,
-        actions: &mut Vec<Action<Note>>,
+        actions: &mut Vec<Action<Message>>,
     ) {
-        let Some(asking) = self.asking.remove(&request) else {
+        let Some(slot_request) = self.open_requests.remove(&request) else {
             return;
         };
-        self.by_number.remove(&asking.number);
-        let held_us = asking
+        self.by_number.remove(&slot_request.number);
+        let held_us = slot_request
             .sent_at_us
             .map_or(0, |at_us| now_us.saturating_sub(at_us));
         let outcome = match end {
-            End::Done => SlotOutcome::Done {
+            AttemptEnd::Done => SlotOutcome::Done {
                 held_ms: held_us / 1_000,
             },
-            End::Full => SlotOutcome::Full,
-            End::Cut | End::GivenUp => SlotOutcome::Abandoned,
+            AttemptEnd::Full => SlotOutcome::Full,
+            AttemptEnd::Preempted | AttemptEnd::GivenUp => SlotOutcome::Abandoned,
         };
-        let instance = asking.offer.instance;
-        actions.push(Action::Note {
-            at_us: now_us + self.flight_us(instance),
-            note: Note::Release {
+        let instance = slot_request.pending.instance;
+        actions.push(Action::Message {
+            at_us: now_us + self.latency_us(instance),
+            message: Message::Release {
                 instance,
-                number: asking.number,
+                number: slot_request.number,
                 outcome,
             },
         });
     }
 
-    fn told(&mut self, _now_us: u64, _request: usize, _load: u32) {}
+    fn on_load_report(&mut self, _now_us: u64, _request: usize, _load: u32) {}
 
-    fn noted(&mut self, now_us: u64, note: Note, actions: &mut Vec<Action<Note>>) {
-        match note {
-            Note::Ask { request, number } => self.ask(now_us, request, number, actions),
-            Note::Release {
+    fn on_message(&mut self, now_us: u64, message: Message, actions: &mut Vec<Action<Message>>) {
+        match message {
+            Message::SlotRequest { request, number } => {
+                self.handle_slot_request(now_us, request, number, actions)
+            }
+            Message::Release {
                 instance,
                 number,
                 outcome,
             } => {
-                let mut decisions = Vec::new();
-                let (ask, now) = (self.ask_id(instance, number), MonoMs(now_us / 1_000));
+                let mut notices = Vec::new();
+                let (id, now) = (
+                    self.slot_request_id(instance, number),
+                    MonoMs(now_us / 1_000),
+                );
                 let pool = self.pool.clone();
                 self.allocator
-                    .release(now, &pool, &ask, outcome, &mut decisions);
-                self.pass_all_on(now_us, &decisions, actions);
+                    .release(now, &pool, &id, outcome, &mut notices);
+                self.deliver_all(now_us, &notices, actions);
             }
         }
     }
 
-    fn tick(&mut self, now_us: u64, actions: &mut Vec<Action<Note>>) {
-        let mut decisions = Vec::new();
-        self.allocator.tick(MonoMs(now_us / 1_000), &mut decisions);
-        self.pass_all_on(now_us, &decisions, actions);
+    fn tick(&mut self, now_us: u64, actions: &mut Vec<Action<Message>>) {
+        let mut notices = Vec::new();
+        self.allocator.tick(MonoMs(now_us / 1_000), &mut notices);
+        self.deliver_all(now_us, &notices, actions);
         let mut again = Vec::new();
-        for asking in self.asking.values_mut() {
-            let after_us = match asking.offer.kind {
-                Kind::Online => ASK_AGAIN_US,
-                Kind::Batch => ASK_BATCH_AGAIN_US,
+        for slot_request in self.open_requests.values_mut() {
+            let after_us = match slot_request.pending.kind {
+                RequestKind::Online => ONLINE_RETRY_US,
+                RequestKind::Batch => BATCH_RETRY_US,
             };
-            if asking.sent_at_us.is_none() && now_us >= asking.asked_at_us + after_us {
-                asking.asked_at_us = now_us;
-                again.push(*asking);
+            if slot_request.sent_at_us.is_none() && now_us >= slot_request.asked_at_us + after_us {
+                slot_request.asked_at_us = now_us;
+                again.push(*slot_request);
             }
         }
-        again.sort_by_key(|asking| asking.number);
-        for asking in again {
-            self.send_ask(now_us, &asking, actions);
+        again.sort_by_key(|slot_request| slot_request.number);
+        for slot_request in again {
+            self.send_slot_request(now_us, &slot_request, actions);
         }
     }
 
     fn restart(&mut self, _now_us: u64) {
-        self.asking.clear();
+        self.open_requests.clear();
         self.by_number.clear();
-        self.begin();
+        self.reset();
     }
 }
--- a/crates/foxtailhold-experiment/src/placement/mod.rs
+++ b/crates/foxtailhold-experiment/src/placement/mod.rs
@@ -3,21 +3,23 @@
 mod allocator;
 mod independent;
 
-pub use allocator::Central;
-pub use independent::{Alone, Each, InAnswers, Knowledge, Shared};
+pub use allocator::AllocatorPlacement;
+pub use independent::{
+    IndependentPlacement, LoadKnowledge, OwnRequests, ReportedLoads, SharedCounts,
+};
 
-use crate::arrivals::Kind;
+use crate::arrivals::RequestKind;
 use crate::sheet::Sheet;
 
 /// A request that waits at an instance for a place.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Offer {
+pub struct PendingRequest {
     /// Number of the request.
     pub request: usize,
     /// The instance that it waits at.
     pub instance: usize,
     /// Who waits.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Online: its first event is due then. Batch: it must run from then on at the latest.
     pub due_us: u64,
     /// An engine that had no room for it.
@@ -26,13 +28,13 @@
 
 /// How a request's use of an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// Its answer is whole.
     Done,
     /// The engine had no room.
     Full,
     /// It was cut to give way.
-    Cut,
+    Preempted,
     /// Its caller has given up, or its instance was lost.
     GivenUp,
 }
@@ -51,7 +53,7 @@
         engine: usize,
     },
     /// A batch item is cut by its instance, and offered anew.
-    Cut {
+    Preempt {
         /// When.
         at_us: u64,
         /// Which.
@@ -67,17 +69,17 @@
         retry_after_ms: u64,
     },
     /// The policy's own message arrives.
-    Note {
+    Message {
         /// When.
         at_us: u64,
         /// What it says.
-        note: N,
+        message: N,
     },
 }
 
 /// Where and how big all is.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Layout {
+pub struct Topology {
     /// Places of each engine.
     pub slots: usize,
     /// Availability zone of each engine.
@@ -85,17 +87,17 @@
     /// Availability zone of each instance.
     pub instances: Vec<usize>,
     /// One-way time of messages from instance to instance, in microseconds.
-    pub flight_us: Vec<Vec<u64>>,
+    pub latency_us: Vec<Vec<u64>>,
 }
 
-impl From<&Sheet> for Layout {
+impl From<&Sheet> for Topology {
     fn from(sheet: &Sheet) -> Self {
         let instances = sheet.instances();
-        let flight = |a| instances.iter().map(|b| sheet.flight_us(a, *b)).collect();
-        Layout {
+        let latencies = |a| instances.iter().map(|b| sheet.latency_us(a, *b)).collect();
+        Topology {
             slots: sheet.engine.slots,
             engines: sheet.engines().iter().map(|engine| engine.zone).collect(),
-            flight_us: instances.iter().map(|a| flight(*a)).collect(),
+            latency_us: instances.iter().map(|a| latencies(*a)).collect(),
             instances: instances.iter().map(|instance| instance.zone).collect(),
         }
     }
@@ -104,29 +106,39 @@
 /// A policy.
 pub trait Placement {
     /// Messages between its parts.
-    type Note: Copy;
+    type Message: Copy;
 
     /// A request waits for a place, at first or again.
-    fn offer(&mut self, now_us: u64, offer: Offer, actions: &mut Vec<Action<Self::Note>>);
+    fn enqueue(
+        &mut self,
+        now_us: u64,
+        pending: PendingRequest,
+        actions: &mut Vec<Action<Self::Message>>,
+    );
 
-    /// A request has left its engine, or waits no longer. `load` is what the engine told with it.
-    fn ended(
+    /// A request has unplaced its engine, or waits no longer. `load` is what the engine told with it.
+    fn on_attempt_end(
         &mut self,
         now_us: u64,
         request: usize,
-        end: End,
+        end: AttemptEnd,
         load: Option<u32>,
-        actions: &mut Vec<Action<Self::Note>>,
+        actions: &mut Vec<Action<Self::Message>>,
     );
 
     /// The first event of a request came, with the load that the engine told.
-    fn told(&mut self, now_us: u64, request: usize, load: u32);
+    fn on_load_report(&mut self, now_us: u64, request: usize, load: u32);
 
     /// A message of its own has arrived.
-    fn noted(&mut self, now_us: u64, note: Self::Note, actions: &mut Vec<Action<Self::Note>>);
+    fn on_message(
+        &mut self,
+        now_us: u64,
+        message: Self::Message,
+        actions: &mut Vec<Action<Self::Message>>,
+    );
 
     /// Time has passed: once in [`crate::world::TICK_US`].
-    fn tick(&mut self, now_us: u64, actions: &mut Vec<Action<Self::Note>>);
+    fn tick(&mut self, now_us: u64, actions: &mut Vec<Action<Self::Message>>);
 
     /// All instances are lost and begin anew: whatever was known is forgotten.
     fn restart(&mut self, now_us: u64);
--- a/crates/foxtailhold-experiment/src/plot.rs
+++ b/crates/foxtailhold-experiment/src/plot.rs
@@ -19,12 +19,12 @@
 #[error("cannot write the plot {}: {source}", file.display())]
 pub struct PlotError {
     file: PathBuf,
-    source: Cause,
+    source: PlotErrorCause,
 }
 
 /// Why.
 #[derive(Debug, Error)]
-pub enum Cause {
+pub enum PlotErrorCause {
     /// Its directory.
     #[error(transparent)]
     Directory(#[from] std::io::Error),
@@ -56,7 +56,7 @@
 
 /// Writes one SVG for each figure.
 pub fn write(report: &Report, directory: &Path) -> Result<()> {
-    let failed = |file: &Path, source: Cause| PlotError {
+    let failed = |file: &Path, source: PlotErrorCause| PlotError {
         file: file.to_owned(),
         source,
     };
@@ -70,23 +70,27 @@
 
 /// Share in time of each window in which something was owed, over all seeds.
 fn line(row: &Row, kind: usize) -> Vec<(f64, f64)> {
-    let windows = row.tallies.iter().map(|tally| tally.windows.len()).max();
+    let windows = row
+        .statistics
+        .iter()
+        .map(|statistics| statistics.windows.len())
+        .max();
     let mut points = Vec::new();
     for index in 0..windows.unwrap_or_default() {
-        let (mut owed, mut in_time) = (0, 0);
-        for tally in &row.tallies {
-            owed += tally.windows[index].owed[kind];
-            in_time += tally.windows[index].in_time[kind];
+        let (mut expected, mut in_time) = (0, 0);
+        for statistics in &row.statistics {
+            expected += statistics.windows[index].expected[kind];
+            in_time += statistics.windows[index].in_time[kind];
         }
-        if owed > 0 {
+        if expected > 0 {
             let at_s = index as f64 * WINDOW_US as f64 / 1e6;
-            points.push((at_s, in_time as f64 / owed as f64));
+            points.push((at_s, in_time as f64 / expected as f64));
         }
     }
     points
 }
 
-fn draw(report: &Report, figure: &Figure, path: &Path) -> std::result::Result<(), Cause> {
+fn draw(report: &Report, figure: &Figure, path: &Path) -> std::result::Result<(), PlotErrorCause> {
     let lines: Vec<_> = report
         .rows
         .iter()
--- a/crates/foxtailhold-experiment/src/report.rs
+++ b/crates/foxtailhold-experiment/src/report.rs
@@ -1,7 +1,7 @@
 //! Tables of runs.
 
 use crate::bound::Bound;
-use crate::statistics::Tally;
+use crate::statistics::RunStatistics;
 
 /// One policy's runs.
 #[derive(Debug, Clone)]
@@ -9,14 +9,14 @@
     /// The policy's name.
     pub policy: &'static str,
     /// A tally for each seed.
-    pub tallies: Vec<Tally>,
+    pub statistics: Vec<RunStatistics>,
 }
 
 impl Row {
     /// Mean of a figure over the seeds.
-    pub fn mean(&self, figure: impl Fn(&Tally) -> f64) -> f64 {
-        let sum: f64 = self.tallies.iter().map(figure).sum();
-        sum / self.tallies.len().max(1) as f64
+    pub fn mean(&self, figure: impl Fn(&RunStatistics) -> f64) -> f64 {
+        let sum: f64 = self.statistics.iter().map(figure).sum();
+        sum / self.statistics.len().max(1) as f64
     }
 }
 
@@ -67,12 +67,12 @@
             row.mean(|t| t.online.share()),
             online_ms(0.5),
             online_ms(0.99),
-            row.mean(|t| share(t.online.refused, t.online.owed)),
-            row.mean(|t| share(t.online.failed, t.online.owed)),
+            row.mean(|t| share(t.online.refused, t.online.expected)),
+            row.mean(|t| share(t.online.failed, t.online.expected)),
             row.mean(|t| t.batch.share()),
             batch_s(0.5),
             batch_s(0.99),
-            row.mean(|t| t.cuts as f64),
+            row.mean(|t| t.preemptions as f64),
             row.mean(|t| t.full as f64),
             row.mean(|t| t.busy_slot_us as f64 / self.slot_us),
         )
--- a/crates/foxtailhold-experiment/src/sheet.rs
+++ b/crates/foxtailhold-experiment/src/sheet.rs
@@ -90,9 +90,11 @@
     /// Calls again of a refused request.
     pub retries: u32,
     /// Ebb and flood: factors of the mean rate, and how long each lasts.
-    pub ebb: (f64, u64),
+    #[serde(rename = "ebb")]
+    pub off_peak: (f64, u64),
     /// The flood's factor and duration in milliseconds.
-    pub flood: (f64, u64),
+    #[serde(rename = "flood")]
+    pub peak: (f64, u64),
 }
 
 /// Batch jobs.
@@ -198,7 +200,7 @@
             "from 0 to below 1",
         )?;
         check(
-            online.ebb.1 > 0 && online.flood.1 > 0,
+            online.off_peak.1 > 0 && online.peak.1 > 0,
             "online.ebb and flood",
             "above 0 ms",
         )?;
@@ -234,7 +236,7 @@
     }
 
     /// One-way time of a message between availability zones.
-    pub fn flight_us(&self, a: Site, b: Site) -> u64 {
+    pub fn latency_us(&self, a: Site, b: Site) -> u64 {
         match a.zone == b.zone {
             true => self.distances.in_zone_us,
             false => self.distances.cross_zone_us,
--- a/crates/foxtailhold-experiment/src/statistics.rs
+++ b/crates/foxtailhold-experiment/src/statistics.rs
@@ -2,16 +2,16 @@
 
 use hdrhistogram::Histogram;
 
-use crate::arrivals::{Kind, Request};
+use crate::arrivals::{Request, RequestKind};
 
 /// Length of a window of arrivals, in microseconds.
 pub const WINDOW_US: u64 = 2_000_000;
 /// Times are kept up to this many milliseconds.
-const MOST_MS: u64 = 600_000;
+const MAX_TIME_MS: u64 = 600_000;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     /// Served as well as it was asked for.
     InTime,
     /// Served, or still unserved, when it was due.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct Counts {
     /// Requests that are owed an answer.
-    pub owed: u64,
+    pub expected: u64,
     /// In time.
     pub in_time: u64,
     /// Late.
@@ -43,11 +43,11 @@
 
 impl Default for Counts {
     fn default() -> Self {
-        let times_ms = Histogram::new_with_bounds(1, MOST_MS, 3).unwrap_or_else(|error| {
+        let times_ms = Histogram::new_with_bounds(1, MAX_TIME_MS, 3).unwrap_or_else(|error| {
             unreachable!("these are bounds and a precision that histograms have: {error}")
         });
         Counts {
-            owed: 0,
+            expected: 0,
             in_time: 0,
             late: 0,
             refused: 0,
@@ -60,9 +60,9 @@
 impl Counts {
     /// Share of what is owed that was in time.
     pub fn share(&self) -> f64 {
-        match self.owed {
+        match self.expected {
             0 => 1.0,
-            owed => self.in_time as f64 / owed as f64,
+            expected => self.in_time as f64 / expected as f64,
         }
     }
 }
@@ -71,14 +71,14 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Window {
     /// Owed: online, batch.
-    pub owed: [u64; 2],
+    pub expected: [u64; 2],
     /// In time: online, batch.
     pub in_time: [u64; 2],
 }
 
 /// The result of a run.
 #[derive(Debug, Clone)]
-pub struct Tally {
+pub struct RunStatistics {
     /// Online requests.
     pub online: Counts,
     /// Batch items.
@@ -86,50 +86,50 @@
     /// By time of arrival.
     pub windows: Vec<Window>,
     /// Batch items that were cut.
-    pub cuts: u64,
+    pub preemptions: u64,
     /// Requests that an engine had no room for.
     pub full: u64,
     /// Slot time in use at all engines, in microseconds.
     pub busy_slot_us: u64,
 }
 
-impl Tally {
+impl RunStatistics {
     /// Nothing yet.
     pub fn new(length_us: u64) -> Self {
-        Tally {
+        RunStatistics {
             online: Counts::default(),
             batch: Counts::default(),
             windows: vec![Window::default(); (length_us / WINDOW_US + 1) as usize],
-            cuts: 0,
+            preemptions: 0,
             full: 0,
             busy_slot_us: 0,
         }
     }
 
     /// Counts the end of a request.
-    pub fn ended(&mut self, request: &Request, fate: Fate, took_us: Option<u64>) {
-        if fate == Fate::NotAccepted {
+    pub fn record_end(&mut self, request: &Request, outcome: RequestOutcome, took_us: Option<u64>) {
+        if outcome == RequestOutcome::NotAccepted {
             return;
         }
         let counts = match request.kind {
-            Kind::Online => &mut self.online,
-            Kind::Batch => &mut self.batch,
+            RequestKind::Online => &mut self.online,
+            RequestKind::Batch => &mut self.batch,
         };
-        counts.owed += 1;
-        match fate {
-            Fate::InTime => counts.in_time += 1,
-            Fate::Late => counts.late += 1,
-            Fate::Refused => counts.refused += 1,
-            Fate::Failed => counts.failed += 1,
-            Fate::NotAccepted => {}
+        counts.expected += 1;
+        match outcome {
+            RequestOutcome::InTime => counts.in_time += 1,
+            RequestOutcome::Late => counts.late += 1,
+            RequestOutcome::Refused => counts.refused += 1,
+            RequestOutcome::Failed => counts.failed += 1,
+            RequestOutcome::NotAccepted => {}
         }
         if let Some(took_us) = took_us {
             counts.times_ms.saturating_record(took_us / 1_000);
         }
-        let kind = usize::from(request.kind == Kind::Batch);
+        let kind = usize::from(request.kind == RequestKind::Batch);
         if let Some(window) = self.windows.get_mut((request.at_us / WINDOW_US) as usize) {
-            window.owed[kind] += 1;
-            window.in_time[kind] += u64::from(fate == Fate::InTime);
+            window.expected[kind] += 1;
+            window.in_time[kind] += u64::from(outcome == RequestOutcome::InTime);
         }
     }
 }
--- a/crates/foxtailhold-experiment/src/world/ends.rs
+++ b/crates/foxtailhold-experiment/src/world/ends.rs
@@ -1,115 +1,125 @@
 //! How the ways of requests end: served, refused, cut, given up.
 
-use crate::arrivals::Kind;
-use crate::placement::{End, Placement};
-use crate::statistics::Fate;
-use crate::world::{Event, World};
+use crate::arrivals::RequestKind;
+use crate::placement::{AttemptEnd, Placement};
+use crate::statistics::RequestOutcome;
+use crate::world::{Event, Simulation};
 
 /// A request that engines had no room for is offered again so often.
-const FULL_AGAIN: u32 = 3;
+const MAX_FULL_RETRIES: u32 = 3;
 /// Callers whom an engine's refusals reach come back after this time.
 const FULL_RETRY_AFTER_MS: u64 = 120;
 
-impl<P: Placement> World<'_, P> {
-    pub(super) fn over(&mut self, request: usize, end: End, load: u32, offers: u32) {
-        let life = &mut self.lives[request];
-        if life.is_over || life.offers != offers || self.is_away {
+impl<P: Placement> Simulation<'_, P> {
+    pub(super) fn attempt_ended(
+        &mut self,
+        request: usize,
+        end: AttemptEnd,
+        load: u32,
+        attempts: u32,
+    ) {
+        let state = &mut self.states[request];
+        if state.is_over || state.attempts != attempts || self.is_down {
             return;
         }
-        let engine = life.engine.take();
-        self.policy_turn(|policy, now_us, actions| {
-            policy.ended(now_us, request, end, Some(load), actions);
+        let engine = state.engine.take();
+        self.run_policy(|policy, now_us, actions| {
+            policy.on_attempt_end(now_us, request, end, Some(load), actions);
         });
         match end {
-            End::Done => self.served(request),
-            End::Full => {
-                self.tally.full += 1;
-                self.lives[request].full += 1;
-                let is_online = self.run.requests[request].kind == Kind::Online;
-                if is_online && self.lives[request].full > FULL_AGAIN {
+            AttemptEnd::Done => self.finish_served(request),
+            AttemptEnd::Full => {
+                self.statistics.full += 1;
+                self.states[request].full_rejections += 1;
+                let is_online = self.scenario.requests[request].kind == RequestKind::Online;
+                if is_online && self.states[request].full_rejections > MAX_FULL_RETRIES {
                     self.refuse(request, FULL_RETRY_AFTER_MS);
                 } else {
-                    self.offer(request, engine);
+                    self.enqueue(request, engine);
                 }
             }
-            End::Cut | End::GivenUp => {}
+            AttemptEnd::Preempted | AttemptEnd::GivenUp => {}
         }
     }
 
-    fn served(&mut self, request: usize) {
-        let (life, arrival) = (self.lives[request], self.run.requests[request]);
-        let online = &self.run.sheet.online;
-        let first_us = life.first_us.unwrap_or(self.now_us) - arrival.at_us;
+    fn finish_served(&mut self, request: usize) {
+        let (state, arrival) = (self.states[request], self.scenario.requests[request]);
+        let online = &self.scenario.sheet.online;
+        let first_us = state.first_us.unwrap_or(self.now_us) - arrival.at_us;
         let is_in_time = match arrival.kind {
-            Kind::Online => {
+            RequestKind::Online => {
                 first_us <= online.objective_ms * 1_000
-                    && life.longest_pause_us <= online.pause_ms * 1_000
+                    && state.longest_pause_us <= online.pause_ms * 1_000
             }
-            Kind::Batch => self.now_us <= arrival.due_us,
+            RequestKind::Batch => self.now_us <= arrival.due_us,
         };
-        let fate = if is_in_time { Fate::InTime } else { Fate::Late };
-        self.end(request, fate);
+        let outcome = if is_in_time {
+            RequestOutcome::InTime
+        } else {
+            RequestOutcome::Late
+        };
+        self.end(request, outcome);
     }
 
-    pub(super) fn end(&mut self, request: usize, fate: Fate) {
-        let (life, arrival) = (&mut self.lives[request], &self.run.requests[request]);
-        life.is_over = true;
+    pub(super) fn end(&mut self, request: usize, outcome: RequestOutcome) {
+        let (state, arrival) = (&mut self.states[request], &self.scenario.requests[request]);
+        state.is_over = true;
         let took_us = match arrival.kind {
-            Kind::Online => life.first_us.map(|at_us| at_us - arrival.at_us),
-            Kind::Batch => Some(self.now_us - arrival.at_us),
+            RequestKind::Online => state.first_us.map(|at_us| at_us - arrival.at_us),
+            RequestKind::Batch => Some(self.now_us - arrival.at_us),
         };
-        self.tally.ended(arrival, fate, took_us);
+        self.statistics.record_end(arrival, outcome, took_us);
     }
 
     pub(super) fn refuse(&mut self, request: usize, retry_after_ms: u64) {
-        let life = &mut self.lives[request];
-        if life.is_over || life.engine.is_some() {
+        let state = &mut self.states[request];
+        if state.is_over || state.engine.is_some() {
             return;
         }
-        self.policy_turn(|policy, now_us, actions| {
-            policy.ended(now_us, request, End::GivenUp, None, actions);
+        self.run_policy(|policy, now_us, actions| {
+            policy.on_attempt_end(now_us, request, AttemptEnd::GivenUp, None, actions);
         });
-        let life = &mut self.lives[request];
-        life.refusals += 1;
-        if life.refusals > self.run.sheet.online.retries {
-            self.end(request, Fate::Refused);
+        let state = &mut self.states[request];
+        state.refusals += 1;
+        if state.refusals > self.scenario.sheet.online.retries {
+            self.end(request, RequestOutcome::Refused);
             return;
         }
-        self.at(
+        self.schedule(
             self.now_us + retry_after_ms * 1_000,
             Event::Arrive { request },
         );
     }
 
-    pub(super) fn cut(&mut self, request: usize) {
-        let life = &mut self.lives[request];
-        let Some(engine) = life.engine.filter(|_| !life.is_over) else {
+    pub(super) fn preempt(&mut self, request: usize) {
+        let state = &mut self.states[request];
+        let Some(engine) = state.engine.filter(|_| !state.is_over) else {
             return;
         };
-        life.engine = None;
-        let given = self.engines[engine].cancel(self.now_us, request);
-        let life = &mut self.lives[request];
-        life.given_tokens += given;
-        self.tally.cuts += 1;
+        state.engine = None;
+        let generated = self.engines[engine].cancel(self.now_us, request);
+        let state = &mut self.states[request];
+        state.generated_tokens += generated;
+        self.statistics.preemptions += 1;
         let load = self.engines[engine].load();
-        self.policy_turn(|policy, now_us, actions| {
-            policy.ended(now_us, request, End::Cut, Some(load), actions);
+        self.run_policy(|policy, now_us, actions| {
+            policy.on_attempt_end(now_us, request, AttemptEnd::Preempted, Some(load), actions);
         });
-        self.offer(request, None);
+        self.enqueue(request, None);
     }
 
-    pub(super) fn give_up(&mut self, request: usize) {
-        if self.lives[request].is_over {
+    pub(super) fn time_out(&mut self, request: usize) {
+        if self.states[request].is_over {
             return;
         }
-        if let Some(engine) = self.lives[request].engine.take() {
+        if let Some(engine) = self.states[request].engine.take() {
             self.engines[engine].cancel(self.now_us, request);
         }
-        if !self.is_away {
-            self.policy_turn(|policy, now_us, actions| {
-                policy.ended(now_us, request, End::GivenUp, None, actions);
+        if !self.is_down {
+            self.run_policy(|policy, now_us, actions| {
+                policy.on_attempt_end(now_us, request, AttemptEnd::GivenUp, None, actions);
             });
         }
-        self.end(request, Fate::Failed);
+        self.end(request, RequestOutcome::Failed);
     }
 }
--- a/crates/foxtailhold-experiment/src/world/loss.rs
+++ b/crates/foxtailhold-experiment/src/world/loss.rs
@@ -1,41 +1,42 @@
 //! The loss of all instances, and their return.
 
-use crate::arrivals::Kind;
+use crate::arrivals::RequestKind;
 use crate::placement::Placement;
-use crate::statistics::Fate;
-use crate::world::World;
+use crate::statistics::RequestOutcome;
+use crate::world::Simulation;
 
 /// Events of an unfinished item are kept in pieces of so many, as owners of jobs do.
-const PIECE_EVENTS: u64 = 40;
+const CHECKPOINT_EVENTS: u64 = 40;
 
-impl<P: Placement> World<'_, P> {
-    pub(super) fn lose_all(&mut self) {
-        self.is_away = true;
+impl<P: Placement> Simulation<'_, P> {
+    pub(super) fn begin_outage(&mut self) {
+        self.is_down = true;
         self.policy.restart(self.now_us);
-        let piece_tokens = PIECE_EVENTS * self.run.sheet.engine.tokens_per_event;
-        for request in 0..self.lives.len() {
-            let arrival = self.run.requests[request];
-            let life = self.lives[request];
-            if life.is_over || arrival.at_us > self.now_us {
+        let checkpoint_tokens = CHECKPOINT_EVENTS * self.scenario.sheet.engine.tokens_per_event;
+        for request in 0..self.states.len() {
+            let arrival = self.scenario.requests[request];
+            let state = self.states[request];
+            if state.is_over || arrival.at_us > self.now_us {
                 continue;
             }
-            if let Some(engine) = self.lives[request].engine.take() {
-                let given = self.engines[engine].cancel(self.now_us, request);
-                let kept = (life.given_tokens + given) / piece_tokens * piece_tokens;
-                self.lives[request].given_tokens = kept;
+            if let Some(engine) = self.states[request].engine.take() {
+                let generated = self.engines[engine].cancel(self.now_us, request);
+                let kept =
+                    (state.generated_tokens + generated) / checkpoint_tokens * checkpoint_tokens;
+                self.states[request].generated_tokens = kept;
             }
-            if arrival.kind == Kind::Online {
-                self.end(request, Fate::Failed);
+            if arrival.kind == RequestKind::Online {
+                self.end(request, RequestOutcome::Failed);
             }
         }
     }
 
-    pub(super) fn come_back(&mut self) {
-        self.is_away = false;
-        for request in 0..self.lives.len() {
-            let has_come = self.run.requests[request].at_us <= self.now_us;
-            if has_come && !self.lives[request].is_over {
-                self.offer(request, None);
+    pub(super) fn end_outage(&mut self) {
+        self.is_down = false;
+        for request in 0..self.states.len() {
+            let has_come = self.scenario.requests[request].at_us <= self.now_us;
+            if has_come && !self.states[request].is_over {
+                self.enqueue(request, None);
             }
         }
     }
--- a/crates/foxtailhold-experiment/src/world/mod.rs
+++ b/crates/foxtailhold-experiment/src/world/mod.rs
@@ -6,16 +6,16 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use crate::arrivals::{Kind, Request};
-use crate::engine::{Engine, Full, Sign, Work};
-use crate::placement::{Action, End, Offer, Placement};
+use crate::arrivals::{Request, RequestKind};
+use crate::engine::{Engine, EngineRequest, QueueFull, StepOutput};
+use crate::placement::{Action, AttemptEnd, PendingRequest, Placement};
 use crate::sheet::{Sheet, Site};
-use crate::statistics::{Fate, Tally};
+use crate::statistics::{RequestOutcome, RunStatistics};
 
 /// Policies are told of the time so often, in microseconds.
 pub const TICK_US: u64 = 20_000;
 /// An item that has outrun the mean is taken to need this share of it still.
-const LEAST_LEFT_SHARE: f64 = 0.1;
+const MIN_REMAINING_SHARE: f64 = 0.1;
 
 /// All instances are away for a time, and their requests are lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// What is played.
 #[derive(Debug, Clone, Copy)]
-pub struct Run<'a> {
+pub struct Scenario<'a> {
     /// The deployment.
     pub sheet: &'a Sheet,
     /// What arrives.
@@ -44,357 +44,366 @@
     Arrive {
         request: usize,
     },
-    Act(Action<N>),
-    Reach {
+    Action(Action<N>),
+    ReachEngine {
         request: usize,
         engine: usize,
-        offers: u32,
+        attempts: u32,
     },
     Step {
         engine: usize,
     },
-    Told {
+    LoadReport {
         request: usize,
         load: u32,
-        offers: u32,
+        attempts: u32,
     },
-    Over {
+    AttemptEnd {
         request: usize,
-        end: End,
+        end: AttemptEnd,
         load: u32,
-        offers: u32,
+        attempts: u32,
     },
-    GiveUp {
+    CallerTimeout {
         request: usize,
     },
     Tick,
-    Lost,
-    Back,
+    OutageBegins,
+    OutageEnds,
 }
 
 /// A place in the order of events: by time, then as they were made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct ScheduledEvent {
     at_us: u64,
     number: usize,
 }
 
 /// The way of one request.
 #[derive(Debug, Clone, Copy)]
-struct Life {
+struct RequestState {
     is_over: bool,
-    offers: u32,
-    full: u32,
+    attempts: u32,
+    full_rejections: u32,
     refusals: u32,
     engine: Option<usize>,
-    given_tokens: u64,
+    generated_tokens: u64,
     first_us: Option<u64>,
     last_us: u64,
     longest_pause_us: u64,
 }
 
 /// A run that is played.
-struct World<'a, P: Placement> {
-    run: Run<'a>,
+struct Simulation<'a, P: Placement> {
+    scenario: Scenario<'a>,
     policy: P,
     engines: Vec<Engine>,
     engine_sites: Vec<Site>,
     instance_sites: Vec<Site>,
-    lives: Vec<Life>,
-    turns: BinaryHeap<Reverse<Turn>>,
-    events: Vec<Event<P::Note>>,
-    is_away: bool,
+    states: Vec<RequestState>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    events: Vec<Event<P::Message>>,
+    is_down: bool,
     now_us: u64,
-    tally: Tally,
+    statistics: RunStatistics,
 }
 
 /// Plays a run with a policy.
-pub fn play<P: Placement>(run: Run<'_>, policy: P) -> Tally {
-    let mut world = World::new(run, policy);
-    world.play();
-    world.finish()
+pub fn simulate<P: Placement>(scenario: Scenario<'_>, policy: P) -> RunStatistics {
+    let mut simulation = Simulation::new(scenario, policy);
+    simulation.simulate();
+    simulation.finish()
 }
 
-impl<'a, P: Placement> World<'a, P> {
-    fn new(run: Run<'a>, policy: P) -> Self {
-        let engine_sites = run.sheet.engines();
-        let shape = run.sheet.engine;
-        let life = Life {
+impl<'a, P: Placement> Simulation<'a, P> {
+    fn new(scenario: Scenario<'a>, policy: P) -> Self {
+        let engine_sites = scenario.sheet.engines();
+        let shape = scenario.sheet.engine;
+        let state = RequestState {
             is_over: false,
-            offers: 0,
-            full: 0,
+            attempts: 0,
+            full_rejections: 0,
             refusals: 0,
             engine: None,
-            given_tokens: 0,
+            generated_tokens: 0,
             first_us: None,
             last_us: 0,
             longest_pause_us: 0,
         };
-        World {
+        Simulation {
             engines: engine_sites
                 .iter()
                 .map(|site| Engine::new(shape, site.speed))
                 .collect(),
             engine_sites,
-            instance_sites: run.sheet.instances(),
-            lives: vec![life; run.requests.len()],
-            turns: BinaryHeap::new(),
+            instance_sites: scenario.sheet.instances(),
+            states: vec![state; scenario.requests.len()],
+            queue: BinaryHeap::new(),
             events: Vec::new(),
-            is_away: false,
+            is_down: false,
             now_us: 0,
-            tally: Tally::new(run.length_us),
+            statistics: RunStatistics::new(scenario.length_us),
             policy,
-            run,
+            scenario,
         }
     }
 
-    fn at(&mut self, at_us: u64, event: Event<P::Note>) {
+    fn schedule(&mut self, at_us: u64, event: Event<P::Message>) {
         let number = self.events.len();
         let at_us = at_us.max(self.now_us);
         self.events.push(event);
-        self.turns.push(Reverse(Turn { at_us, number }));
+        self.queue.push(Reverse(ScheduledEvent { at_us, number }));
     }
 
-    fn play(&mut self) {
-        for (request, arrival) in self.run.requests.iter().enumerate() {
-            self.at(arrival.at_us, Event::Arrive { request });
+    fn simulate(&mut self) {
+        for (request, arrival) in self.scenario.requests.iter().enumerate() {
+            self.schedule(arrival.at_us, Event::Arrive { request });
         }
-        if let Some(outage) = self.run.outage {
-            self.at(outage.at_us, Event::Lost);
-            self.at(outage.at_us + outage.for_us, Event::Back);
+        if let Some(outage) = self.scenario.outage {
+            self.schedule(outage.at_us, Event::OutageBegins);
+            self.schedule(outage.at_us + outage.for_us, Event::OutageEnds);
         }
-        self.at(0, Event::Tick);
-        while let Some(Reverse(turn)) = self.turns.pop() {
-            if turn.at_us > self.run.length_us {
+        self.schedule(0, Event::Tick);
+        while let Some(Reverse(scheduled)) = self.queue.pop() {
+            if scheduled.at_us > self.scenario.length_us {
                 return;
             }
-            self.now_us = turn.at_us;
-            let event = self.events[turn.number];
+            self.now_us = scheduled.at_us;
+            let event = self.events[scheduled.number];
             self.handle(event);
         }
     }
 
-    fn finish(mut self) -> Tally {
-        for (life, request) in self.lives.iter().zip(self.run.requests) {
-            let is_owed = request.due_us <= self.run.length_us;
-            if !life.is_over && is_owed {
-                self.tally.ended(request, Fate::Late, None);
+    fn finish(mut self) -> RunStatistics {
+        for (state, request) in self.states.iter().zip(self.scenario.requests) {
+            let is_expected = request.due_us <= self.scenario.length_us;
+            if !state.is_over && is_expected {
+                self.statistics
+                    .record_end(request, RequestOutcome::Late, None);
             }
         }
         for engine in &mut self.engines {
-            self.tally.busy_slot_us += engine.busy_slot_us(self.run.length_us);
+            self.statistics.busy_slot_us += engine.busy_slot_us(self.scenario.length_us);
         }
-        self.tally
+        self.statistics
     }
 
-    fn handle(&mut self, event: Event<P::Note>) {
+    fn handle(&mut self, event: Event<P::Message>) {
         match event {
             Event::Arrive { request } => self.arrive(request),
-            Event::Act(action) => self.act(action),
-            Event::Reach {
+            Event::Action(action) => self.apply(action),
+            Event::ReachEngine {
                 request,
                 engine,
-                offers,
-            } => self.reach(request, engine, offers),
+                attempts,
+            } => self.reach_engine(request, engine, attempts),
             Event::Step { engine } => self.step(engine),
-            Event::Told {
+            Event::LoadReport {
                 request,
                 load,
-                offers,
+                attempts,
             } => {
-                if self.lives[request].offers == offers {
-                    self.policy.told(self.now_us, request, load);
+                if self.states[request].attempts == attempts {
+                    self.policy.on_load_report(self.now_us, request, load);
                 }
             }
-            Event::Over {
+            Event::AttemptEnd {
                 request,
                 end,
                 load,
-                offers,
-            } => self.over(request, end, load, offers),
-            Event::GiveUp { request } => self.give_up(request),
+                attempts,
+            } => self.attempt_ended(request, end, load, attempts),
+            Event::CallerTimeout { request } => self.time_out(request),
             Event::Tick => {
-                if !self.is_away {
-                    self.policy_turn(|policy, now_us, actions| policy.tick(now_us, actions));
+                if !self.is_down {
+                    self.run_policy(|policy, now_us, actions| policy.tick(now_us, actions));
                 }
-                self.at(self.now_us + TICK_US, Event::Tick);
+                self.schedule(self.now_us + TICK_US, Event::Tick);
             }
-            Event::Lost => self.lose_all(),
-            Event::Back => self.come_back(),
+            Event::OutageBegins => self.begin_outage(),
+            Event::OutageEnds => self.end_outage(),
         }
     }
 
-    fn policy_turn(&mut self, turn: impl FnOnce(&mut P, u64, &mut Vec<Action<P::Note>>)) {
+    fn run_policy(&mut self, call: impl FnOnce(&mut P, u64, &mut Vec<Action<P::Message>>)) {
         let mut actions = Vec::new();
-        turn(&mut self.policy, self.now_us, &mut actions);
+        call(&mut self.policy, self.now_us, &mut actions);
         for action in actions {
             let (Action::Send { at_us, .. }
-            | Action::Cut { at_us, .. }
+            | Action::Preempt { at_us, .. }
             | Action::Refuse { at_us, .. }
-            | Action::Note { at_us, .. }) = action;
-            self.at(at_us, Event::Act(action));
+            | Action::Message { at_us, .. }) = action;
+            self.schedule(at_us, Event::Action(action));
         }
     }
 
     fn arrive(&mut self, request: usize) {
-        let arrival = self.run.requests[request];
-        if self.is_away {
-            let fate = match arrival.kind {
-                Kind::Online => Fate::Failed,
-                Kind::Batch => Fate::NotAccepted,
+        let arrival = self.scenario.requests[request];
+        if self.is_down {
+            let outcome = match arrival.kind {
+                RequestKind::Online => RequestOutcome::Failed,
+                RequestKind::Batch => RequestOutcome::NotAccepted,
             };
-            self.end(request, fate);
+            self.end(request, outcome);
             return;
         }
-        if arrival.kind == Kind::Online && self.lives[request].offers == 0 {
-            let patience_us = self.run.sheet.online.patience_ms * 1_000;
-            self.at(arrival.at_us + patience_us, Event::GiveUp { request });
+        if arrival.kind == RequestKind::Online && self.states[request].attempts == 0 {
+            let caller_timeout_us = self.scenario.sheet.online.patience_ms * 1_000;
+            self.schedule(
+                arrival.at_us + caller_timeout_us,
+                Event::CallerTimeout { request },
+            );
         }
-        self.offer(request, None);
+        self.enqueue(request, None);
     }
 
-    fn offer(&mut self, request: usize, avoid: Option<usize>) {
-        let arrival = self.run.requests[request];
-        self.lives[request].offers += 1;
+    fn enqueue(&mut self, request: usize, avoid: Option<usize>) {
+        let arrival = self.scenario.requests[request];
+        self.states[request].attempts += 1;
         let due_us = match arrival.kind {
-            Kind::Online => self.now_us + self.run.sheet.online.objective_ms * 1_000,
-            Kind::Batch => arrival.due_us.saturating_sub(self.left_us(request)),
+            RequestKind::Online => self.now_us + self.scenario.sheet.online.objective_ms * 1_000,
+            RequestKind::Batch => arrival.due_us.saturating_sub(self.remaining_us(request)),
         };
-        let offer = Offer {
+        let pending = PendingRequest {
             request,
             instance: arrival.instance,
             kind: arrival.kind,
             due_us,
             avoid,
         };
-        self.policy_turn(|policy, now_us, actions| policy.offer(now_us, offer, actions));
+        self.run_policy(|policy, now_us, actions| policy.enqueue(now_us, pending, actions));
     }
 
     /// Time that an item still needs, as far as its instance can tell: it knows how long items are on
     /// average, and what this one has given.
-    fn left_us(&self, request: usize) -> u64 {
-        let sheet = self.run.sheet;
+    fn remaining_us(&self, request: usize) -> u64 {
+        let sheet = self.scenario.sheet;
         let mean_tokens = sheet.batch.events * sheet.engine.tokens_per_event as f64;
-        let given_tokens = self.lives[request].given_tokens as f64;
-        let left_tokens = (mean_tokens - given_tokens).max(mean_tokens * LEAST_LEFT_SHARE);
-        (left_tokens * sheet.engine.full_step_us(1.0)) as u64
+        let generated_tokens = self.states[request].generated_tokens as f64;
+        let remaining_tokens =
+            (mean_tokens - generated_tokens).max(mean_tokens * MIN_REMAINING_SHARE);
+        (remaining_tokens * sheet.engine.full_step_us(1.0)) as u64
     }
 
-    fn act(&mut self, action: Action<P::Note>) {
-        if self.is_away {
+    fn apply(&mut self, action: Action<P::Message>) {
+        if self.is_down {
             return;
         }
         match action {
             Action::Send {
                 request, engine, ..
             } => {
-                if self.lives[request].is_over {
+                if self.states[request].is_over {
                     return;
                 }
-                let offers = self.lives[request].offers;
-                let at_us = self.now_us + self.flight_us(request, engine);
-                let reach = Event::Reach {
+                let attempts = self.states[request].attempts;
+                let at_us = self.now_us + self.latency_us(request, engine);
+                let event = Event::ReachEngine {
                     request,
                     engine,
-                    offers,
+                    attempts,
                 };
-                self.at(at_us, reach);
+                self.schedule(at_us, event);
             }
-            Action::Cut { request, .. } => self.cut(request),
+            Action::Preempt { request, .. } => self.preempt(request),
             Action::Refuse {
                 request,
                 retry_after_ms,
                 ..
             } => self.refuse(request, retry_after_ms),
-            Action::Note { note, .. } => {
-                self.policy_turn(|policy, now_us, actions| policy.noted(now_us, note, actions));
+            Action::Message { message, .. } => {
+                self.run_policy(|policy, now_us, actions| {
+                    policy.on_message(now_us, message, actions)
+                });
             }
         }
     }
 
-    fn flight_us(&self, request: usize, engine: usize) -> u64 {
-        let instance = self.instance_sites[self.run.requests[request].instance];
-        self.run
+    fn latency_us(&self, request: usize, engine: usize) -> u64 {
+        let instance = self.instance_sites[self.scenario.requests[request].instance];
+        self.scenario
             .sheet
-            .flight_us(instance, self.engine_sites[engine])
+            .latency_us(instance, self.engine_sites[engine])
     }
 
-    fn reach(&mut self, request: usize, engine: usize, offers: u32) {
-        let life = self.lives[request];
-        if life.is_over || life.offers != offers || self.is_away {
+    fn reach_engine(&mut self, request: usize, engine: usize, attempts: u32) {
+        let state = self.states[request];
+        if state.is_over || state.attempts != attempts || self.is_down {
             return;
         }
-        let arrival = self.run.requests[request];
-        let work = Work {
+        let arrival = self.scenario.requests[request];
+        let work = EngineRequest {
             request,
-            to_read: arrival.prompt_tokens + life.given_tokens,
-            to_give: arrival
+            prefill_tokens: arrival.prompt_tokens + state.generated_tokens,
+            decode_tokens: arrival
                 .answer_tokens
-                .saturating_sub(life.given_tokens)
+                .saturating_sub(state.generated_tokens)
                 .max(1),
         };
         match self.engines[engine].submit(self.now_us, work) {
             Ok(begins) => {
-                self.lives[request].engine = Some(engine);
+                self.states[request].engine = Some(engine);
                 if begins {
                     self.next_step(engine);
                 }
             }
-            Err(Full) => {
-                let (load, end) = (self.engines[engine].load(), End::Full);
-                self.lives[request].engine = Some(engine);
-                self.tell_over(request, engine, end, load);
+            Err(QueueFull) => {
+                let (load, end) = (self.engines[engine].load(), AttemptEnd::Full);
+                self.states[request].engine = Some(engine);
+                self.report_attempt_end(request, engine, end, load);
             }
         }
     }
 
-    fn tell_over(&mut self, request: usize, engine: usize, end: End, load: u32) {
-        let at_us = self.now_us + self.flight_us(request, engine);
-        let offers = self.lives[request].offers;
-        let over = Event::Over {
+    fn report_attempt_end(&mut self, request: usize, engine: usize, end: AttemptEnd, load: u32) {
+        let at_us = self.now_us + self.latency_us(request, engine);
+        let attempts = self.states[request].attempts;
+        let event = Event::AttemptEnd {
             request,
             end,
             load,
-            offers,
+            attempts,
         };
-        self.at(at_us, over);
+        self.schedule(at_us, event);
     }
 
     fn next_step(&mut self, engine: usize) {
         if let Some(at_us) = self.engines[engine].step_ends_us() {
-            self.at(at_us, Event::Step { engine });
+            self.schedule(at_us, Event::Step { engine });
         }
     }
 
     fn step(&mut self, engine: usize) {
-        let mut signs = Vec::new();
-        self.engines[engine].step(self.now_us, &mut signs);
+        let mut outputs = Vec::new();
+        self.engines[engine].step(self.now_us, &mut outputs);
         let load = self.engines[engine].load();
-        for sign in signs {
-            match sign {
-                Sign::Event { request, .. } => self.event(request, engine, load),
-                Sign::Ended { request } => self.tell_over(request, engine, End::Done, load),
+        for output in outputs {
+            match output {
+                StepOutput::Event { request, .. } => self.record_event(request, engine, load),
+                StepOutput::Ended { request } => {
+                    self.report_attempt_end(request, engine, AttemptEnd::Done, load)
+                }
             }
         }
         self.next_step(engine);
     }
 
-    fn event(&mut self, request: usize, engine: usize, load: u32) {
-        let seen_us = self.now_us + self.flight_us(request, engine);
-        let life = &mut self.lives[request];
-        if life.first_us.is_none() {
-            life.first_us = Some(seen_us);
+    fn record_event(&mut self, request: usize, engine: usize, load: u32) {
+        let seen_us = self.now_us + self.latency_us(request, engine);
+        let state = &mut self.states[request];
+        if state.first_us.is_none() {
+            state.first_us = Some(seen_us);
         } else {
-            let pause_us = seen_us.saturating_sub(life.last_us);
-            life.longest_pause_us = life.longest_pause_us.max(pause_us);
+            let pause_us = seen_us.saturating_sub(state.last_us);
+            state.longest_pause_us = state.longest_pause_us.max(pause_us);
         }
-        life.last_us = seen_us;
-        let offers = life.offers;
-        let told = Event::Told {
+        state.last_us = seen_us;
+        let attempts = state.attempts;
+        let event = Event::LoadReport {
             request,
             load,
-            offers,
+            attempts,
         };
-        self.at(seen_us, told);
+        self.schedule(seen_us, event);
     }
 }
--- a/crates/foxtailhold-experiment/tests/engine.rs
+++ b/crates/foxtailhold-experiment/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The modelled engine, step by step.
 
-use foxtailhold_experiment::engine::{Engine, Full, Sign, Work};
+use foxtailhold_experiment::engine::{Engine, EngineRequest, QueueFull, StepOutput};
 use foxtailhold_experiment::sheet::EngineShape;
 
 const SHAPE: EngineShape = EngineShape {
@@ -13,21 +13,21 @@
     tokens_per_event: 3,
 };
 
-fn work(request: usize, to_read: u64, to_give: u64) -> Work {
-    Work {
+fn work(request: usize, prefill_tokens: u64, decode_tokens: u64) -> EngineRequest {
+    EngineRequest {
         request,
-        to_read,
-        to_give,
+        prefill_tokens,
+        decode_tokens,
     }
 }
 
 /// Steps until `until_us`; what came, with its time.
-fn run(engine: &mut Engine, until_us: u64) -> Vec<(u64, Sign)> {
+fn run(engine: &mut Engine, until_us: u64) -> Vec<(u64, StepOutput)> {
     let mut all = Vec::new();
     while let Some(at_us) = engine.step_ends_us().filter(|at_us| *at_us <= until_us) {
-        let mut signs = Vec::new();
-        engine.step(at_us, &mut signs);
-        all.extend(signs.into_iter().map(|sign| (at_us, sign)));
+        let mut outputs = Vec::new();
+        engine.step(at_us, &mut outputs);
+        all.extend(outputs.into_iter().map(|output| (at_us, output)));
     }
     all
 }
@@ -39,19 +39,19 @@
     let expected = [
         (
             3_100,
-            Sign::Event {
+            StepOutput::Event {
                 request: 7,
                 number: 1,
             },
         ),
         (
             4_200,
-            Sign::Event {
+            StepOutput::Event {
                 request: 7,
                 number: 1,
             },
         ),
-        (4_200, Sign::Ended { request: 7 }),
+        (4_200, StepOutput::Ended { request: 7 }),
     ];
     assert_eq!(run(&mut engine, 10_000), expected);
     assert_eq!(engine.step_ends_us(), None);
@@ -70,12 +70,12 @@
     let mut engine = Engine::new(SHAPE, 1.0);
     assert_eq!(engine.submit(0, work(1, 0, 2)), Ok(true));
     assert_eq!(engine.submit(10, work(2, 0, 1)), Ok(false));
-    assert_eq!(engine.submit(20, work(3, 0, 1)), Err(Full));
+    assert_eq!(engine.submit(20, work(3, 0, 1)), Err(QueueFull));
     let ended: Vec<usize> = run(&mut engine, 100_000)
         .into_iter()
-        .filter_map(|(_, sign)| match sign {
-            Sign::Ended { request } => Some(request),
-            Sign::Event { .. } => None,
+        .filter_map(|(_, output)| match output {
+            StepOutput::Ended { request } => Some(request),
+            StepOutput::Event { .. } => None,
         })
         .collect();
     assert_eq!(ended, [1, 2]);
--- a/crates/foxtailhold-experiment/tests/policies.rs
+++ b/crates/foxtailhold-experiment/tests/policies.rs
@@ -1,11 +1,11 @@
 //! Policies on the sheets that come with the program.
 
-use foxtailhold_experiment::arrivals::{self, Kind, factor};
+use foxtailhold_experiment::arrivals::{self, RequestKind, rate_factor};
 use foxtailhold_experiment::bound::bound;
 use foxtailhold_experiment::options::Policy;
 use foxtailhold_experiment::sheet::{Sheet, SheetError};
-use foxtailhold_experiment::statistics::Tally;
-use foxtailhold_experiment::world::{Outage, Run};
+use foxtailhold_experiment::statistics::RunStatistics;
+use foxtailhold_experiment::world::{Outage, Scenario};
 use test_case::test_case;
 
 const GRANITE_TRAIL: &str = include_str!("../sheets/granite-trail.toml");
@@ -16,9 +16,14 @@
     Sheet::try_from(text).unwrap()
 }
 
-fn with_run<T>(sheet: &Sheet, seed: u64, outage: Option<Outage>, play: impl Fn(Run<'_>) -> T) -> T {
+fn with_scenario<T>(
+    sheet: &Sheet,
+    seed: u64,
+    outage: Option<Outage>,
+    simulate: impl Fn(Scenario<'_>) -> T,
+) -> T {
     let requests = arrivals::draw(sheet, LENGTH_US, seed);
-    play(Run {
+    simulate(Scenario {
         sheet,
         requests: &requests,
         length_us: LENGTH_US,
@@ -26,26 +31,30 @@
     })
 }
 
-fn play(policy: Policy, sheet: &Sheet, seed: u64) -> Tally {
-    with_run(sheet, seed, None, |run| policy.play(run).unwrap())
+fn simulate(policy: Policy, sheet: &Sheet, seed: u64) -> RunStatistics {
+    with_scenario(sheet, seed, None, |scenario| {
+        policy.simulate(scenario).unwrap()
+    })
 }
 
 #[test]
-fn arrivals_are_the_same_for_a_seed_and_follow_ebb_and_flood() {
+fn arrivals_are_the_same_for_a_seed_and_follow_off_peak_and_peak() {
     let sheet = sheet(GRANITE_TRAIL);
     let all = arrivals::draw(&sheet, LENGTH_US, 5);
     assert_eq!(all, arrivals::draw(&sheet, LENGTH_US, 5));
     assert_ne!(all, arrivals::draw(&sheet, LENGTH_US, 6));
     assert!(all.is_sorted_by_key(|request| request.at_us));
-    let online = all.iter().filter(|request| request.kind == Kind::Online);
-    let (mut ebb, mut flood) = (0.0, 0.0);
+    let online = all
+        .iter()
+        .filter(|request| request.kind == RequestKind::Online);
+    let (mut off_peak, mut peak) = (0.0, 0.0);
     for request in online {
-        match factor(&sheet, request.at_us) < 1.0 {
-            true => ebb += 1.0 / 3.8,
-            false => flood += 1.0 / 2.8,
+        match rate_factor(&sheet, request.at_us) < 1.0 {
+            true => off_peak += 1.0 / 3.8,
+            false => peak += 1.0 / 2.8,
         }
     }
-    let ratio = flood / ebb;
+    let ratio = peak / off_peak;
     assert!((3.5..6.5).contains(&ratio), "{ratio}, 4.88 by the sheet");
 }
 
@@ -60,11 +69,12 @@
     for seed in 1..4 {
         for outage in [None, Some(outage)] {
             for policy in Policy::ALL {
-                with_run(&sheet, seed, outage, |run| {
-                    let (tally, most) = (policy.play(run).unwrap(), bound(&run));
+                with_scenario(&sheet, seed, outage, |scenario| {
+                    let (statistics, upper) =
+                        (policy.simulate(scenario).unwrap(), bound(&scenario));
                     let name = policy.name();
-                    assert!(tally.online.share() <= most.online, "{name} {seed}");
-                    assert!(tally.batch.share() <= most.batch, "{name} {seed}");
+                    assert!(statistics.online.share() <= upper.online, "{name} {seed}");
+                    assert!(statistics.batch.share() <= upper.batch, "{name} {seed}");
                 });
             }
         }
@@ -73,14 +83,22 @@
 
 #[test_case(GRANITE_TRAIL; "granite trail")]
 #[test_case(HUON_TRACKS; "huon tracks")]
-fn an_allocator_serves_more_in_time_than_instances_on_their_own(text: &str) {
+fn an_allocator_serves_more_in_time_than_independent_instances(text: &str) {
     let sheet = sheet(text);
-    let tally = play(Policy::Allocator, &sheet, 1);
-    assert!(tally.online.share() > 0.95, "{}", tally.online.share());
-    assert!(tally.batch.share() > 0.95, "{}", tally.batch.share());
+    let statistics = simulate(Policy::Allocator, &sheet, 1);
+    assert!(
+        statistics.online.share() > 0.95,
+        "{}",
+        statistics.online.share()
+    );
+    assert!(
+        statistics.batch.share() > 0.95,
+        "{}",
+        statistics.batch.share()
+    );
     for policy in [Policy::SharedView, Policy::InAnswers, Policy::Alone] {
-        let other = play(policy, &sheet, 1);
-        let better = tally.online.share() - other.online.share();
+        let other = simulate(policy, &sheet, 1);
+        let better = statistics.online.share() - other.online.share();
         assert!(better > 0.02, "{}: {better}", policy.name());
     }
 }
@@ -88,9 +106,15 @@
 #[test]
 fn a_run_is_the_same_each_time() {
     let sheet = sheet(HUON_TRACKS);
-    let figures = |tally: Tally| (tally.online.in_time, tally.batch.in_time, tally.cuts);
-    let first = figures(play(Policy::SharedView, &sheet, 2));
-    assert_eq!(first, figures(play(Policy::SharedView, &sheet, 2)));
+    let figures = |statistics: RunStatistics| {
+        (
+            statistics.online.in_time,
+            statistics.batch.in_time,
+            statistics.preemptions,
+        )
+    };
+    let first = figures(simulate(Policy::SharedView, &sheet, 2));
+    assert_eq!(first, figures(simulate(Policy::SharedView, &sheet, 2)));
 }
 
 #[test_case("slots = 8", "slots = 0", "engine.slots"; "no slots")]
--- a/crates/foxtailhold-standin/tests/batch_beside_online.rs
+++ b/crates/foxtailhold-standin/tests/batch_beside_online.rs
@@ -33,7 +33,7 @@
 /// Longest time of an item that a paused owner leaves in its slot.
 const ITEM_MS: u64 = 2_500;
 /// Tokens that an engine may have sent and a cut stream not received.
-const TOKENS_UNDER_WAY: u64 = 20;
+const MAX_UNDELIVERED_TOKENS: u64 = 20;
 
 fn prompt(question: &str) -> String {
     json!([{ "role": "user", "content": question }]).to_string()
@@ -55,7 +55,7 @@
         deployment.add_engine(&format!("engine-{index}"), zone, &["--slots", &slots]);
     }
     deployment.settle(entries).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     deployment
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// Waits until batch has all but the headroom of every engine.
-async fn filled(deployment: &Deployment) {
+async fn wait_until_filled(deployment: &Deployment) {
     until("batch to fill the engines", async || {
         for index in 0..ENGINES {
             let load: Value = engine(deployment, index, "/load").await;
@@ -180,97 +180,103 @@
 }
 
 /// Checks that each item was finished once, and that a cut cost it only what was under way.
-fn check_legs(records: &[Ran]) {
+fn check_attempts(records: &[Ran]) {
     let mut finished: HashMap<&str, u32> = HashMap::new();
-    let mut legs: HashMap<&str, (u64, u64)> = HashMap::new();
+    let mut attempts: HashMap<&str, (u64, u64)> = HashMap::new();
     for ran in records {
         if !ran.prompt.contains("advancement report") {
             continue;
         }
         *finished.entry(&ran.prompt).or_default() += u32::from(ran.finished);
-        let (count, tokens) = legs.entry(&ran.prompt).or_default();
+        let (count, tokens) = attempts.entry(&ran.prompt).or_default();
         *count += 1;
         *tokens += ran.tokens;
     }
     assert_eq!(finished.len(), ITEMS);
     assert!(finished.values().all(|count| *count == 1), "{finished:?}");
-    for (prompt, (count, tokens)) in legs {
-        let most = ITEM_TOKENS + (count - 1) * TOKENS_UNDER_WAY;
-        assert!(tokens <= most, "{prompt}: {tokens} tokens in {count} legs");
+    for (prompt, (count, tokens)) in attempts {
+        let max_tokens = ITEM_TOKENS + (count - 1) * MAX_UNDELIVERED_TOKENS;
+        assert!(
+            tokens <= max_tokens,
+            "{prompt}: {tokens} tokens in {count} legs"
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn burst_onto_replicas_full_of_batch_does_not_wait_and_no_item_is_lost() {
+async fn burst_onto_engines_full_of_batch_does_not_wait_and_no_item_is_lost() {
     let deployment = deployment(3).await;
-    let off = burst(&deployment, &[0, 1, 2], "before").await;
+    let without_batch_ms = burst(&deployment, &[0, 1, 2], "before").await;
     let job = submit(&deployment, 0).await;
-    filled(&deployment).await;
-    let with = burst(&deployment, &[0, 1, 2], "during").await;
+    wait_until_filled(&deployment).await;
+    let with_batch_ms = burst(&deployment, &[0, 1, 2], "during").await;
 
     let record = records(&deployment).await;
     let online = record.iter().filter(|ran| ran.prompt.contains("during"));
-    let came = online.clone().map(|ran| ran.came_unix_ms).min().unwrap();
+    let burst_unix_ms = online.clone().map(|ran| ran.came_unix_ms).min().unwrap();
     let waits = online.filter_map(|ran| Some(ran.admitted_unix_ms? - ran.came_unix_ms));
     let longest_wait_ms = waits.max().unwrap();
-    let cuts = record.iter().filter_map(|ran| ran.cancelled_unix_ms);
-    let cuts: Vec<u64> = cuts.filter(|at| *at >= came).map(|at| at - came).collect();
-    println!("first token in ms, batch off: {off:?}");
-    println!("first token in ms, with batch: {with:?}");
-    println!("batch cancelled so many ms after the burst came: {cuts:?}");
+    let preempted_after_ms = record.iter().filter_map(|ran| ran.cancelled_unix_ms);
+    let preempted_after_ms: Vec<u64> = preempted_after_ms
+        .filter(|at| *at >= burst_unix_ms)
+        .map(|at| at - burst_unix_ms)
+        .collect();
+    println!("first token in ms, batch off: {without_batch_ms:?}");
+    println!("first token in ms, with batch: {with_batch_ms:?}");
+    println!("batch cancelled so many ms after the burst came: {preempted_after_ms:?}");
     println!("longest wait of an online request for a slot: {longest_wait_ms} ms");
 
-    assert!(!cuts.is_empty(), "no batch item yielded");
-    let (off, with) = (off[BURST - 1], with[BURST - 1]);
+    assert!(!preempted_after_ms.is_empty(), "no batch item yielded");
+    let (without_batch_ms, with_batch_ms) = (without_batch_ms[BURST - 1], with_batch_ms[BURST - 1]);
     assert!(
-        with < off + MARGIN_MS,
-        "first token took {with} ms with batch and {off} ms without"
+        with_batch_ms < without_batch_ms + MARGIN_MS,
+        "first token took {with_batch_ms} ms with batch and {without_batch_ms} ms without"
     );
     assert!(
         longest_wait_ms < MARGIN_MS,
         "waited {longest_wait_ms} ms for a slot"
     );
     check_job(&deployment, 1, &job).await;
-    check_legs(&records(&deployment).await);
+    check_attempts(&records(&deployment).await);
 }
 
 /// The instance that is the steward of the first engine.
-fn steward() -> usize {
+fn controller_index() -> usize {
     let ids: Vec<InstanceId> = (0..3)
         .map(|index| format!("entry-{index}").as_str().try_into().unwrap())
         .collect();
-    let steward = rendezvous::select(&ids, b"steward/engine-0").unwrap();
-    ids.iter().position(|id| id == steward).unwrap()
+    let controller_index = rendezvous::select(&ids, b"steward/engine-0").unwrap();
+    ids.iter().position(|id| id == controller_index).unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn steward_killed_under_batch_loses_no_item() {
+async fn killed_batch_controller_loses_no_item() {
     let deployment = deployment(3).await;
     let job = submit(&deployment, 0).await;
-    filled(&deployment).await;
-    let killed = steward();
+    wait_until_filled(&deployment).await;
+    let killed = controller_index();
     deployment.entries[killed].signal(Signal::SIGKILL);
     check_job(&deployment, (killed + 1) % 3, &job).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn burst_does_not_wait_behind_the_batch_of_a_paused_steward() {
+async fn burst_does_not_wait_behind_the_batch_of_a_paused_batch_controller() {
     let deployment = deployment(3).await;
-    let paused = steward();
+    let paused = controller_index();
     let others = [(paused + 1) % 3, (paused + 2) % 3];
-    let off = burst(&deployment, &others, "before").await;
+    let without_batch_ms = burst(&deployment, &others, "before").await;
     let job = submit(&deployment, others[0]).await;
-    filled(&deployment).await;
+    wait_until_filled(&deployment).await;
     deployment.entries[paused].signal(Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_millis(GRANT_MS + ITEM_MS)).await;
-    let with = burst(&deployment, &others, "during").await;
-    println!("first token in ms, batch off: {off:?}");
-    println!("first token in ms, with batch and a paused steward: {with:?}");
+    let with_batch_ms = burst(&deployment, &others, "during").await;
+    println!("first token in ms, batch off: {without_batch_ms:?}");
+    println!("first token in ms, with batch and a paused steward: {with_batch_ms:?}");
     deployment.entries[paused].signal(Signal::SIGCONT);
-    let (off, with) = (off[BURST - 1], with[BURST - 1]);
+    let (without_batch_ms, with_batch_ms) = (without_batch_ms[BURST - 1], with_batch_ms[BURST - 1]);
     assert!(
-        with < off + MARGIN_MS,
-        "first token took {with} ms with batch and {off} ms without"
+        with_batch_ms < without_batch_ms + MARGIN_MS,
+        "first token took {with_batch_ms} ms with batch and {without_batch_ms} ms without"
     );
     check_job(&deployment, others[1], &job).await;
 }
--- a/crates/foxtailhold-standin/tests/batch_cancel.rs
+++ b/crates/foxtailhold-standin/tests/batch_cancel.rs
@@ -12,7 +12,7 @@
 
 async fn deployment() -> Deployment {
     let deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     deployment
 }
 
@@ -26,12 +26,12 @@
     let job = Job::start(&deployment, 0, "plain", 900, 40).await;
     let owner = job.owner_other_than(None).await;
     let other = (owner + 1) % 3;
-    job.progress(other).await;
+    job.wait_for_progress(other).await;
     let cancelled = job.cancel(other).await.unwrap();
     assert_eq!(cancelled["status"], "cancelled", "{cancelled}");
     let done = cancelled["request_counts"]["completed"].as_u64().unwrap();
-    job.check_quiet(1_500).await;
-    let running = job.runs().await.into_values().flatten();
+    job.check_no_new_attempts(1_500).await;
+    let running = job.attempts_by_prompt().await.into_values().flatten();
     for ran in running.filter(|ran| !ran.finished) {
         assert!(ran.cancelled, "a stream still runs: {ran:?}");
     }
@@ -59,7 +59,7 @@
             continue;
         }
         ended[0] += 1;
-        job.check_quiet(150).await;
+        job.check_no_new_attempts(150).await;
         assert_eq!(job.describe(2).await.unwrap()["status"], "cancelled");
     }
     println!("{} cancelled, {} completed after all", ended[0], ended[1]);
@@ -71,17 +71,21 @@
     let job = Job::start(&deployment, 0, "unreachable", 900, 40).await;
     let owner = job.owner_other_than(None).await;
     let other = (owner + 1) % 3;
-    job.progress(other).await;
+    job.wait_for_progress(other).await;
     deployment.entries[owner].signal(Signal::SIGSTOP);
     let start = Instant::now();
     let cancelled = job.cancel(other).await.unwrap();
     assert_eq!(cancelled["status"], "cancelling", "{cancelled}");
     job.wait(other, &["cancelled"]).await;
     println!("final after {} ms", start.elapsed().as_millis());
-    let before = job.starts().await;
+    let before = job.fresh_starts().await;
     deployment.entries[owner].signal(Signal::SIGCONT);
     sleep_ms(3_000).await;
-    assert_eq!(job.starts().await, before, "the resumed owner went on");
+    assert_eq!(
+        job.fresh_starts().await,
+        before,
+        "the resumed owner went on"
+    );
     assert_eq!(job.describe(owner).await.unwrap()["status"], "cancelled");
 }
 
@@ -94,7 +98,7 @@
     deployment.entries[owner].signal(Signal::SIGKILL);
     job.cancel(other).await.unwrap();
     job.wait(other, &["cancelled"]).await;
-    job.check_quiet(1_000).await;
+    job.check_no_new_attempts(1_000).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -103,15 +107,15 @@
     let job = Job::start(&deployment, 0, "slow", 900, 40).await;
     let owner = job.owner_other_than(None).await;
     let other = (owner + 1) % 3;
-    job.progress(other).await;
+    job.wait_for_progress(other).await;
     platform_faults(&deployment, json!({ "delay_ms": 600 })).await;
     let cancelled = job.cancel(other).await;
     if !cancelled.is_ok_and(|batch| batch["status"] == "cancelled") {
         job.wait(other, &["cancelled"]).await;
     }
-    job.check_quiet(2_000).await;
+    job.check_no_new_attempts(2_000).await;
     platform_faults(&deployment, json!({})).await;
-    job.check_quiet(1_000).await;
+    job.check_no_new_attempts(1_000).await;
     assert_eq!(job.describe(owner).await.unwrap()["status"], "cancelled");
 }
 
@@ -119,12 +123,12 @@
 async fn cancel_with_the_store_down_is_refused_and_can_be_sent_again() {
     let deployment = deployment().await;
     let job = Job::start(&deployment, 0, "down", 900, 40).await;
-    job.progress(1).await;
+    job.wait_for_progress(1).await;
     platform_faults(&deployment, json!({ "store_down": true })).await;
     let refused = job.cancel(1).await.unwrap_err().to_string();
     assert!(refused.contains("store_unavailable"), "{refused}");
     platform_faults(&deployment, json!({ "lose_write_answers": 2 })).await;
     let _ = job.cancel(1).await;
     job.wait(2, &["cancelled"]).await;
-    job.check_quiet(1_000).await;
+    job.check_no_new_attempts(1_000).await;
 }
--- a/crates/foxtailhold-standin/tests/batch_deployment/mod.rs
+++ b/crates/foxtailhold-standin/tests/batch_deployment/mod.rs
@@ -97,7 +97,7 @@
     }
 
     /// Waits until some items are done.
-    pub async fn progress(&self, index: usize) {
+    pub async fn wait_for_progress(&self, index: usize) {
         let start = Instant::now();
         while start.elapsed() < JOB_WAIT {
             let seen = self.describe(index).await.unwrap_or_default();
@@ -163,8 +163,8 @@
     }
 
     /// Runs of this job's items at all engines that live, by prompt.
-    pub async fn runs(&self) -> HashMap<String, Vec<Ran>> {
-        let mut runs: HashMap<String, Vec<Ran>> = HashMap::new();
+    pub async fn attempts_by_prompt(&self) -> HashMap<String, Vec<Ran>> {
+        let mut attempts_by_prompt: HashMap<String, Vec<Ran>> = HashMap::new();
         for engine in &self.deployment.engines {
             let address = engine.address("listening");
             let caller = &self.deployment.caller;
@@ -175,37 +175,48 @@
             let record: Vec<Ran> = serde_json::from_value(record).unwrap();
             for ran in record {
                 if ran.prompt.contains(&format!("\"{} ", self.name)) {
-                    runs.entry(ran.prompt.clone()).or_default().push(ran);
+                    attempts_by_prompt
+                        .entry(ran.prompt.clone())
+                        .or_default()
+                        .push(ran);
                 }
             }
         }
-        runs
+        attempts_by_prompt
     }
 
     /// How often items of this job were run to their end. An item that goes on by continuation at
     /// another engine is started there too, and ends once.
-    pub async fn finishes(&self) -> usize {
-        let runs = self.runs().await.into_values().flatten();
-        runs.filter(|ran| ran.finished).count()
+    pub async fn finished_attempts(&self) -> usize {
+        let attempts_by_prompt = self.attempts_by_prompt().await.into_values().flatten();
+        attempts_by_prompt.filter(|ran| ran.finished).count()
     }
 
     /// How often items of this job were started from their beginning.
-    pub async fn starts(&self) -> usize {
-        let runs = self.runs().await;
+    pub async fn fresh_starts(&self) -> usize {
+        let attempts_by_prompt = self.attempts_by_prompt().await;
         let from_beginning = |ran: &&Ran| ran.resumed_at == 0;
-        runs.values().flatten().filter(from_beginning).count()
+        attempts_by_prompt
+            .values()
+            .flatten()
+            .filter(from_beginning)
+            .count()
     }
 
     /// How often items of this job, or the rest of them by continuation, were started.
-    async fn legs(&self) -> usize {
-        self.runs().await.values().map(Vec::len).sum()
+    async fn attempts(&self) -> usize {
+        self.attempts_by_prompt().await.values().map(Vec::len).sum()
     }
 
     /// Checks for a while that no item of this job is started or goes on by continuation.
-    pub async fn check_quiet(&self, for_ms: u64) {
-        let before = self.legs().await;
+    pub async fn check_no_new_attempts(&self, for_ms: u64) {
+        let before = self.attempts().await;
         tokio::time::sleep(Duration::from_millis(for_ms)).await;
-        assert_eq!(self.legs().await, before, "items started after the cancel");
+        assert_eq!(
+            self.attempts().await,
+            before,
+            "items started after the cancel"
+        );
     }
 
     /// Chunk rows by key.
--- a/crates/foxtailhold-standin/tests/batch_faults.rs
+++ b/crates/foxtailhold-standin/tests/batch_faults.rs
@@ -15,11 +15,11 @@
 const ITEMS: usize = 900;
 /// Items in flight at most: two engines of 16 slots, each with one slot of headroom. So many may
 /// run again when a lapse of the lease stops them.
-const PLACES: usize = 2 * 15;
+const MAX_ITEMS_IN_FLIGHT: usize = 2 * 15;
 
 async fn deployment() -> Deployment {
     let deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     deployment
 }
 
@@ -54,7 +54,7 @@
     let deployment = deployment().await;
     let job = Job::start(&deployment, 0, "paused", ITEMS, TOKENS).await;
     let owner = job.owner_other_than(None).await;
-    job.progress((owner + 1) % 3).await;
+    job.wait_for_progress((owner + 1) % 3).await;
     let done = job.chunks().await;
     deployment.entries[owner].signal(Signal::SIGSTOP);
     let other = job.owner_other_than(Some(owner)).await;
@@ -76,22 +76,22 @@
     let deployment = deployment().await;
     let items = 1_500;
     let job = Job::start(&deployment, 0, "down", items, 20).await;
-    job.progress(1).await;
+    job.wait_for_progress(1).await;
     platform_faults(&deployment, json!({ "store_down": true })).await;
     sleep_ms(8_000).await;
-    let waiting = job.starts().await;
+    let waiting = job.fresh_starts().await;
     sleep_ms(4_000).await;
     assert_eq!(
-        job.starts().await,
+        job.fresh_starts().await,
         waiting,
         "dispatch goes on over the bound"
     );
     platform_faults(&deployment, json!({})).await;
     job.wait(1, &["completed"]).await;
     job.check_output(2).await;
-    let again = job.starts().await - items;
+    let again = job.fresh_starts().await - items;
     println!("{again} items started again, {waiting} started before the store came back");
-    assert!(again <= PLACES, "{again} items were run again");
+    assert!(again <= MAX_ITEMS_IN_FLIGHT, "{again} items were run again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -131,7 +131,7 @@
     };
     job.wait(1, &["completed"]).await;
     job.check_output(2).await;
-    assert_eq!(job.finishes().await, 300);
+    assert_eq!(job.finished_attempts().await, 300);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -142,7 +142,7 @@
         deployment.add_entry(&format!("entry-{index}"), "concord-hall", &more);
     }
     deployment.settle(3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let job = Job::start(&deployment, 0, "stored", ITEMS, TOKENS).await;
     let owner = job.owner_other_than(None).await;
     platform_faults(&deployment, json!({ "table_down": true })).await;
@@ -152,13 +152,13 @@
     .await;
     deployment.entries[owner].signal(Signal::SIGKILL);
     platform_faults(&deployment, json!({})).await;
-    let left = job.objects().await;
+    let uncommitted = job.objects().await;
     let other = job.owner_other_than(Some(owner)).await;
     job.wait(other, &["completed"]).await;
     let rows = job.chunks().await;
     let mut named: Vec<String> = rows.into_iter().map(|(_, row)| row.object).collect();
     named.sort();
-    let orphans = left.iter().filter(|name| !named.contains(name));
+    let orphans = uncommitted.iter().filter(|name| !named.contains(name));
     assert!(orphans.count() > 0, "nothing was left uncommitted");
     until("the orphans to be swept", async || {
         job.objects().await == named
@@ -172,7 +172,7 @@
     let deployment = deployment().await;
     let job = Job::start(&deployment, 0, "stopped", ITEMS, TOKENS).await;
     let owner = job.owner_other_than(None).await;
-    job.progress((owner + 1) % 3).await;
+    job.wait_for_progress((owner + 1) % 3).await;
     deployment.entries[owner].signal(Signal::SIGTERM);
     let start = Instant::now();
     let other = job.owner_other_than(Some(owner)).await;
--- a/crates/foxtailhold-standin/tests/batch_large.rs
+++ b/crates/foxtailhold-standin/tests/batch_large.rs
@@ -15,7 +15,7 @@
 
 const DEFAULT_ITEMS: usize = 6_000;
 /// One in so many items may be cut by a steward after its last token was made.
-const MAX_AGAIN: usize = 50;
+const REPEATED_ITEMS_DIVISOR: usize = 50;
 
 async fn transactions(deployment: &Deployment) -> u64 {
     let address = deployment.platform.address("listening");
@@ -38,7 +38,7 @@
         deployment.add_entry(&format!("entry-{index}"), "concord-hall", &more);
     }
     deployment.settle(3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let start = Instant::now();
     let before = transactions(&deployment).await;
     let job = Job::start(&deployment, 0, "large", items, 1).await;
@@ -51,9 +51,12 @@
     println!("figure: {writes} transactions for {items} items");
     job.check_output(2).await;
     println!("read back after {} ms", start.elapsed().as_millis());
-    let again = job.finishes().await - items;
-    println!("{again} items cut by a steward after their last token and run again");
-    assert!(again <= items / MAX_AGAIN, "{again} items were run again");
+    let repeated = job.finished_attempts().await - items;
+    println!("{repeated} items cut by a steward after their last token and run repeated");
+    assert!(
+        repeated <= items / REPEATED_ITEMS_DIVISOR,
+        "{repeated} items were run repeated"
+    );
     let open = platform(&deployment).scan("job_open", "", "", 10).await;
     assert!(open.unwrap().is_empty());
 }
--- a/crates/foxtailhold-standin/tests/batch_poison.rs
+++ b/crates/foxtailhold-standin/tests/batch_poison.rs
@@ -15,7 +15,7 @@
 async fn item_that_crashes_engines_ends_as_failed_and_its_neighbours_complete() {
     let engines = 6;
     let deployment = Deployment::start(engines, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     for engine in &deployment.engines {
         let faults = json!({ "crash_on": format!("poison {POISON}\"") });
         set_faults(&deployment, engine.address("listening"), faults).await;
--- a/crates/foxtailhold-standin/tests/common/mod.rs
+++ b/crates/foxtailhold-standin/tests/common/mod.rs
@@ -18,7 +18,7 @@
 /// Operator token of the test instances.
 pub const TOKEN: &str = "test-operator-token";
 /// Limit for anything that has to happen by itself.
-pub const WAIT: Duration = Duration::from_secs(30);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
 const ZONES: [&str; 3] = ["concord-hall", "nashua-hall", "keene-hall"];
 
 /// A child process that is killed when dropped.
@@ -58,7 +58,7 @@
             let _ = BufReader::new(stdout).read_line(&mut line);
             let _ = sender.send(line);
         });
-        let line = line.recv_timeout(WAIT).unwrap_or_default();
+        let line = line.recv_timeout(WAIT_LIMIT).unwrap_or_default();
         let ready = serde_json::from_str(&line)
             .unwrap_or_else(|error| panic!("{name} printed {line:?} when it started: {error}"));
         Process { child, ready }
@@ -70,14 +70,14 @@
     }
 
     /// The exit status, where it has exited.
-    pub fn exited(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
     /// Waits for the exit.
     pub fn wait(&mut self) -> ExitStatus {
         let start = Instant::now();
-        while start.elapsed() < WAIT {
+        while start.elapsed() < WAIT_LIMIT {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
@@ -187,7 +187,7 @@
         let backends = self.engines.len() + self.services.len();
         until("the deployment to settle", async || {
             for index in 0..self.entries.len() {
-                let seen = self.entries_seen(index).await;
+                let seen = self.listed_instances(index).await;
                 let known = self.operator(index).backends().await;
                 if seen.len() != entries || known.map_or(0, |known| known.len()) != backends {
                     return false;
@@ -199,7 +199,7 @@
     }
 
     /// The identifiers in the list of addresses that an entry instance gives.
-    pub async fn entries_seen(&self, index: usize) -> Vec<String> {
+    pub async fn listed_instances(&self, index: usize) -> Vec<String> {
         let address = self.caller_address(index);
         let answer = self
             .caller
@@ -211,7 +211,7 @@
     }
 
     /// Sets the demo customer's contract and waits until it is in force everywhere.
-    pub async fn with_contract(&self) {
+    pub async fn set_demo_contract(&self) {
         let customer = "granite-trail".try_into().unwrap();
         let document = foxtailhold_standin::demo::contract(10_000);
         self.operator(0)
@@ -231,13 +231,13 @@
 }
 
 /// Waits until `done` holds.
-pub async fn until<F: AsyncFnMut() -> bool>(what: &str, mut done: F) {
+pub async fn until<F: AsyncFnMut() -> bool>(condition: &str, mut done: F) {
     let start = Instant::now();
-    while start.elapsed() < WAIT {
+    while start.elapsed() < WAIT_LIMIT {
         if done().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("waited in vain for {what}");
+    panic!("waited in vain for {condition}");
 }
--- a/crates/foxtailhold-standin/tests/contract_platform.rs
+++ b/crates/foxtailhold-standin/tests/contract_platform.rs
@@ -2,7 +2,7 @@
 
 mod faulty;
 
-use faulty::{Fault, Faulty};
+use faulty::{Fault, FaultyServer};
 use foxtailhold_platform::{
     Expect, FleetList, HttpPlatform, ObjectStore, Operation, PlatformError, TableService,
 };
@@ -60,20 +60,20 @@
 #[test_case(Fault::Status(504), Effect::Unknown; "effect unknown")]
 #[test_case(Fault::Status(500), Effect::Malformed; "undocumented status")]
 #[tokio::test]
-async fn error_says_no_effect_only_when_there_was_none(fault: Fault, wanted: Effect) {
-    let server = Faulty::start(fault, "").await;
+async fn error_says_no_effect_only_when_there_was_none(fault: Fault, expected: Effect) {
+    let server = FaultyServer::start(fault, "").await;
     let platform = HttpPlatform::new(server.address);
     for error in errors(&platform).await {
         let error = error.expect("a call was answered");
-        assert_eq!(effect(&error), wanted, "{error:?}");
+        assert_eq!(effect(&error), expected, "{error:?}");
         let may_have = error.may_have_taken_effect();
-        assert_eq!(may_have, wanted != Effect::No, "{error:?}");
+        assert_eq!(may_have, expected != Effect::No, "{error:?}");
     }
 }
 
 #[tokio::test]
 async fn body_that_cannot_be_read_leaves_the_effect_unknown() {
-    let server = Faulty::start(Fault::BadBody, "").await;
+    let server = FaultyServer::start(Fault::BadBody, "").await;
     let platform = HttpPlatform::new(server.address);
     let [transact, put, get, scan, read, list, fleet] = errors(&platform).await;
     for error in [transact, get, scan, list, fleet] {
@@ -86,7 +86,7 @@
 
 #[tokio::test]
 async fn client_goes_on_after_each_fault() {
-    let server = Faulty::start(Fault::None, "[]").await;
+    let server = FaultyServer::start(Fault::None, "[]").await;
     let platform = HttpPlatform::new(server.address);
     for fault in [Fault::ResetBefore, Fault::AnswerLost, Fault::NotHttp] {
         server.set(fault);
@@ -100,7 +100,7 @@
 
 #[tokio::test]
 async fn missing_object_is_no_error() {
-    let server = Faulty::start(Fault::Status(404), "").await;
+    let server = FaultyServer::start(Fault::Status(404), "").await;
     let platform = HttpPlatform::new(server.address);
     assert_eq!(platform.get_object("name").await, Ok(None));
     assert!(platform.get("table", "key").await.is_err());
--- a/crates/foxtailhold-standin/tests/contract_service.rs
+++ b/crates/foxtailhold-standin/tests/contract_service.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use faulty::{Fault, Faulty};
+use faulty::{Fault, FaultyServer};
 use foxtailhold_http::client::Reuse;
 use foxtailhold_service::{ServiceCall, ServiceClient, ServiceError};
 use http::{HeaderMap, Method};
@@ -38,7 +38,7 @@
     effects: usize,
 ) {
     for reuse in [Reuse::Pooled, Reuse::Fresh] {
-        let service = Faulty::start(fault, "done").await;
+        let service = FaultyServer::start(fault, "done").await;
         let client = ServiceClient::default();
         let start = Instant::now();
         let error = client
@@ -63,7 +63,7 @@
 #[test_case(503; "unavailable")]
 #[tokio::test]
 async fn status_of_the_service_is_its_answer(status: u16) {
-    let service = Faulty::start(Fault::Status(status), "").await;
+    let service = FaultyServer::start(Fault::Status(status), "").await;
     let client = ServiceClient::default();
     let answer = client.call(service.address, &call(), Reuse::Fresh).await;
     assert_eq!(answer.unwrap().status, status);
@@ -76,7 +76,7 @@
 #[test_case(Fault::SlowBody; "slow")]
 #[tokio::test]
 async fn load_report_that_cannot_be_read_is_an_error(fault: Fault) {
-    let service = Faulty::start(fault, LOAD).await;
+    let service = FaultyServer::start(fault, LOAD).await;
     let error = ServiceClient::default().load(service.address).await;
     let error = error.unwrap_err();
     let malformed = matches!(error, ServiceError::Malformed { .. });
--- a/crates/foxtailhold-standin/tests/contracts_in_force.rs
+++ b/crates/foxtailhold-standin/tests/contracts_in_force.rs
@@ -38,7 +38,7 @@
     view.map_or(0, |view| view.version)
 }
 
-async fn in_force(deployment: &Deployment, indexes: &[usize], version: u64) {
+async fn wait_until_in_force(deployment: &Deployment, indexes: &[usize], version: u64) {
     let start = Instant::now();
     until("the change to be in force", async || {
         for index in indexes {
@@ -79,14 +79,14 @@
             }
         }
         assert_eq!(won, 1, "at version {version}");
-        in_force(&deployment, &[0, 1, 2], version + 1).await;
+        wait_until_in_force(&deployment, &[0, 1, 2], version + 1).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn change_outlives_its_instance_with_the_store_down_and_reaches_a_restarted_one() {
     let mut deployment = Deployment::start(1, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let operator = deployment.operator(0);
     operator
         .set_contract(&customer(), 1, &demo::contract(7))
@@ -94,12 +94,12 @@
         .unwrap();
     deployment.entries[0].signal(Signal::SIGKILL);
     set_faults(&deployment, json!({ "store_down": true })).await;
-    in_force(&deployment, &[1, 2], 2).await;
+    wait_until_in_force(&deployment, &[1, 2], 2).await;
     deployment.add_entry("entry-3", "keene-hall", &[]);
-    in_force(&deployment, &[1, 2, 3], 2).await;
+    wait_until_in_force(&deployment, &[1, 2, 3], 2).await;
     until("the list without the killed instance", async || {
         for index in 1..4 {
-            let seen = deployment.entries_seen(index).await;
+            let seen = deployment.listed_instances(index).await;
             if seen.len() != 3 || !seen.contains(&"entry-3".to_owned()) {
                 return false;
             }
@@ -110,7 +110,7 @@
     let outage = Instant::now();
     while outage.elapsed() < Duration::from_secs(9) {
         for index in 1..4 {
-            assert_eq!(deployment.entries_seen(index).await.len(), 3);
+            assert_eq!(deployment.listed_instances(index).await.len(), 3);
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
@@ -119,10 +119,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_instance_leaves_the_list_and_catches_up_without_reverting() {
     let deployment = Deployment::start(1, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     deployment.entries[2].signal(Signal::SIGSTOP);
     until("the paused instance to leave the list", async || {
-        deployment.entries_seen(0).await.len() == 2
+        deployment.listed_instances(0).await.len() == 2
     })
     .await;
     for version in 1..6 {
@@ -147,7 +147,7 @@
     }
     assert_eq!(highest, [6; 3]);
     until("the resumed instance to be listed again", async || {
-        deployment.entries_seen(0).await.len() == 3
+        deployment.listed_instances(0).await.len() == 3
     })
     .await;
 }
--- a/crates/foxtailhold-standin/tests/crashing_request.rs
+++ b/crates/foxtailhold-standin/tests/crashing_request.rs
@@ -25,14 +25,14 @@
 const ENGINES: usize = 6;
 const ZONES: [&str; 3] = ["concord-hall", "nashua-hall", "keene-hall"];
 
-struct Refused {
+struct ChatResponse {
     status: StatusCode,
     retry_after: bool,
     body: Value,
     took: Duration,
 }
 
-async fn send(address: SocketAddr, body: &Value) -> Refused {
+async fn send(address: SocketAddr, body: &Value) -> ChatResponse {
     let start = Instant::now();
     let request = Request::post(format!("http://{address}{CHAT}"))
         .header("authorization", format!("Bearer {API_KEY}"))
@@ -42,7 +42,7 @@
     let response = client.send(address, request, 60_000).await.unwrap();
     let (head, body) = response.into_parts();
     let body = read_whole(body, 1 << 20).await.unwrap();
-    Refused {
+    ChatResponse {
         status: head.status,
         retry_after: head.headers.contains_key("retry-after"),
         body: serde_json::from_slice(&body).unwrap_or_default(),
@@ -51,7 +51,7 @@
 }
 
 /// Starts engines that crash on the poison, and each anew when it has crashed.
-struct Engines {
+struct SupervisedEngines {
     stop: Arc<AtomicBool>,
     crashes: Arc<AtomicUsize>,
     supervisor: Option<std::thread::JoinHandle<()>>,
@@ -65,13 +65,13 @@
     Process::start("foxtailhold-standin", &arguments)
 }
 
-impl Engines {
+impl SupervisedEngines {
     fn start(deployment: &mut Deployment) -> Self {
         let platform = deployment.platform_address();
         for index in 0..ENGINES {
             deployment.engines.push(start_engine(&platform, index));
         }
-        Engines {
+        SupervisedEngines {
             stop: Arc::default(),
             crashes: Arc::default(),
             supervisor: None,
@@ -85,7 +85,7 @@
         self.supervisor = Some(std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
                 for (index, engine) in engines.iter_mut().enumerate() {
-                    let Some(status) = engine.exited() else {
+                    let Some(status) = engine.exit_status() else {
                         continue;
                     };
                     assert_eq!(status.code(), Some(CRASH_STATUS));
@@ -102,7 +102,7 @@
     }
 }
 
-impl Drop for Engines {
+impl Drop for SupervisedEngines {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(supervisor) = self.supervisor.take() {
@@ -111,20 +111,20 @@
     }
 }
 
-async fn started(instances: usize) -> (Deployment, Engines) {
+async fn start_deployment(instances: usize) -> (Deployment, SupervisedEngines) {
     let mut deployment = Deployment::start(0, 0).await;
-    let mut engines = Engines::start(&mut deployment);
+    let mut engines = SupervisedEngines::start(&mut deployment);
     for index in 0..instances {
         deployment.add_entry(&format!("entry-{index}"), ZONES[index % 3], &[]);
     }
     deployment.settle(instances).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     engines.supervise(&mut deployment);
     (deployment, engines)
 }
 
 /// Streams of innocent requests through one instance, one after the other, until told to stop.
-fn innocents(
+fn stream_innocent_requests(
     caller: Caller,
     address: SocketAddr,
     name: String,
@@ -153,7 +153,7 @@
 }
 
 /// Sends the poison until it is refused as quarantined, as a caller does who resends at once.
-async fn resend(address: SocketAddr) -> (usize, Refused) {
+async fn resend(address: SocketAddr) -> (usize, ChatResponse) {
     let body = chat(POISON, 12, false);
     for sends in 1..200 {
         let refused = send(address, &body).await;
@@ -166,8 +166,8 @@
     panic!("the poison was never quarantined");
 }
 
-async fn one_poison_through_all(instances: usize, most_crashes: usize) {
-    let (deployment, engines) = started(instances).await;
+async fn poison_through_every_instance(instances: usize, max_crashes: usize) {
+    let (deployment, engines) = start_deployment(instances).await;
     let stop = Arc::<AtomicBool>::default();
     let mut neighbours = Vec::new();
     for index in 0..instances {
@@ -175,7 +175,12 @@
             let name = format!("innocent {index} {copy}");
             let address = deployment.caller_address(index);
             let caller = deployment.caller.clone();
-            neighbours.push(innocents(caller, address, name, stop.clone()));
+            neighbours.push(stream_innocent_requests(
+                caller,
+                address,
+                name,
+                stop.clone(),
+            ));
         }
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -190,7 +195,7 @@
         sends += count;
         assert!(refused.retry_after);
     }
-    let convicted = start.elapsed();
+    let quarantined_after = start.elapsed();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let crashes = engines.crashes();
     for index in 0..instances {
@@ -209,24 +214,24 @@
     }
     println!(
         "{instances} instances: {crashes} crashes, {sends} sends until all refused it after \
-         {convicted:?}, {answered} other requests whole"
+         {quarantined_after:?}, {answered} other requests whole"
     );
-    assert!((1..=most_crashes).contains(&crashes), "{crashes} crashes");
+    assert!((1..=max_crashes).contains(&crashes), "{crashes} crashes");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn one_request_through_3_instances_at_once_causes_few_crashes() {
-    one_poison_through_all(3, 4).await;
+    poison_through_every_instance(3, 4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn one_request_through_11_instances_at_once_causes_few_crashes() {
-    one_poison_through_all(11, 4).await;
+    poison_through_every_instance(11, 4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_batch_item_fails_and_its_neighbours_complete() {
-    let (deployment, engines) = started(3).await;
+    let (deployment, engines) = start_deployment(3).await;
     let mut input = batch_input(60);
     let line = json!({
         "custom_id": "poison", "method": "POST", "url": CHAT, "body": chat(POISON, 8, false),
--- a/crates/foxtailhold-standin/tests/faulty/mod.rs
+++ b/crates/foxtailhold-standin/tests/faulty/mod.rs
@@ -41,17 +41,17 @@
 
 /// The server.
 #[derive(Clone)]
-pub struct Faulty {
+pub struct FaultyServer {
     pub address: SocketAddr,
     fault: Arc<Mutex<Fault>>,
     effects: Arc<AtomicUsize>,
 }
 
-impl Faulty {
+impl FaultyServer {
     /// Serves `body` as the right answer.
     pub async fn start(fault: Fault, body: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let faulty = Faulty {
+        let faulty = FaultyServer {
             address: listener.local_addr().unwrap(),
             fault: Arc::new(Mutex::new(fault)),
             effects: Arc::default(),
--- a/crates/foxtailhold-standin/tests/leaving_backends.rs
+++ b/crates/foxtailhold-standin/tests/leaving_backends.rs
@@ -44,7 +44,7 @@
 }
 
 /// Requests that the engine itself says it ran.
-async fn ran(deployment: &Deployment, engine: usize) -> usize {
+async fn recorded_requests(deployment: &Deployment, engine: usize) -> usize {
     let address = deployment.engines[engine].address("listening");
     let record = deployment
         .caller
@@ -64,26 +64,26 @@
     }
 }
 
-async fn is_used(deployment: &Deployment, engine: usize) {
-    let before = ran(deployment, engine).await;
+async fn wait_until_used(deployment: &Deployment, engine: usize) {
+    let before = recorded_requests(deployment, engine).await;
     until("the engine to be used", async || {
         call_all(deployment, 4).await;
-        ran(deployment, engine).await > before
+        recorded_requests(deployment, engine).await > before
     })
     .await;
 }
 
-async fn gets_nothing(deployment: &Deployment, engine: usize, rounds: usize) {
-    let before = ran(deployment, engine).await;
+async fn assert_unused(deployment: &Deployment, engine: usize, rounds: usize) {
+    let before = recorded_requests(deployment, engine).await;
     call_all(deployment, rounds).await;
-    assert_eq!(ran(deployment, engine).await, before);
+    assert_eq!(recorded_requests(deployment, engine).await, before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn mark_of_the_list_holds_while_the_list_is_lost_and_ends_when_it_returns() {
+async fn leaving_state_of_the_fleet_list_holds_while_the_list_is_unavailable() {
     let deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
-    is_used(&deployment, 0).await;
+    deployment.set_demo_contract().await;
+    wait_until_used(&deployment, 0).await;
     set_in_list(&deployment, 0, "leaving").await;
     tokio::time::sleep(FEW_SECONDS).await;
     post(
@@ -93,30 +93,30 @@
     )
     .await;
     for _ in 0..14 {
-        gets_nothing(&deployment, 0, 10).await;
+        assert_unused(&deployment, 0, 10).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     set_in_list(&deployment, 0, "live").await;
-    gets_nothing(&deployment, 0, 10).await;
+    assert_unused(&deployment, 0, 10).await;
     post(&deployment, "/standin/faults", json!({})).await;
-    is_used(&deployment, 0).await;
+    wait_until_used(&deployment, 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn word_of_one_peer_wins_over_list_and_report_until_it_expires() {
+async fn leaving_notice_of_a_peer_overrides_list_and_load_report_until_it_expires() {
     let deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
-    is_used(&deployment, 1).await;
+    deployment.set_demo_contract().await;
+    wait_until_used(&deployment, 1).await;
     let peers = PeerClient::default();
-    let mark = LeavingNotice {
+    let notice = LeavingNotice {
         backend: "engine-1".try_into().unwrap(),
         number: 1,
     };
-    let told = PeerRequest::BackendsLeaving(vec![mark]);
+    let request = PeerRequest::BackendsLeaving(vec![notice]);
     let address = deployment.entries[0].address("peer_address");
-    let answer = peers.ask(address, &told, 2_000).await;
+    let answer = peers.ask(address, &request, 2_000).await;
     assert_eq!(answer.unwrap(), PeerAnswer::Done);
     tokio::time::sleep(FEW_SECONDS).await;
-    gets_nothing(&deployment, 1, 20).await;
-    is_used(&deployment, 1).await;
+    assert_unused(&deployment, 1, 20).await;
+    wait_until_used(&deployment, 1).await;
 }
--- a/crates/foxtailhold-standin/tests/limits_and_overload.rs
+++ b/crates/foxtailhold-standin/tests/limits_and_overload.rs
@@ -24,14 +24,19 @@
 
 /// One answer as a caller sees it.
 #[derive(Debug)]
-struct Seen {
+struct CallerResponse {
     status: u16,
     took: Duration,
     retry_after: Option<u64>,
     body: Value,
 }
 
-async fn send(client: &HttpClient, address: SocketAddr, key: &str, tokens: u64) -> Option<Seen> {
+async fn send(
+    client: &HttpClient,
+    address: SocketAddr,
+    key: &str,
+    tokens: u64,
+) -> Option<CallerResponse> {
     let start = Instant::now();
     let body = chat("which badges need a campout?", tokens, false).to_string();
     let request = Request::builder()
@@ -46,7 +51,7 @@
     let retry_after = response.headers().get(header::RETRY_AFTER);
     let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
     let body = response.into_body().collect().await.ok()?.to_bytes();
-    Some(Seen {
+    Some(CallerResponse {
         status,
         took: start.elapsed(),
         retry_after,
@@ -80,7 +85,7 @@
 /// Callers that send without rest, and come back at once where they are refused.
 struct Flood {
     stop: Arc<AtomicBool>,
-    callers: Vec<JoinHandle<Vec<Seen>>>,
+    callers: Vec<JoinHandle<Vec<CallerResponse>>>,
 }
 
 impl Flood {
@@ -106,7 +111,7 @@
         }
     }
 
-    async fn close(self) -> Vec<Seen> {
+    async fn close(self) -> Vec<CallerResponse> {
         self.stop.store(true, Ordering::Relaxed);
         let mut seen = Vec::new();
         for caller in self.callers {
@@ -116,7 +121,7 @@
     }
 }
 
-fn check_refusals(seen: &[Seen], codes: &[&str]) -> usize {
+fn check_refusals(seen: &[CallerResponse], codes: &[&str]) -> usize {
     let mut served = 0;
     for seen in seen {
         if seen.status == 200 {
@@ -137,20 +142,20 @@
 }
 
 /// Requests that the engines ran.
-async fn ran(deployment: &Deployment) -> usize {
-    let mut ran = 0;
+async fn recorded_requests(deployment: &Deployment) -> usize {
+    let mut recorded_requests = 0;
     for engine in &deployment.engines {
         let address = engine.address("listening");
         let record = deployment
             .caller
             .json(address, Method::GET, "/standin/record", &Value::Null);
-        ran += record.await.unwrap().as_array().unwrap().len();
+        recorded_requests += record.await.unwrap().as_array().unwrap().len();
     }
-    ran
+    recorded_requests
 }
 
 /// Floods for `seconds` and returns what was served, with the exact time.
-async fn flooded(addresses: &[SocketAddr], key: &str, seconds: u64) -> (usize, f64) {
+async fn flood_for(addresses: &[SocketAddr], key: &str, seconds: u64) -> (usize, f64) {
     let start = Instant::now();
     let flood = Flood::start(addresses, key, 3 * addresses.len(), 5);
     tokio::time::sleep(Duration::from_secs(seconds)).await;
@@ -160,7 +165,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_holds_over_three_instances_and_while_its_home_is_lost() {
+async fn a_limit_holds_over_three_instances_and_while_its_coordinator_is_lost() {
     let mut deployment = Deployment::start(3, 3).await;
     let customer = "huon-tracks";
     let (rate, burst) = (40.0, 20.0);
@@ -171,23 +176,30 @@
         .collect();
     tokio::time::sleep(Duration::from_secs(4)).await;
 
-    let (served, elapsed_s) = flooded(&all, key, 6).await;
+    let (served, elapsed_s) = flood_for(&all, key, 6).await;
     println!(
         "three instances: {served} in {elapsed_s:.1} s of {rate} a second and {burst} at once"
     );
     assert!(served as f64 <= rate * elapsed_s + burst + 3.0, "{served}");
     assert!(served as f64 >= 0.6 * rate * elapsed_s, "{served}");
-    assert_eq!(ran(&deployment).await, served, "a refused request ran");
+    assert_eq!(
+        recorded_requests(&deployment).await,
+        served,
+        "a refused request ran"
+    );
 
     let ids: Vec<InstanceId> = (0..3)
         .map(|index| format!("entry-{index}").as_str().try_into().unwrap())
         .collect();
-    let home = rendezvous::select(&ids, customer.as_bytes()).unwrap();
-    let home = ids.iter().position(|id| id == home).unwrap();
-    let others: Vec<SocketAddr> = (0..3).filter(|i| *i != home).map(|i| all[i]).collect();
-    deployment.entries[home].signal(Signal::SIGKILL);
-    deployment.entries[home].wait();
-    let (served, elapsed_s) = flooded(&others, key, 12).await;
+    let coordinator = rendezvous::select(&ids, customer.as_bytes()).unwrap();
+    let coordinator = ids.iter().position(|id| id == coordinator).unwrap();
+    let others: Vec<SocketAddr> = (0..3)
+        .filter(|i| *i != coordinator)
+        .map(|i| all[i])
+        .collect();
+    deployment.entries[coordinator].signal(Signal::SIGKILL);
+    deployment.entries[coordinator].wait();
+    let (served, elapsed_s) = flood_for(&others, key, 12).await;
     println!("home lost: {served} in {elapsed_s:.1} s of {rate} a second and {burst} at once");
     let lost_s = 8.0;
     let bound = rate * (elapsed_s + lost_s) + 2.0 * burst + 3.0;
@@ -195,7 +207,7 @@
     assert!(served as f64 >= 0.3 * rate * elapsed_s, "{served}");
 }
 
-fn p95(seen: &[Seen]) -> Duration {
+fn p95(seen: &[CallerResponse]) -> Duration {
     let mut took: Vec<Duration> = seen.iter().map(|seen| seen.took).collect();
     took.sort();
     took[took.len() * 95 / 100]
@@ -235,7 +247,7 @@
     let flooded = flooding.close().await;
 
     let served = check_refusals(&flooded, &["over_limit", code]);
-    let of_code = |seen: &&Seen| seen.body["error"]["code"] == code;
+    let of_code = |seen: &&CallerResponse| seen.body["error"]["code"] == code;
     assert!(flooded.iter().filter(of_code).count() > 0);
     let refused = flooded.len() - served;
     let (p95_alone, p95_beside) = (p95(&alone), p95(&beside));
@@ -248,7 +260,7 @@
         assert_eq!(seen.status, 200, "{seen:?}");
     }
     assert_eq!(
-        ran(&deployment).await,
+        recorded_requests(&deployment).await,
         served + alone.len() + beside.len(),
         "a refused request ran"
     );
--- a/crates/foxtailhold-standin/tests/once.rs
+++ b/crates/foxtailhold-standin/tests/once.rs
@@ -22,13 +22,13 @@
 
 const HOLD: &str = "/v1/services/portal/holds";
 
-struct Answered {
+struct ServiceResponse {
     status: u16,
     retry_after: Option<String>,
     body: String,
 }
 
-impl Answered {
+impl ServiceResponse {
     fn ran(&self) -> String {
         let body: Value = serde_json::from_str(&self.body).unwrap();
         body["error"]["ran"].as_str().unwrap_or_default().to_owned()
@@ -43,7 +43,7 @@
     }
 }
 
-async fn post(address: SocketAddr, path: &str, key: Option<&str>, body: Bytes) -> Answered {
+async fn post(address: SocketAddr, path: &str, key: Option<&str>, body: Bytes) -> ServiceResponse {
     let mut request = Request::post(format!("http://{address}{path}"))
         .header("authorization", format!("Bearer {API_KEY}"));
     if let Some(key) = key {
@@ -58,19 +58,19 @@
     let retry_after = response.headers().get("retry-after");
     let retry_after = retry_after.map(|value| value.to_str().unwrap().to_owned());
     let body = read_whole(response.into_body(), 8 << 20).await.unwrap();
-    Answered {
+    ServiceResponse {
         status,
         retry_after,
         body: String::from_utf8_lossy(&body).into_owned(),
     }
 }
 
-async fn hold(deployment: &Deployment, entry: usize, key: &str) -> Answered {
+async fn post_hold(deployment: &Deployment, entry: usize, key: &str) -> ServiceResponse {
     let address = deployment.caller_address(entry);
     post(address, HOLD, Some(key), Bytes::from_static(b"{}")).await
 }
 
-async fn standin<T: serde::Serialize>(deployment: &Deployment, address: SocketAddr, faults: &T) {
+async fn set_faults<T: serde::Serialize>(deployment: &Deployment, address: SocketAddr, faults: &T) {
     let body = Bytes::from(serde_json::to_vec(faults).unwrap());
     let path = "/standin/faults";
     let sent = deployment
@@ -81,7 +81,7 @@
 
 async fn platform_faults(deployment: &Deployment, faults: PlatformFaults) {
     let address = deployment.platform.address("listening");
-    standin(deployment, address, &faults).await;
+    set_faults(deployment, address, &faults).await;
 }
 
 async fn service_delay(deployment: &Deployment, delay_ms: u64) {
@@ -90,7 +90,7 @@
         ..ServiceFaults::default()
     };
     let address = deployment.services[0].address("listening");
-    standin(deployment, address, &faults).await;
+    set_faults(deployment, address, &faults).await;
 }
 
 async fn get(deployment: &Deployment, address: SocketAddr, path: &str) -> Value {
@@ -108,15 +108,19 @@
 
 async fn start() -> Deployment {
     let deployment = Deployment::start(1, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     deployment
 }
 
 /// Resends until the answer is there; counts no run by itself.
-async fn resend_until_answered(deployment: &Deployment, entry: usize, key: &str) -> Answered {
+async fn resend_until_answered(
+    deployment: &Deployment,
+    entry: usize,
+    key: &str,
+) -> ServiceResponse {
     let mut last = None;
     until("a resend to be answered", async || {
-        let answered = hold(deployment, entry, key).await;
+        let answered = post_hold(deployment, entry, key).await;
         let done = answered.status == 200;
         last = Some(answered);
         done
@@ -128,7 +132,7 @@
 #[test_case(Signal::SIGKILL; "killed")]
 #[test_case(Signal::SIGSTOP; "paused and resumed")]
 #[tokio::test(flavor = "multi_thread")]
-async fn claimer_lost_while_the_service_runs(signal: Signal) {
+async fn claim_holder_lost_while_the_service_runs(signal: Signal) {
     let deployment = start().await;
     service_delay(&deployment, 1_500).await;
     let address = deployment.caller_address(0);
@@ -141,8 +145,8 @@
     .await;
     deployment.entries[0].signal(signal);
     let (one, two) = tokio::join!(
-        hold(&deployment, 1, "hold-1"),
-        hold(&deployment, 2, "hold-1")
+        post_hold(&deployment, 1, "hold-1"),
+        post_hold(&deployment, 2, "hold-1")
     );
     assert!(one.may_have_run() && two.may_have_run(), "{}", one.body);
     if signal == Signal::SIGSTOP {
@@ -150,10 +154,10 @@
         deployment.entries[0].signal(Signal::SIGCONT);
         let first = first.await.unwrap();
         assert_eq!(first.status, 200, "{}", first.body);
-        assert_eq!(hold(&deployment, 2, "hold-1").await.body, first.body);
+        assert_eq!(post_hold(&deployment, 2, "hold-1").await.body, first.body);
     } else {
         tokio::time::sleep(Duration::from_millis(1_600)).await;
-        assert!(hold(&deployment, 2, "hold-1").await.may_have_run());
+        assert!(post_hold(&deployment, 2, "hold-1").await.may_have_run());
     }
     assert_eq!(runs(&deployment).await, 1);
 }
@@ -161,7 +165,7 @@
 #[test_case(Signal::SIGKILL; "killed")]
 #[test_case(Signal::SIGSTOP; "paused and resumed")]
 #[tokio::test(flavor = "multi_thread")]
-async fn claimer_lost_between_its_claim_and_its_send(signal: Signal) {
+async fn claim_holder_lost_between_its_claim_and_its_call(signal: Signal) {
     let deployment = start().await;
     let slow = PlatformFaults {
         delay_ms: 1_000,
@@ -178,7 +182,7 @@
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     platform_faults(&deployment, PlatformFaults::default()).await;
     for entry in [1, 2] {
-        let resent = hold(&deployment, entry, "hold-1").await;
+        let resent = post_hold(&deployment, entry, "hold-1").await;
         assert!(resent.may_have_run(), "{}", resent.body);
     }
     assert_eq!(runs(&deployment).await, 0);
@@ -186,7 +190,7 @@
         deployment.entries[0].signal(Signal::SIGCONT);
         let first = first.await.unwrap();
         assert_eq!(first.status, 200, "{}", first.body);
-        assert_eq!(hold(&deployment, 1, "hold-1").await.body, first.body);
+        assert_eq!(post_hold(&deployment, 1, "hold-1").await.body, first.body);
         assert_eq!(runs(&deployment).await, 1);
     }
 }
@@ -200,9 +204,9 @@
         ..PlatformFaults::default()
     };
     platform_faults(&deployment, lost).await;
-    let first = hold(&deployment, 0, "hold-1").await;
+    let first = post_hold(&deployment, 0, "hold-1").await;
     assert_eq!(first.status, 200, "{}", first.body);
-    assert_eq!(hold(&deployment, 1, "hold-1").await.body, first.body);
+    assert_eq!(post_hold(&deployment, 1, "hold-1").await.body, first.body);
     assert_eq!(runs(&deployment).await, 1);
 }
 
@@ -210,17 +214,17 @@
 #[test_case(PlatformFaults { lose_writes: 3, only_table: "once".into(), ..PlatformFaults::default() }; "writes lost")]
 #[test_case(PlatformFaults { delay_ms: 2_600, ..PlatformFaults::default() }; "writes late")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_given_up_is_not_run_and_released_later(faults: PlatformFaults) {
+async fn an_abandoned_claim_is_not_run_and_released_later(faults: PlatformFaults) {
     let deployment = start().await;
     platform_faults(&deployment, faults).await;
-    let first = hold(&deployment, 0, "hold-1").await;
+    let first = post_hold(&deployment, 0, "hold-1").await;
     assert!(first.is_not_run(), "{}", first.body);
     assert_eq!(runs(&deployment).await, 0);
     platform_faults(&deployment, PlatformFaults::default()).await;
     let resent = resend_until_answered(&deployment, 1, "hold-1").await;
     // Late writes and the release have landed by now, and still the answer is the only one.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    assert_eq!(hold(&deployment, 2, "hold-1").await.body, resent.body);
+    assert_eq!(post_hold(&deployment, 2, "hold-1").await.body, resent.body);
     assert_eq!(runs(&deployment).await, 1);
 }
 
@@ -233,12 +237,12 @@
     };
     platform_faults(&deployment, down).await;
     for entry in 0..3 {
-        let refused = hold(&deployment, entry, "hold-1").await;
+        let refused = post_hold(&deployment, entry, "hold-1").await;
         assert!(refused.is_not_run(), "{}", refused.body);
     }
     assert_eq!(runs(&deployment).await, 0);
     platform_faults(&deployment, PlatformFaults::default()).await;
-    assert_eq!(hold(&deployment, 0, "hold-1").await.status, 200);
+    assert_eq!(post_hold(&deployment, 0, "hold-1").await.status, 200);
     assert_eq!(runs(&deployment).await, 1);
 }
 
@@ -310,11 +314,11 @@
     let deployment = start().await;
     let platform = deployment.platform.address("listening");
     for index in 0..10 {
-        hold(&deployment, 0, &format!("hold-{index}")).await;
+        post_hold(&deployment, 0, &format!("hold-{index}")).await;
     }
     let counts = get(&deployment, platform, "/standin/transactions").await;
     assert_eq!(counts["once"], 20, "{counts}");
-    hold(&deployment, 1, "hold-1").await;
+    post_hold(&deployment, 1, "hold-1").await;
     let counts = get(&deployment, platform, "/standin/transactions").await;
     assert_eq!(counts["once"], 21, "{counts}");
 }
@@ -327,7 +331,7 @@
     deployment.services[1].signal(Signal::SIGKILL);
     deployment.services[1].wait();
     for index in 0..10 {
-        let answered = hold(&deployment, index % 3, &format!("hold-{index}")).await;
+        let answered = post_hold(&deployment, index % 3, &format!("hold-{index}")).await;
         assert_eq!(answered.status, 200, "{}", answered.body);
     }
     assert_eq!(runs(&deployment).await, 10);
--- a/crates/foxtailhold-standin/tests/orders.rs
+++ b/crates/foxtailhold-standin/tests/orders.rs
@@ -84,7 +84,7 @@
         .unwrap();
 }
 
-async fn in_effect(deployment: &Deployment, version: &str) {
+async fn wait_until_in_effect(deployment: &Deployment, version: &str) {
     until("the wanted state to be in effect", async || {
         let state: EngineState = get(deployment, engine(deployment), "/orders").await;
         state.in_effect == Some(setup(version)) && state.loading.is_none()
@@ -104,7 +104,7 @@
 }
 
 /// The index of the entry instance that holds the lease.
-async fn giver(deployment: &Deployment) -> Option<usize> {
+async fn issuer(deployment: &Deployment) -> Option<usize> {
     let path = format!("/v1/table/order_lease/row?key={ENGINE}");
     let row: Value = get(deployment, platform(deployment), &path).await;
     let holder = row["value"]["holder"].as_str()?;
@@ -160,7 +160,7 @@
     until("the lease to be ended", async || {
         let path = format!("/v1/table/order_lease/row?key={ENGINE}");
         let row: Value = get(&deployment, platform(&deployment), &path).await;
-        ended = get(&deployment, platform(&deployment), path_of_counts()).await;
+        ended = get(&deployment, platform(&deployment), transactions_path()).await;
         row["value"]["ended"] == true
     })
     .await;
@@ -170,14 +170,14 @@
     println!("table writes of one order: {}", later["order_lease"]);
 }
 
-fn path_of_counts() -> &'static str {
+fn transactions_path() -> &'static str {
     "/standin/transactions"
 }
 
 #[test_case(FencingCheck::Enforced, 16_000; "checking engine")]
 #[test_case(FencingCheck::Ignored, 3_000; "ignoring engine, within the longest flight")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_giver_is_replaced_and_its_order_does_not_win(
+async fn a_paused_issuer_is_replaced_and_its_order_does_not_win(
     fencing: FencingCheck,
     delay_ms: u64,
 ) {
@@ -196,7 +196,7 @@
     set(&deployment, 0, "v1").await;
     let mut holder = None;
     until("a giver", async || {
-        holder = giver(&deployment).await;
+        holder = issuer(&deployment).await;
         holder.is_some()
     })
     .await;
@@ -205,7 +205,7 @@
     let sent = Instant::now();
     deployment.entries[holder].signal(Signal::SIGSTOP);
     set(&deployment, (holder + 1) % 3, "v2").await;
-    in_effect(&deployment, "v2").await;
+    wait_until_in_effect(&deployment, "v2").await;
     println!(
         "{fencing:?}: {} ms from the pause to the new state",
         sent.elapsed().as_millis()
@@ -219,7 +219,7 @@
     assert_eq!(record(&deployment).await, expected);
     deployment.entries[holder].signal(Signal::SIGCONT);
     tokio::time::sleep(Duration::from_secs(4)).await;
-    in_effect(&deployment, "v2").await;
+    wait_until_in_effect(&deployment, "v2").await;
     let record = record(&deployment).await;
     let last = record.iter().rposition(|seen| *seen == order("v1", true));
     let newer = record.iter().position(|seen| *seen == order("v2", true));
@@ -229,7 +229,7 @@
 #[test_case(FencingCheck::Enforced; "checking engine")]
 #[test_case(FencingCheck::Ignored; "ignoring engine")]
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_table_and_engine_end_in_the_last_wanted_state(fencing: FencingCheck) {
+async fn lost_answers_of_table_and_engine_end_in_the_last_desired_state(fencing: FencingCheck) {
     let deployment = start(fencing).await;
     let late = OrderFaults {
         late_orders: 1,
@@ -249,11 +249,11 @@
     };
     post(&deployment, platform(&deployment), "/standin/faults", &lost).await;
     set(&deployment, 0, "v1").await;
-    in_effect(&deployment, "v1").await;
+    wait_until_in_effect(&deployment, "v1").await;
     for version in ["v2", "v3"] {
         set(&deployment, 1, version).await;
     }
-    in_effect(&deployment, "v3").await;
+    wait_until_in_effect(&deployment, "v3").await;
     let record = record(&deployment).await;
     let mut sorted = record.clone();
     sorted.sort();
--- a/crates/foxtailhold-standin/tests/planned_stop.rs
+++ b/crates/foxtailhold-standin/tests/planned_stop.rs
@@ -19,15 +19,15 @@
 const CALLERS: usize = 12;
 
 /// One caller's kept list.
-struct Kept {
+struct AddressList {
     addresses: Vec<SocketAddr>,
     asked_at: Instant,
     keep_for: Duration,
 }
 
-impl Kept {
+impl AddressList {
     /// Asks the addresses known from the start, one after the other.
-    async fn ask(caller: &Caller, known: &[SocketAddr]) -> Kept {
+    async fn fetch(caller: &Caller, known: &[SocketAddr]) -> AddressList {
         let asked_at = Instant::now();
         for address in known {
             let asked = caller.json(*address, Method::GET, "/v1/entries", &Value::Null);
@@ -40,7 +40,7 @@
             }
             assert!(!addresses.is_empty(), "an empty list of addresses");
             let keep_for = Duration::from_millis(list["keep_for_ms"].as_u64().unwrap());
-            return Kept {
+            return AddressList {
                 addresses,
                 asked_at,
                 keep_for,
@@ -52,7 +52,7 @@
 
 /// What the callers saw.
 #[derive(Default)]
-struct Seen {
+struct CallerStatistics {
     done: AtomicBool,
     answered: AtomicUsize,
     failed: std::sync::Mutex<Vec<String>>,
@@ -74,18 +74,22 @@
 }
 
 /// Calls without a pause, always at the last address that its list allows.
-async fn follow_the_rules(index: usize, mut known: Vec<SocketAddr>, seen: Arc<Seen>) {
+async fn run_compliant_caller(
+    index: usize,
+    mut known: Vec<SocketAddr>,
+    seen: Arc<CallerStatistics>,
+) {
     let caller = Caller::default();
-    let mut kept = Kept::ask(&caller, &known).await;
+    let mut list = AddressList::fetch(&caller, &known).await;
     for turn in index.. {
         if seen.done.load(Ordering::Relaxed) {
             return;
         }
-        if kept.asked_at.elapsed() >= kept.keep_for {
+        if list.asked_at.elapsed() >= list.keep_for {
             known.rotate_left(1);
-            kept = Kept::ask(&caller, &known).await;
+            list = AddressList::fetch(&caller, &known).await;
         }
-        let address = kept.addresses[turn % kept.addresses.len()];
+        let address = list.addresses[turn % list.addresses.len()];
         match call(&caller, address, turn).await {
             Ok(()) => {
                 seen.answered.fetch_add(1, Ordering::Relaxed);
@@ -98,17 +102,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn two_stops_at_once_fail_no_request_of_callers_that_follow_the_rules() {
     let mut deployment = Deployment::start(3, 5).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let mut known = Vec::new();
     for index in 0..5 {
         known.push(deployment.caller_address(index));
     }
-    let seen = Arc::new(Seen::default());
+    let seen = Arc::new(CallerStatistics::default());
     let mut callers = Vec::new();
     for index in 0..CALLERS {
         let mut known = known.clone();
         known.rotate_left(index % 5);
-        callers.push(tokio::spawn(follow_the_rules(index, known, seen.clone())));
+        callers.push(tokio::spawn(run_compliant_caller(
+            index,
+            known,
+            seen.clone(),
+        )));
     }
     let long = tokio::spawn({
         let (caller, address) = (deployment.caller.clone(), known[1]);
@@ -143,7 +151,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stopping_instance_hands_its_jobs_over_at_once() {
     let mut deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let caller = deployment.caller.clone();
     let address = deployment.caller_address(0);
     let file = caller.upload(address, &batch_input(2_000)).await.unwrap();
--- a/crates/foxtailhold-standin/tests/refusals_true.rs
+++ b/crates/foxtailhold-standin/tests/refusals_true.rs
@@ -22,7 +22,7 @@
 
 /// A refusal as it was answered.
 #[derive(Debug, Clone)]
-struct Refused {
+struct Refusal {
     text: String,
     code: String,
     ran: String,
@@ -36,7 +36,7 @@
 }
 
 /// Sends a request; `None` where it was answered.
-async fn refused(builder: request::Builder, text: &str, body: String) -> Option<Refused> {
+async fn send_for_refusal(builder: request::Builder, text: &str, body: String) -> Option<Refusal> {
     let start = Instant::now();
     let uri = builder.uri_ref().unwrap().authority().unwrap().as_str();
     let address: SocketAddr = uri.parse().unwrap();
@@ -49,7 +49,7 @@
     let last = body.lines().rev().find(|line| !line.is_empty())?;
     let last = last.strip_prefix("data: ").unwrap_or(last);
     let error = serde_json::from_str::<Value>(last).ok()?["error"].clone();
-    Some(Refused {
+    Some(Refusal {
         text: text.to_owned(),
         code: error["code"].as_str()?.to_owned(),
         ran: error["ran"].as_str()?.to_owned(),
@@ -58,14 +58,18 @@
     })
 }
 
-async fn ask(deployment: &Deployment, text: &str, deadline_ms: Option<u64>) -> Option<Refused> {
+async fn send_chat(
+    deployment: &Deployment,
+    text: &str,
+    deadline_ms: Option<u64>,
+) -> Option<Refusal> {
     let address = deployment.caller_address(0);
     let mut builder = request(address, CHAT);
     if let Some(deadline_ms) = deadline_ms {
         builder = builder.header("foxtailhold-deadline-ms", deadline_ms);
     }
     let streamed = text.contains("streamed");
-    refused(builder, text, chat(text, 12, streamed).to_string()).await
+    send_for_refusal(builder, text, chat(text, 12, streamed).to_string()).await
 }
 
 /// All that the backend servers which still run have in their records.
@@ -87,7 +91,7 @@
     records
 }
 
-async fn assert_true(deployment: &Deployment, refusals: &[Refused]) {
+async fn assert_matches_records(deployment: &Deployment, refusals: &[Refusal]) {
     let records = records(deployment).await;
     for refusal in refusals {
         let ran = records.contains(&prompt(&refusal.text)) || records.contains(&refusal.text);
@@ -103,7 +107,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn each_refusal_says_what_the_engine_ran() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let none = EngineFaults::default;
     let cases = [
         (
@@ -200,7 +204,7 @@
     let mut refusals = Vec::new();
     for (text, deadline_ms, ran, faults) in cases {
         set_faults(&deployment, 0, &faults).await;
-        let refusal = ask(&deployment, text, deadline_ms).await.unwrap();
+        let refusal = send_chat(&deployment, text, deadline_ms).await.unwrap();
         assert_eq!(refusal.ran, ran, "{refusal:?}");
         assert!(refusal.retry_after, "{refusal:?}");
         if let Some(deadline_ms) = deadline_ms {
@@ -211,12 +215,12 @@
         refusals.push(refusal);
         set_faults(&deployment, 0, &none()).await;
     }
-    assert_true(&deployment, &refusals).await;
+    assert_matches_records(&deployment, &refusals).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_true(&deployment, &refusals).await;
+    assert_matches_records(&deployment, &refusals).await;
     deployment.engines[0].signal(Signal::SIGKILL);
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let refusal = ask(&deployment, "gone", None).await.unwrap();
+    let refusal = send_chat(&deployment, "gone", None).await.unwrap();
     assert_eq!(
         (refusal.ran.as_str(), refusal.retry_after),
         ("not_run", true)
@@ -226,7 +230,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn each_refusal_says_what_the_service_ran() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let service = deployment.services[0].address("listening");
     let faults = json!({ "delay_ms": 3_000 });
     let body = Bytes::from(faults.to_string());
@@ -243,7 +247,11 @@
     let call = |text: &str, deadline_ms: u64| {
         let builder = request(address, path).header("foxtailhold-deadline-ms", deadline_ms);
         let text = text.to_owned();
-        async move { refused(builder, &text, text.clone()).await.unwrap() }
+        async move {
+            send_for_refusal(builder, &text, text.clone())
+                .await
+                .unwrap()
+        }
     };
     let late = call("award-late", 300).await;
     assert_eq!(late.ran, "may_have_run");
@@ -261,7 +269,7 @@
 const LEAVING_ROUND: usize = 22;
 
 /// A random fault; in each third round one that refuses new requests.
-fn drawn(rng: &mut SmallRng, round: usize) -> EngineFaults {
+fn random_faults(rng: &mut SmallRng, round: usize) -> EngineFaults {
     let tokens = Some(rng.random_range(0..12));
     let none = EngineFaults::default();
     let first = if round < LEAVING_ROUND { 2 } else { 1 };
@@ -307,20 +315,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refusals_stay_true_under_random_faults_of_all_engines() {
     let deployment = Deployment::start(3, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let mut rng = SmallRng::seed_from_u64(11);
     let mut refusals = Vec::new();
     let mut answered = 0;
     for round in 0..25 {
         for engine in 0..3 {
-            set_faults(&deployment, engine, &drawn(&mut rng, round)).await;
+            set_faults(&deployment, engine, &random_faults(&mut rng, round)).await;
         }
         let mut asked = Vec::new();
         for number in 0..8 {
             let streamed = ["streamed", "whole"][number % 2];
             asked.push(format!("{streamed}, round {round}, request {number}."));
         }
-        let asks = asked.iter().map(|text| ask(&deployment, text, Some(1_500)));
+        let asks = asked
+            .iter()
+            .map(|text| send_chat(&deployment, text, Some(1_500)));
         for refusal in futures_util::future::join_all(asks).await {
             answered += usize::from(refusal.is_none());
             refusals.extend(refusal);
@@ -335,5 +345,5 @@
     println!("{answered} answered, refused: {not_run} not_run, {may} may_have_run, {ran} ran");
     assert!(not_run > 0 && may > 0 && ran > 0);
     assert!(refusals.iter().all(|refusal| refusal.retry_after));
-    assert_true(&deployment, &refusals).await;
+    assert_matches_records(&deployment, &refusals).await;
 }
--- a/crates/foxtailhold-standin/tests/retries.rs
+++ b/crates/foxtailhold-standin/tests/retries.rs
@@ -17,7 +17,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_stay_within_their_budget_when_all_engines_fail() {
     let deployment = Deployment::start(3, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let faults = EngineFaults {
         fail: true,
         ..EngineFaults::default()
--- a/crates/foxtailhold-standin/tests/timeline.rs
+++ b/crates/foxtailhold-standin/tests/timeline.rs
@@ -24,7 +24,7 @@
 }
 
 /// Two instances, the first one's clock an hour ahead, the second one's an hour behind.
-async fn disagreeing() -> Deployment {
+async fn start_with_skewed_clocks() -> Deployment {
     let mut deployment = Deployment::start(1, 0).await;
     for (id, offset_ms) in [("entry-0", HOUR_MS), ("entry-1", BEHIND_MS)] {
         deployment.add_entry(id, "keene-hall", &["--wall-offset-ms", offset_ms]);
@@ -35,7 +35,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn cause_comes_before_effect_over_instances_whose_clocks_disagree() {
-    let deployment = disagreeing().await;
+    let deployment = start_with_skewed_clocks().await;
     let customer = "granite-trail".try_into().unwrap();
     for version in 0..4 {
         let operator = deployment.operator(version as usize % 2);
@@ -78,9 +78,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn way_of_one_request_is_shown_alone() {
+async fn timeline_of_one_request_holds_only_its_events() {
     let deployment = Deployment::start(1, 2).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     for index in 0..12 {
         let address = deployment.caller_address(index % 2);
         let body = chat(&format!("question {index}"), 2, false);
@@ -100,10 +100,13 @@
         .collect();
     assert_eq!(requests.len(), 12);
     for request in requests {
-        let of = foxtail(&deployment, &["timeline", "--of", request]).await;
-        let of = of["entries"].as_array().unwrap();
-        assert!(of.iter().all(|entry| entry["request"] == request), "{of:?}");
-        assert_eq!(of[0]["event"], "accepted");
-        assert_eq!(of[1]["event"], "sent");
+        let filtered = foxtail(&deployment, &["timeline", "--of", request]).await;
+        let filtered = filtered["entries"].as_array().unwrap();
+        assert!(
+            filtered.iter().all(|entry| entry["request"] == request),
+            "{filtered:?}"
+        );
+        assert_eq!(filtered[0]["event"], "accepted");
+        assert_eq!(filtered[1]["event"], "sent");
     }
 }
--- a/crates/foxtailhold-standin/tests/watching.rs
+++ b/crates/foxtailhold-standin/tests/watching.rs
@@ -68,9 +68,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_tell_what_was_done() {
+async fn metrics_count_requests_batch_items_and_platform_calls() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     run_a_few_requests(&deployment).await;
     let operator = deployment.entries[0].address("operator_address");
     let (status, text) = get(operator, "/metrics", None).await;
@@ -152,7 +152,7 @@
     let entry = Process::spawn("foxtailhold-entry", command);
     deployment.entries.push(entry);
     deployment.settle(1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     run_a_few_requests(&deployment).await;
     let operator = deployment.entries[0].address("operator_address");
     assert_eq!(get(operator, "/v1/jobs", Some(WRONG_TOKEN)).await.0, 401);
--- a/crates/foxtailhold-standin/tests/whole_answer.rs
+++ b/crates/foxtailhold-standin/tests/whole_answer.rs
@@ -175,7 +175,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole_over_every_fault_of_one_engine() {
     let deployment = Deployment::start(2, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     for (name, streamed, faults) in cases() {
         set_faults(&deployment, 1, &faults).await;
         let before = record(&deployment, 1).await.len();
@@ -203,7 +203,7 @@
 
 async fn streams_through_loss(signal: Signal) {
     let deployment = Deployment::start(3, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let address = deployment.caller_address(0);
     let mut streams = Vec::new();
     for index in 0..30 {
@@ -253,7 +253,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_without_another_engine_ends_with_a_typed_error() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let faults = EngineFaults {
         cut_after_tokens: Some(5),
         ..EngineFaults::default()
@@ -295,7 +295,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn request_of_a_vanished_caller_is_cancelled_at_the_engine() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let mut response = open(&deployment, "never read", 5_000).await;
     response.body_mut().frame().await.unwrap().unwrap();
     drop(response);
@@ -309,7 +309,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_caller_gets_the_whole_answer() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let response = open(&deployment, "read late", 2_000).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
     let body = response.into_body().collect().await.unwrap().to_bytes();
--- a/crates/foxtailhold-standin/tests/whole_path.rs
+++ b/crates/foxtailhold-standin/tests/whole_path.rs
@@ -17,9 +17,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_asks_for_addresses_and_gets_streamed_and_whole_answers() {
     let deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     for index in 0..3 {
-        assert_eq!(deployment.entries_seen(index).await.len(), 3);
+        assert_eq!(deployment.listed_instances(index).await.len(), 3);
         let address = deployment.caller_address(index);
         let question = format!("question {index}");
         let expected = text::answer(&prompt(&question), 20);
@@ -43,7 +43,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn batch_job_runs_each_item_once_and_a_resend_names_the_same_job() {
     let deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let caller = &deployment.caller;
     let items = 450;
     let file = caller
@@ -150,13 +150,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn service_call_not_to_be_repeated_runs_once_through_two_instances() {
     let deployment = Deployment::start(1, 3).await;
-    deployment.with_contract().await;
-    let http = once_client::Client::default();
+    deployment.set_demo_contract().await;
+    let http = idempotent_client::Client::default();
     let mut bodies = Vec::new();
     for index in 0..2 {
         let address = deployment.caller_address(index);
         let (status, body) = http
-            .post_once(address, "/v1/services/portal/holds", "hold-1")
+            .post_idempotent(address, "/v1/services/portal/holds", "hold-1")
             .await;
         assert_eq!(status, 200, "{body}");
         bodies.push(body);
@@ -180,7 +180,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_cuts_no_stream_and_exits_with_status_0() {
     let mut deployment = Deployment::start(2, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let address = deployment.caller_address(1);
     let mut streams = Vec::new();
     for index in 0..10 {
@@ -196,7 +196,7 @@
     deployment.entries[1].signal(Signal::SIGTERM);
     until("the stopping instance to leave the list", async || {
         !deployment
-            .entries_seen(0)
+            .listed_instances(0)
             .await
             .contains(&"entry-1".to_owned())
     })
@@ -210,7 +210,7 @@
 }
 
 /// A request with headers of its own.
-mod once_client {
+mod idempotent_client {
     use std::net::SocketAddr;
 
     use bytes::Bytes;
@@ -230,7 +230,12 @@
 
     impl Client {
         /// Posts a request that must not be repeated under `key`.
-        pub async fn post_once(&self, address: SocketAddr, path: &str, key: &str) -> (u16, String) {
+        pub async fn post_idempotent(
+            &self,
+            address: SocketAddr,
+            path: &str,
+            key: &str,
+        ) -> (u16, String) {
             let request = Request::post(format!("http://{address}{path}"))
                 .header("authorization", format!("Bearer {API_KEY}"))
                 .header("idempotency-key", key)
