--- a/crates/foxtailhold-experiment/src/arrivals.rs
+++ b/crates/foxtailhold-experiment/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! What arrives when: the same for each policy.
+//! Generates the requests of a run from a seed. Every policy is played with the same arrivals.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,33 +6,34 @@
 
 use crate::sheet::{Sheet, Site};
 
-/// Numbers of a request that is played.
+/// One simulated request: an online request or a batch item.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// When it arrives, in microseconds.
+    /// Arrival time in microseconds since the start of the run.
     pub at_us: u64,
-    /// The instance that it arrives at.
+    /// Index of the instance that receives the request.
     pub instance: usize,
-    /// What it is.
+    /// Whether the request is online or a batch item.
     pub kind: RequestKind,
-    /// Prompt tokens.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Length of the full answer in tokens.
     pub answer_tokens: u64,
-    /// Online: its first event is due then. Batch: its result is.
+    /// Deadline in microseconds since the start of the run: of the first event for online requests,
+    /// of the result for batch items.
     pub due_us: u64,
 }
 
-/// Who waits for it.
+/// The class of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A person.
+    /// A caller waits for the streamed answer.
     Online,
-    /// Nobody: an item of a batch job.
+    /// An item of a batch job; only the job's deadline counts.
     Batch,
 }
 
-/// ArrivalGenerator of one run.
+/// Draws the arrivals of one run.
 struct ArrivalGenerator<'a> {
     sheet: &'a Sheet,
     instances: Vec<Site>,
@@ -40,7 +41,8 @@
 }
 
 impl ArrivalGenerator<'_> {
-    /// A number around `mean`, at least 1.
+    /// A normally distributed size around `mean`, at least 1; `spread` is the standard deviation as
+    /// a share of the mean.
     fn sample_size(&mut self, mean: f64, spread: f64) -> u64 {
         let drawn = match Normal::new(mean, mean * spread) {
             Ok(normal) => normal.sample(&mut self.rng),
@@ -49,7 +51,7 @@
         drawn.round().max(1.0) as u64
     }
 
-    /// Time to the next arrival of a Poisson process, in microseconds; none at rate 0.
+    /// Time to the next arrival of a Poisson process in microseconds; `None` at rate 0.
     fn gap_us(&mut self, per_s: f64) -> Option<u64> {
         let gap = Exp::new(per_s).ok().filter(|_| per_s > 0.0)?;
         Some((gap.sample(&mut self.rng) * 1e6) as u64)
@@ -94,7 +96,7 @@
     }
 }
 
-/// Factor of the mean rate at a time.
+/// Factor of the mean online rate at a time: that of the off-peak or the peak phase.
 pub fn rate_factor(sheet: &Sheet, at_us: u64) -> f64 {
     let (off_peak, peak) = (sheet.online.off_peak, sheet.online.peak);
     let in_turn_ms = (at_us / 1_000) % (off_peak.1 + peak.1);
@@ -105,7 +107,7 @@
     }
 }
 
-/// All requests of a run of this length, in the order of their arrival.
+/// Generates all requests of a run of `length_us` microseconds, in order of arrival.
 pub fn draw(sheet: &Sheet, length_us: u64, seed: u64) -> Vec<Request> {
     let mut generator = ArrivalGenerator {
         sheet,
@@ -121,7 +123,7 @@
             if at_us >= length_us {
                 break;
             }
-            // Thinning of a process at the highest rate (Lewis and Shedler, 1979).
+            // Thinning of a Poisson process at the highest rate (Lewis and Shedler, 1979).
             if generator
                 .rng
                 .random_bool(rate_factor(sheet, at_us) / max_factor)
--- a/crates/foxtailhold-experiment/src/bound.rs
+++ b/crates/foxtailhold-experiment/src/bound.rs
@@ -1,10 +1,11 @@
-//! What no policy can exceed: all engines as one, which knows everything at once and loses nothing.
+//! Upper bound of what any policy can reach: all engines act as one, know every request in advance
+//! and lose nothing.
 //!
-//! Engines give the most tokens when all slots are full, so tokens at that rate are the capacity.
-//! Online requests take theirs first. Of the batch items, those that cannot all be served by their
-//! times are remaining out, the largest first (Moore, 1968), which serves as many as possible. Items may
-//! be served before they come and are never limited by the speed of a single request, so the
-//! result is at least what the best policy could reach.
+//! Engines produce the most tokens when all slots are full, so tokens at that rate are the
+//! capacity. Online requests take their share first. Of the batch items, those that cannot all meet
+//! their deadlines are dropped, the largest first (Moore, 1968), which serves as many as possible.
+//! Items may be served before they arrive and are never limited by the speed of a single request,
+//! so the result is at least what the best policy could reach.
 
 use std::collections::BinaryHeap;
 
@@ -12,21 +13,22 @@
 use crate::sheet::Sheet;
 use crate::world::Scenario;
 
-/// Step in which capacity is added up, in microseconds.
+/// Time step in which capacity is accumulated, in microseconds.
 const STEP_US: u64 = 10_000;
 
-/// The most that could be in time.
+/// Highest shares of requests that can meet their deadlines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// Share of the online requests.
+    /// Share of the online requests, from 0 to 1.
     pub online: f64,
-    /// Share of the batch items.
+    /// Share of the batch items, from 0 to 1.
     pub batch: f64,
-    /// Share of the slot time that all requests together need.
+    /// Slot time that all requests need, as a share of the available slot time; above 1 when
+    /// overloaded.
     pub load: f64,
 }
 
-/// Tokens a microsecond of all engines, with full slots.
+/// Tokens per microsecond of all engines with full slots.
 fn tokens_per_us(sheet: &Sheet) -> f64 {
     let slots = sheet.engine.slots as f64;
     let engines = sheet.engines();
@@ -36,7 +38,7 @@
         .sum()
 }
 
-/// Tokens that engines could give up to each step, without the outage.
+/// Cumulative tokens that the engines can produce up to each step; an outage adds none.
 fn capacity(scenario: &Scenario<'_>) -> Vec<f64> {
     let rate = tokens_per_us(scenario.sheet);
     let mut sum = 0.0;
@@ -60,8 +62,9 @@
         .is_some_and(|o| (o.at_us..o.at_us + o.for_us).contains(&request.at_us))
 }
 
-/// Takes the online requests out of the capacity, each in the step of its arrival or as soon after
-/// as there is some remaining; returns how many were begun by their time.
+/// Takes the tokens of online requests out of the capacity, each from the step of its arrival or
+/// the first later one with free capacity. Returns the number of online requests and how many of
+/// them started before their deadline.
 fn serve_online(scenario: &Scenario<'_>, capacity: &mut [f64]) -> (u64, u64) {
     let steps = capacity.len() - 1;
     let mut free: Vec<f64> = (0..steps).map(|s| capacity[s + 1] - capacity[s]).collect();
@@ -97,7 +100,7 @@
     (expected, in_time)
 }
 
-/// The bound of a run.
+/// Computes the bound of a run.
 pub fn bound(scenario: &Scenario<'_>) -> Bound {
     let mut capacity = capacity(scenario);
     let all = capacity.last().copied().unwrap_or_default();
@@ -137,7 +140,7 @@
     }
 }
 
-/// Share of the slot time that the online requests of an ebb, and of a flood, need.
+/// Shares of the slot time that online requests need off-peak and at peak.
 pub fn online_load(sheet: &Sheet) -> (f64, f64) {
     let per_s: f64 = sheet.zones.iter().map(|zone| zone.online_per_s).sum();
     let tokens = sheet.online.events * sheet.engine.tokens_per_event as f64;
--- a/crates/foxtailhold-experiment/src/cli.rs
+++ b/crates/foxtailhold-experiment/src/cli.rs
@@ -1,4 +1,4 @@
-//! The raw command line.
+//! Command-line arguments before validation.
 
 use argh::FromArgs;
 
--- a/crates/foxtailhold-experiment/src/engine.rs
+++ b/crates/foxtailhold-experiment/src/engine.rs
@@ -1,21 +1,23 @@
-//! An engine that batches continuously, in virtual time.
+//! Model of an engine with continuous batching, in virtual time.
 //!
-//! At the end of each step every request that runs, and whose prompt has been read, gives one token.
-//! Then waiting requests take free slots in the order of their arrival, and the next step begins. It
-//! takes the time of a step, that of each running request, and that of the prompts read.
+//! At the end of each step, every running request whose prompt has been read produces one token.
+//! Then waiting requests take free slots in order of arrival and the next step begins. A step takes
+//! a fixed time, a time per running request and the time to read the prompts of the admitted
+//! requests.
 
 use std::collections::VecDeque;
 
 use crate::sheet::EngineShape;
 
-/// A request in an engine.
+/// A request as submitted to an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineRequest {
-    /// Number of the request.
+    /// Index of the request in the run.
     pub request: usize,
-    /// Tokens to read before the first one is given: the prompt, and what another engine has given.
+    /// Tokens to read before the first token is produced: the prompt, and the tokens that earlier
+    /// attempts have produced.
     pub prefill_tokens: u64,
-    /// Tokens still to give.
+    /// Tokens still to produce.
     pub decode_tokens: u64,
 }
 
@@ -26,28 +28,28 @@
     first_token_at_us: u64,
 }
 
-/// What became visible at the end of a step.
+/// Output that becomes visible at the end of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepOutput {
-    /// An event came; the first one is number 1.
+    /// A streamed event; the first one has number 1.
     Event {
-        /// Of which request.
+        /// Index of the request.
         request: usize,
-        /// Events given here so far.
+        /// Number of the event within this attempt.
         number: u64,
     },
-    /// All tokens have been given.
+    /// The request has produced all its tokens and left its slot.
     Ended {
-        /// Of which request.
+        /// Index of the request.
         request: usize,
     },
 }
 
-/// The engine has no room for a request.
+/// The request is rejected because the engine's queue is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueFull;
 
-/// One engine.
+/// One modelled engine.
 #[derive(Debug)]
 pub struct Engine {
     shape: EngineShape,
@@ -60,7 +62,7 @@
 }
 
 impl Engine {
-    /// An idle engine whose steps take `speed` times as long as the shape says.
+    /// Creates an idle engine whose steps take `speed` times as long as the shape says.
     pub fn new(shape: EngineShape, speed: f64) -> Self {
         Engine {
             shape,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Takes a request in, and returns whether a step begins by it.
+    /// Queues a request. Returns whether this starts a step, which the caller then has to schedule.
     pub fn submit(&mut self, now_us: u64, work: EngineRequest) -> Result<bool, QueueFull> {
         if self.waiting.len() >= self.shape.queue {
             return Err(QueueFull);
@@ -86,7 +88,7 @@
         Ok(true)
     }
 
-    /// Ends a request early; returns the tokens that it was given here.
+    /// Removes a request; returns the tokens that it produced in this attempt.
     pub fn cancel(&mut self, now_us: u64, request: usize) -> u64 {
         self.update_busy_time(now_us);
         self.waiting.retain(|work| work.request != request);
@@ -94,23 +96,23 @@
         found.map_or(0, |index| self.running.remove(index).generated_tokens)
     }
 
-    /// When the step that runs ends.
+    /// End of the running step in microseconds; `None` when the engine is idle.
     pub fn step_ends_us(&self) -> Option<u64> {
         self.step_ends_us
     }
 
-    /// Requests that run and that wait.
+    /// Number of running and waiting requests.
     pub fn load(&self) -> u32 {
         (self.running.len() + self.waiting.len()) as u32
     }
 
-    /// Slot time in use up to now, in microseconds.
+    /// Slot time used until `now_us`, in microseconds.
     pub fn busy_slot_us(&mut self, now_us: u64) -> u64 {
         self.update_busy_time(now_us);
         self.busy_slot_us
     }
 
-    /// Ends the step that ran, and begins the next one where there is work.
+    /// Ends the running step, appends its outputs and begins the next step if there is work.
     pub fn step(&mut self, now_us: u64, outputs: &mut Vec<StepOutput>) {
         self.update_busy_time(now_us);
         for running in &mut self.running {
@@ -120,7 +122,7 @@
             running.generated_tokens += 1;
             let (request, generated_tokens) = (running.work.request, running.generated_tokens);
             let is_last = generated_tokens == running.work.decode_tokens;
-            // The first event goes out with the first token.
+            // The first event is sent with the first token, not after `tokens_per_event` tokens.
             if generated_tokens == 1
                 || generated_tokens % self.shape.tokens_per_event == 0
                 || is_last
--- a/crates/foxtailhold-experiment/src/lib.rs
+++ b/crates/foxtailhold-experiment/src/lib.rs
@@ -1,9 +1,10 @@
-//! Placement policies side by side on modelled engines, in virtual time.
+//! Compares placement policies on modelled engines in virtual time.
 //!
-//! Engines batch continuously: a step takes longer with each request that runs, prompts are read in
-//! between. Requests arrive in ebb and flood at many instances, batch jobs in between. A policy
-//! decides, with messages that take time, which engine gets which request and when. The same
-//! arrivals are played for each policy, so a difference is the policy's.
+//! Engines batch continuously: a step takes longer with each running request, and prompts are read
+//! between steps. Online requests arrive at many instances at a rate that alternates between
+//! off-peak and peak, together with batch jobs. A policy decides which engine gets which request
+//! and when, with messages that take time. Each policy is played with the same arrivals, so
+//! differences in the results come from the policy.
 #![warn(clippy::unwrap_used)]
 
 pub mod arrivals;
--- a/crates/foxtailhold-experiment/src/main.rs
+++ b/crates/foxtailhold-experiment/src/main.rs
@@ -1,4 +1,4 @@
-//! The experiment's command line.
+//! Command-line program that simulates the policies and prints the report.
 
 use std::process::ExitCode;
 
--- a/crates/foxtailhold-experiment/src/options.rs
+++ b/crates/foxtailhold-experiment/src/options.rs
@@ -1,4 +1,4 @@
-//! Checked options, and what they ask for.
+//! Validated options, and the simulation runs that they request.
 
 use std::path::PathBuf;
 
@@ -18,62 +18,62 @@
 use crate::statistics::RunStatistics;
 use crate::world::{Outage, Scenario, simulate};
 
-/// Result of checking options and of playing.
+/// Result of validating options and of simulating.
 pub type Result<T> = std::result::Result<T, OptionsError>;
 
-/// Why nothing is played.
+/// Errors of validating options and of simulating.
 #[derive(Debug, Error, Diagnostic)]
 pub enum OptionsError {
-    /// The sheet's file.
+    /// The deployment sheet cannot be read from disk.
     #[error("cannot read {}: {source}", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the sheet.
         file: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The sheet.
+    /// The sheet is not valid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Sheet(#[from] SheetError),
-    /// No such policy.
-    #[error("there is no policy {name:?}; known are allocator, shared-view, in-answers and alone")]
+    /// No policy has this name.
+    #[error("unknown policy {name:?}; expected allocator, shared-view, in-answers or alone")]
     Policy {
-        /// The name given.
+        /// The unknown name.
         name: String,
     },
-    /// A number makes no sense.
+    /// The value of an option is out of range.
     #[error("--{option} must be {rule}")]
     OutOfRange {
-        /// The option.
+        /// Name of the option without its dashes.
         option: &'static str,
-        /// What is allowed.
+        /// Description of the allowed range.
         rule: &'static str,
     },
-    /// A name that the product does not take.
+    /// A generated name is not a valid identifier of the serving system.
     #[error(transparent)]
     Id(#[from] IdError),
-    /// A plot.
+    /// A plot cannot be written.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Plot(#[from] PlotError),
 }
 
-/// A policy.
+/// A placement policy that can be simulated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// One instance grants all places.
+    /// One instance grants the slots of all engines.
     Allocator,
-    /// Each instance on its own, with what the others told last.
+    /// Each instance decides alone, with the load counts that the others last published.
     SharedView,
-    /// Each instance on its own, with what engines told in their answers.
+    /// Each instance decides alone, with the load that engines report in their answers.
     InAnswers,
-    /// Each instance on its own, with its own requests only.
+    /// Each instance decides alone and knows only its own requests.
     Alone,
 }
 
 impl Policy {
-    /// All of them.
+    /// All policies, in the order of the report.
     pub const ALL: [Policy; 4] = [
         Policy::Allocator,
         Policy::SharedView,
@@ -81,7 +81,7 @@
         Policy::Alone,
     ];
 
-    /// Its name in options and reports.
+    /// The name used in options and reports.
     pub fn name(self) -> &'static str {
         match self {
             Policy::Allocator => "allocator",
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Plays a run.
+    /// Simulates one run with this policy.
     pub fn simulate(self, scenario: Scenario<'_>) -> Result<RunStatistics> {
         let topology = Topology::from(scenario.sheet);
         Ok(match self {
@@ -119,20 +119,20 @@
     }
 }
 
-/// Checked options.
+/// Options after validation.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The deployment, with its rates of arrival as they are played.
+    /// The deployment, with arrival rates already multiplied by the load factor.
     pub sheet: Sheet,
-    /// Policies.
+    /// Policies to compare, in the order of the report.
     pub policies: Vec<Policy>,
-    /// Seeds 1 to this.
+    /// Number of runs per policy; they use the seeds from 1 to this number.
     pub seeds: u64,
-    /// Length of a run, in microseconds.
+    /// Length of a run in microseconds.
     pub length_us: u64,
-    /// The loss of all instances.
+    /// Time at which all instances fail; `None` for runs without a failure.
     pub outage: Option<Outage>,
-    /// Directory for plots.
+    /// Directory for plots; `None` writes no plots.
     pub plots: Option<PathBuf>,
 }
 
@@ -185,7 +185,7 @@
 }
 
 impl Options {
-    /// Plays all policies with all seeds.
+    /// Simulates all policies with all seeds.
     pub fn simulate(&self) -> Result<Report> {
         let mut rows: Vec<Row> = Vec::new();
         for policy in &self.policies {
--- a/crates/foxtailhold-experiment/src/placement/allocator.rs
+++ b/crates/foxtailhold-experiment/src/placement/allocator.rs
@@ -1,4 +1,5 @@
-//! One instance grants all backends: the product's own allocator, with the flight of its messages.
+//! Policy in which one instance grants the slots of all engines. It runs the serving system's own
+//! allocator and adds the latency of its messages.
 
 use std::collections::HashMap;
 
@@ -12,28 +13,28 @@
 use crate::arrivals::RequestKind;
 use crate::placement::{Action, AttemptEnd, PendingRequest, Placement, Topology};
 
-/// Online requests that wait ask again so often, as the instances do.
+/// Interval after which a waiting online request repeats its slot request, as the instances do.
 const ONLINE_RETRY_US: u64 = 100_000;
-/// The same for batch items.
+/// Interval after which a waiting batch item repeats its slot request, as the instances do.
 const BATCH_RETRY_US: u64 = 1_000_000;
 
-/// Messages between instances.
+/// Messages from instances to the allocator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Message {
-    /// An ask arrives at the allocator.
+    /// A slot request arrives at the allocator.
     SlotRequest {
-        /// The request.
+        /// Index of the request.
         request: usize,
-        /// The ask's number.
+        /// Number of the slot request.
         number: u64,
     },
-    /// The end of a use arrives there.
+    /// The release of a slot arrives at the allocator.
     Release {
-        /// The instance.
+        /// Index of the instance that held the slot.
         instance: usize,
-        /// The ask's number.
+        /// Number of the slot request.
         number: u64,
-        /// How it ended.
+        /// How the use of the slot ended.
         outcome: SlotOutcome,
     },
 }
@@ -46,7 +47,7 @@
     sent_at_us: Option<u64>,
 }
 
-/// The policy. The first instance is the allocator.
+/// The allocator policy. The first instance is the allocator.
 #[derive(Debug)]
 pub struct AllocatorPlacement {
     topology: Topology,
@@ -61,7 +62,7 @@
 }
 
 impl AllocatorPlacement {
-    /// An allocator of a deployment's engines.
+    /// Creates an allocator for the engines of a deployment.
     pub fn new(topology: Topology) -> Result<Self, IdError> {
         let names = |count: usize, name: &str| -> Vec<String> {
             (0..count).map(|index| format!("{name}-{index}")).collect()
--- a/crates/foxtailhold-experiment/src/placement/independent.rs
+++ b/crates/foxtailhold-experiment/src/placement/independent.rs
@@ -1,39 +1,40 @@
-//! Each instance chooses engines on its own, by what it knows of their load.
+//! Policy in which each instance chooses engines on its own, by what it knows of their load.
 
 use std::collections::HashMap;
 
 use crate::arrivals::RequestKind;
 use crate::placement::{Action, AttemptEnd, PendingRequest, Placement, Topology};
 
-/// An online request that finds no engine waits at most until its first event would be late, less
-/// this time for the first event itself, in microseconds.
+/// Time reserved for the first event, in microseconds. An online request without an engine waits
+/// until its deadline less this time, and is then refused.
 const FIRST_EVENT_US: u64 = 110_000;
-/// Refused callers come back after this time.
+/// Time after which refused callers are told to retry.
 const RETRY_AFTER_MS: u64 = 400;
-/// Places that an instance leaves free of batch items, of those of all engines: one of so many.
+/// One in this many slots of all engines is kept free of batch items.
 const HEADROOM_DIVISOR: usize = 9;
-/// Loads are told to the other instances so often.
+/// Interval in which instances publish their request counts to each other.
 const PUBLISH_INTERVAL_US: u64 = 250_000;
 
-/// What an instance knows of the load of engines.
+/// An instance's knowledge of the load of engines.
 pub trait LoadKnowledge {
-    /// No knowledge yet.
+    /// Starts without any knowledge.
     fn new(instances: usize, engines: usize) -> Self;
 
-    /// Requests that others run at an engine, as far as an instance knows.
+    /// Number of requests of other instances at an engine, as far as `instance` knows.
     fn others(&self, instance: usize, engine: usize) -> u32;
 
-    /// An engine told its load in an answer; `own` are the instance's requests there now.
+    /// Records the load that an engine reported in an answer; `own` is the number of requests that
+    /// the instance has there now.
     fn record_reported_load(&mut self, instance: usize, engine: usize, load: u32, own: u32);
 
-    /// Whether instances tell each other.
+    /// Whether instances publish their request counts to each other.
     const PUBLISHES: bool;
 
-    /// An instance's own counts have arrived at all others.
+    /// Records that the request counts of an instance have arrived at all others.
     fn record_published_counts(&mut self, instance: usize, counts: &[u32]);
 }
 
-/// Nothing but its own requests.
+/// Knowledge of the instance's own requests only.
 #[derive(Debug)]
 pub struct OwnRequests;
 
@@ -53,7 +54,7 @@
     fn record_published_counts(&mut self, _: usize, _: &[u32]) {}
 }
 
-/// The load that an engine told with the last answer from it.
+/// The load that each engine reported with its last answer to the instance.
 #[derive(Debug)]
 pub struct ReportedLoads {
     others: Vec<Vec<u32>>,
@@ -79,7 +80,7 @@
     fn record_published_counts(&mut self, _: usize, _: &[u32]) {}
 }
 
-/// What all instances told each other last.
+/// The request counts that all instances last published to each other.
 #[derive(Debug)]
 pub struct SharedCounts {
     counts: Vec<Vec<u32>>,
@@ -114,13 +115,13 @@
     preempted: bool,
 }
 
-/// An instance's counts reach the others.
+/// Message that carries an instance's request counts to the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PublishCounts {
     instance: usize,
 }
 
-/// The policy.
+/// The policy, by the knowledge `K` that instances have.
 #[derive(Debug)]
 pub struct IndependentPlacement<K> {
     topology: Topology,
@@ -132,7 +133,7 @@
 }
 
 impl<K: LoadKnowledge> IndependentPlacement<K> {
-    /// The policy for a deployment.
+    /// Creates the policy for a deployment.
     pub fn new(topology: Topology) -> Self {
         let (instances, engines) = (topology.instances.len(), topology.engines.len());
         IndependentPlacement {
@@ -151,8 +152,9 @@
         self.topology.slots.saturating_sub(load as usize)
     }
 
-    /// The engine with the most room; its own availability zone counts for one place, and instances
-    /// begin their search at different engines, so that equals do not send all to the same one.
+    /// The engine with the most free slots. An engine in the instance's own availability zone
+    /// counts as having one more. Requests begin the search at different engines, so that ties do
+    /// not send all of them to the same one.
     fn engine_for(&self, pending: &PendingRequest) -> Option<usize> {
         let count = self.topology.engines.len();
         let all_free: usize = (0..count).map(|e| self.free(pending.instance, e)).sum();
@@ -214,7 +216,8 @@
         self.preempt_batch(now_us, instance, online, actions);
     }
 
-    /// Cuts own batch items, those with the most slack first, for online requests that wait.
+    /// Preempts the instance's own batch items for waiting online requests, those with the most
+    /// slack first.
     fn preempt_batch(
         &mut self,
         now_us: u64,
--- a/crates/foxtailhold-experiment/src/placement/mod.rs
+++ b/crates/foxtailhold-experiment/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Policies that decide which engine gets which request, and when.
+//! Placement policies: which engine gets which request, and when.
 
 mod allocator;
 mod independent;
@@ -11,82 +11,82 @@
 use crate::arrivals::RequestKind;
 use crate::sheet::Sheet;
 
-/// A request that waits at an instance for a place.
+/// A request that waits at an instance for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PendingRequest {
-    /// Number of the request.
+    /// Index of the request.
     pub request: usize,
-    /// The instance that it waits at.
+    /// Index of the instance at which it waits.
     pub instance: usize,
-    /// Who waits.
+    /// Whether it is online or a batch item.
     pub kind: RequestKind,
-    /// Online: its first event is due then. Batch: it must run from then on at the latest.
+    /// In microseconds since the start of the run. Online: deadline of the first event. Batch:
+    /// latest time at which the item must start.
     pub due_us: u64,
-    /// An engine that had no room for it.
+    /// An engine that has just rejected the request because its queue was full.
     pub avoid: Option<usize>,
 }
 
-/// How a request's use of an engine ended.
+/// How an attempt at an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Its answer is whole.
+    /// The answer is complete.
     Done,
-    /// The engine had no room.
+    /// The engine rejected the request because its queue was full.
     Full,
-    /// It was cut to give way.
+    /// The batch item was preempted for online requests.
     Preempted,
-    /// Its caller has given up, or its instance was lost.
+    /// The caller gave up or was refused.
     GivenUp,
 }
 
-/// What a policy wants to happen. All of it happens at the time given, or at once where that has
-/// passed.
+/// An action that a policy requests. It takes effect at its `at_us`, or at once if that has passed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Action<N> {
-    /// The request is sent by its instance at this time.
+    /// The request's instance sends it to an engine.
     Send {
-        /// When.
+        /// Time of the action in microseconds.
         at_us: u64,
-        /// Which.
+        /// Index of the request.
         request: usize,
-        /// Where to.
+        /// Index of the engine.
         engine: usize,
     },
-    /// A batch item is cut by its instance, and offered anew.
+    /// The instance of a batch item cancels it at its engine and enqueues it again.
     Preempt {
-        /// When.
+        /// Time of the action in microseconds.
         at_us: u64,
-        /// Which.
+        /// Index of the request.
         request: usize,
     },
     /// The request is refused.
     Refuse {
-        /// When.
+        /// Time of the action in microseconds.
         at_us: u64,
-        /// Which.
+        /// Index of the request.
         request: usize,
-        /// The caller should come back after this time.
+        /// Time after which the caller is told to retry.
         retry_after_ms: u64,
     },
-    /// The policy's own message arrives.
+    /// A message between parts of the policy arrives.
     Message {
-        /// When.
+        /// Time of arrival in microseconds.
         at_us: u64,
-        /// What it says.
+        /// Content of the message.
         message: N,
     },
 }
 
-/// Where and how big all is.
+/// Sizes and availability zones of a deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Topology {
-    /// Places of each engine.
+    /// Number of slots of each engine.
     pub slots: usize,
-    /// Availability zone of each engine.
+    /// Index of the availability zone of each engine.
     pub engines: Vec<usize>,
-    /// Availability zone of each instance.
+    /// Index of the availability zone of each instance.
     pub instances: Vec<usize>,
-    /// One-way time of messages from instance to instance, in microseconds.
+    /// One-way message latency from instance to instance, in microseconds.
     pub latency_us: Vec<Vec<u64>>,
 }
 
@@ -103,12 +103,12 @@
     }
 }
 
-/// A policy.
+/// A placement policy, driven by the simulation.
 pub trait Placement {
-    /// Messages between its parts.
+    /// Messages between the parts of the policy.
     type Message: Copy;
 
-    /// A request waits for a place, at first or again.
+    /// A request begins to wait for a slot, for the first time or again.
     fn enqueue(
         &mut self,
         now_us: u64,
@@ -116,7 +116,8 @@
         actions: &mut Vec<Action<Self::Message>>,
     );
 
-    /// A request has unplaced its engine, or waits no longer. `load` is what the engine told with it.
+    /// A request has left its engine or has stopped waiting. `load` is the load that the engine
+    /// reported with it, if any.
     fn on_attempt_end(
         &mut self,
         now_us: u64,
@@ -126,10 +127,10 @@
         actions: &mut Vec<Action<Self::Message>>,
     );
 
-    /// The first event of a request came, with the load that the engine told.
+    /// The first event of a request arrived, with the load that the engine reported.
     fn on_load_report(&mut self, now_us: u64, request: usize, load: u32);
 
-    /// A message of its own has arrived.
+    /// A message of the policy has arrived.
     fn on_message(
         &mut self,
         now_us: u64,
@@ -137,9 +138,9 @@
         actions: &mut Vec<Action<Self::Message>>,
     );
 
-    /// Time has passed: once in [`crate::world::TICK_US`].
+    /// Called every [`crate::world::TICK_US`].
     fn tick(&mut self, now_us: u64, actions: &mut Vec<Action<Self::Message>>);
 
-    /// All instances are lost and begin anew: whatever was known is forgotten.
+    /// All instances failed and start again: the policy loses its state.
     fn restart(&mut self, now_us: u64);
 }
--- a/crates/foxtailhold-experiment/src/plot.rs
+++ b/crates/foxtailhold-experiment/src/plot.rs
@@ -1,4 +1,4 @@
-//! Lines of a report over time, as SVG.
+//! Plots the results of a report over time, as SVG.
 
 use std::path::{Path, PathBuf};
 
@@ -11,7 +11,7 @@
 
 const SIZE_PX: (u32, u32) = (960, 420);
 
-/// Result of drawing.
+/// Result of drawing plots.
 pub type Result<T> = std::result::Result<T, PlotError>;
 
 /// A plot cannot be written.
@@ -22,22 +22,22 @@
     source: PlotErrorCause,
 }
 
-/// Why.
+/// Cause of a [`PlotError`].
 #[derive(Debug, Error)]
 pub enum PlotErrorCause {
-    /// Its directory.
+    /// The directory cannot be created.
     #[error(transparent)]
     Directory(#[from] std::io::Error),
-    /// Its drawing.
+    /// The drawing cannot be made or written.
     #[error(transparent)]
     Drawing(#[from] DrawingAreaErrorKind<std::io::Error>),
 }
 
-/// A figure that is drawn.
+/// One chart, drawn for every report.
 struct Figure {
     file: &'static str,
     title: &'static str,
-    /// Index of the kind in a window's counts.
+    /// Index of the request kind in the counts of a window: 0 online, 1 batch.
     kind: usize,
 }
 
@@ -54,7 +54,7 @@
     },
 ];
 
-/// Writes one SVG for each figure.
+/// Writes one SVG file per figure.
 pub fn write(report: &Report, directory: &Path) -> Result<()> {
     let failed = |file: &Path, source: PlotErrorCause| PlotError {
         file: file.to_owned(),
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Share in time of each window in which something was owed, over all seeds.
+/// Share in time of each window with expected requests, over all seeds.
 fn line(row: &Row, kind: usize) -> Vec<(f64, f64)> {
     let windows = row
         .statistics
--- a/crates/foxtailhold-experiment/src/report.rs
+++ b/crates/foxtailhold-experiment/src/report.rs
@@ -1,19 +1,19 @@
-//! Tables of runs.
+//! Comparison of the policies as a table.
 
 use crate::bound::Bound;
 use crate::statistics::RunStatistics;
 
-/// One policy's runs.
+/// The runs of one policy.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// A tally for each seed.
+    /// Statistics of each run, in order of the seeds.
     pub statistics: Vec<RunStatistics>,
 }
 
 impl Row {
-    /// Mean of a figure over the seeds.
+    /// Mean of a figure over all runs.
     pub fn mean(&self, figure: impl Fn(&RunStatistics) -> f64) -> f64 {
         let sum: f64 = self.statistics.iter().map(figure).sum();
         sum / self.statistics.len().max(1) as f64
@@ -23,18 +23,18 @@
 /// Runs of several policies with the same arrivals.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Slot time that there was in one run, in microseconds.
+    /// Slot time available in one run, in microseconds.
     pub slot_us: f64,
-    /// Policies.
+    /// One row per policy.
     pub rows: Vec<Row>,
-    /// A bound for each seed.
+    /// Upper bound of each run, in order of the seeds.
     pub bounds: Vec<Bound>,
 }
 
 impl Report {
-    /// The table as Markdown.
+    /// Formats the table as Markdown.
     pub fn table(&self) -> String {
         let mut text = String::from(
             "| policy | online in time | first event p50, p99 (ms) | refused | failed | batch in time \
--- a/crates/foxtailhold-experiment/src/sheet.rs
+++ b/crates/foxtailhold-experiment/src/sheet.rs
@@ -1,4 +1,4 @@
-//! What a deployment is: engines, callers, batch jobs, distances.
+//! Description of a deployment: engines, online requests, batch jobs and message latencies.
 
 use foxtailhold::ids::{AvailabilityZone, IdError};
 use miette::Diagnostic;
@@ -8,145 +8,145 @@
 /// Result of reading a sheet.
 pub type Result<T> = std::result::Result<T, SheetError>;
 
-/// Why a text is no sheet.
+/// Errors of reading a sheet.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SheetError {
-    /// It cannot be read.
+    /// The text is not valid TOML, or has unknown or missing fields.
     #[error("the sheet cannot be read: {0}")]
     Unreadable(#[from] toml::de::Error),
-    /// A number makes no sense.
+    /// The value of a field is out of range.
     #[error("{field} must be {rule}")]
     OutOfRange {
-        /// The field.
+        /// Path of the field.
         field: &'static str,
-        /// What is allowed.
+        /// Description of the allowed range.
         rule: &'static str,
     },
-    /// The name of an availability zone is wrong.
+    /// The name of an availability zone is not valid.
     #[error(transparent)]
     Zone(#[from] IdError),
 }
 
-/// How fast and how large an engine is.
+/// Speed and size of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineShape {
-    /// Requests in the running batch at most.
+    /// Maximum number of requests in the running batch.
     pub slots: usize,
-    /// Requests that may wait in the engine before it refuses.
+    /// Maximum number of requests that wait in the engine before it rejects more.
     pub queue: usize,
-    /// Time of a step, without its requests, in microseconds.
+    /// Fixed time of a step in microseconds.
     pub step_us: u64,
     /// Time added to a step by each running request, in microseconds.
     pub step_per_request_us: u64,
-    /// Prompt tokens read a millisecond.
+    /// Prompt tokens read per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Time to a first token beside the reading, in microseconds.
+    /// Time to the first token in addition to reading the prompt, in microseconds.
     pub first_token_us: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u64,
 }
 
 impl EngineShape {
-    /// A full step of an engine of this speed factor, in microseconds.
+    /// Time of a step with all slots in use, for an engine of this speed factor, in microseconds.
     pub fn full_step_us(&self, speed: f64) -> f64 {
         let step_us = self.step_us + self.slots as u64 * self.step_per_request_us;
         step_us as f64 * speed
     }
 }
 
-/// Engines of one availability zone.
+/// Instances, engines and arrival rates of one availability zone.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneSheet {
-    /// Name.
+    /// Name of the availability zone.
     pub name: String,
-    /// Instances in it.
+    /// Number of instances.
     pub instances: usize,
-    /// Factor of a step's time for each engine in it: 1 is the shape's own time, 2 is half as fast.
+    /// Factor of the step time of each engine: 1 is the time of the shape, 2 is half as fast.
     pub engines: Vec<f64>,
-    /// Online requests a second that arrive in it, on average.
+    /// Mean arrival rate of online requests.
     pub online_per_s: f64,
-    /// Batch jobs a second that arrive in it.
+    /// Mean arrival rate of batch jobs.
     pub jobs_per_s: f64,
 }
 
-/// What people ask.
+/// Sizes, objectives and rates of online requests.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnlineSheet {
-    /// Mean prompt tokens.
+    /// Mean length of the prompt in tokens.
     pub prompt_tokens: f64,
-    /// Mean events of an answer.
+    /// Mean number of events of an answer.
     pub events: f64,
     /// Standard deviation of both, as a share of the mean.
     pub spread: f64,
-    /// First event no later than this, in milliseconds.
+    /// Objective for the time to the first event, in milliseconds.
     pub objective_ms: u64,
-    /// The caller gives up after this time.
+    /// Time after which the caller gives up.
     pub patience_ms: u64,
-    /// Longest good pause between events.
+    /// Longest acceptable pause between events.
     pub pause_ms: u64,
-    /// Calls again of a refused request.
+    /// Number of times that a caller retries a refused request.
     pub retries: u32,
-    /// Ebb and flood: factors of the mean rate, and how long each lasts.
+    /// Off-peak phase: factor of the mean rate, and duration in milliseconds.
     #[serde(rename = "ebb")]
     pub off_peak: (f64, u64),
-    /// The flood's factor and duration in milliseconds.
+    /// Peak phase: factor of the mean rate, and duration in milliseconds.
     #[serde(rename = "flood")]
     pub peak: (f64, u64),
 }
 
-/// Batch jobs.
+/// Sizes and deadline of batch jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchSheet {
-    /// Mean items of a job.
+    /// Mean number of items of a job.
     pub items: f64,
-    /// Mean prompt tokens of an item.
+    /// Mean length of an item's prompt in tokens.
     pub prompt_tokens: f64,
-    /// Mean events of an item.
+    /// Mean number of events of an item.
     pub events: f64,
-    /// Standard deviation of all, as a share of the mean.
+    /// Standard deviation of all three, as a share of the mean.
     pub spread: f64,
-    /// Results are on time this long after the job came, in milliseconds.
+    /// Time from the arrival of a job to its deadline.
     pub due_ms: u64,
 }
 
-/// One-way times of messages, in microseconds.
+/// One-way latencies of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Distances {
     /// Within an availability zone.
     pub in_zone_us: u64,
-    /// Between two.
+    /// Between two availability zones.
     pub cross_zone_us: u64,
 }
 
-/// A deployment.
+/// A deployment as read from a sheet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sheet {
-    /// Name.
+    /// Name of the deployment, used in reports and file names.
     pub name: String,
-    /// Its engines' shape.
+    /// Shape of all engines.
     pub engine: EngineShape,
-    /// Its availability zones.
+    /// Availability zones.
     pub zones: Vec<ZoneSheet>,
     /// Online requests.
     pub online: OnlineSheet,
     /// Batch jobs.
     pub batch: BatchSheet,
-    /// Times of messages.
+    /// Message latencies.
     pub distances: Distances,
 }
 
-/// One engine or instance and its place.
+/// Location of an engine or instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Site {
     /// Index of its availability zone.
     pub zone: usize,
-    /// An engine's speed factor, 1 for instances.
+    /// Speed factor of an engine; 1 for instances.
     pub speed: f64,
 }
 
@@ -213,7 +213,7 @@
         )
     }
 
-    /// All engines.
+    /// All engines, in the order of their availability zones.
     pub fn engines(&self) -> Vec<Site> {
         let mut engines = Vec::new();
         for (zone, sheet) in self.zones.iter().enumerate() {
@@ -225,7 +225,7 @@
         engines
     }
 
-    /// All instances.
+    /// All instances, in the order of their availability zones.
     pub fn instances(&self) -> Vec<Site> {
         let mut instances = Vec::new();
         for (zone, sheet) in self.zones.iter().enumerate() {
@@ -235,7 +235,7 @@
         instances
     }
 
-    /// One-way time of a message between availability zones.
+    /// One-way latency of a message between two sites, in microseconds.
     pub fn latency_us(&self, a: Site, b: Site) -> u64 {
         match a.zone == b.zone {
             true => self.distances.in_zone_us,
--- a/crates/foxtailhold-experiment/src/statistics.rs
+++ b/crates/foxtailhold-experiment/src/statistics.rs
@@ -1,50 +1,51 @@
-//! What became of the requests of a run.
+//! Statistics of one simulated run.
 
 use hdrhistogram::Histogram;
 
 use crate::arrivals::{Request, RequestKind};
 
-/// Length of a window of arrivals, in microseconds.
+/// Length of the windows by which arrivals are counted, in microseconds.
 pub const WINDOW_US: u64 = 2_000_000;
-/// Times are kept up to this many milliseconds.
+/// Longest time that the histograms record; longer times count as this one.
 const MAX_TIME_MS: u64 = 600_000;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served as well as it was asked for.
+    /// Served within its objective or deadline.
     InTime,
-    /// Served, or still unserved, when it was due.
+    /// Served late, or not served by its deadline.
     Late,
-    /// Refused, also when it came again.
+    /// Refused, including all retries.
     Refused,
-    /// Given up by its caller, or lost with its instance.
+    /// The caller gave up, or the request was lost with its instance.
     Failed,
-    /// A job that no instance was there to take: it is not owed.
+    /// The item's job arrived while all instances were down, so it was never accepted and is not
+    /// counted.
     NotAccepted,
 }
 
-/// Counts of one kind.
+/// Counts of one kind of request.
 #[derive(Debug, Clone)]
 pub struct Counts {
-    /// Requests that are owed an answer.
+    /// Requests that ended or passed their deadline within the run, except those not accepted.
     pub expected: u64,
-    /// In time.
+    /// Requests that ended as [`RequestOutcome::InTime`].
     pub in_time: u64,
-    /// Late.
+    /// Requests that ended as [`RequestOutcome::Late`].
     pub late: u64,
-    /// Refused.
+    /// Requests that ended as [`RequestOutcome::Refused`].
     pub refused: u64,
-    /// Failed.
+    /// Requests that ended as [`RequestOutcome::Failed`].
     pub failed: u64,
-    /// Times to the first event, or to the result of a batch item, in milliseconds.
+    /// Times from arrival to the first event, or to the result of a batch item.
     pub times_ms: Histogram<u32>,
 }
 
 impl Default for Counts {
     fn default() -> Self {
         let times_ms = Histogram::new_with_bounds(1, MAX_TIME_MS, 3).unwrap_or_else(|error| {
-            unreachable!("these are bounds and a precision that histograms have: {error}")
+            unreachable!("constant histogram bounds and precision are valid: {error}")
         });
         Counts {
             expected: 0,
@@ -58,7 +59,7 @@
 }
 
 impl Counts {
-    /// Share of what is owed that was in time.
+    /// Share of expected requests that were served in time; 1 if there were none.
     pub fn share(&self) -> f64 {
         match self.expected {
             0 => 1.0,
@@ -67,34 +68,34 @@
     }
 }
 
-/// A window's counts, of both kinds.
+/// Counts of the requests that arrived within one window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Window {
-    /// Owed: online, batch.
+    /// Expected requests: online, batch.
     pub expected: [u64; 2],
-    /// In time: online, batch.
+    /// Requests served in time: online, batch.
     pub in_time: [u64; 2],
 }
 
-/// The result of a run.
+/// Statistics of a run.
 #[derive(Debug, Clone)]
 pub struct RunStatistics {
     /// Online requests.
     pub online: Counts,
     /// Batch items.
     pub batch: Counts,
-    /// By time of arrival.
+    /// Counts by window of arrival.
     pub windows: Vec<Window>,
-    /// Batch items that were cut.
+    /// Number of preemptions of batch items.
     pub preemptions: u64,
-    /// Requests that an engine had no room for.
+    /// Number of times that an engine rejected a request because its queue was full.
     pub full: u64,
-    /// Slot time in use at all engines, in microseconds.
+    /// Slot time used at all engines, in microseconds.
     pub busy_slot_us: u64,
 }
 
 impl RunStatistics {
-    /// Nothing yet.
+    /// Creates empty statistics for a run of `length_us` microseconds.
     pub fn new(length_us: u64) -> Self {
         RunStatistics {
             online: Counts::default(),
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Counts the end of a request.
+    /// Records the end of a request. `took_us` is the time to its first event, or to its result for
+    /// a batch item, if it came that far.
     pub fn record_end(&mut self, request: &Request, outcome: RequestOutcome, took_us: Option<u64>) {
         if outcome == RequestOutcome::NotAccepted {
             return;
--- a/crates/foxtailhold-experiment/src/world/ends.rs
+++ b/crates/foxtailhold-experiment/src/world/ends.rs
@@ -1,13 +1,14 @@
-//! How the ways of requests end: served, refused, cut, given up.
+//! How requests end: served, refused, preempted or timed out.
 
 use crate::arrivals::RequestKind;
 use crate::placement::{AttemptEnd, Placement};
 use crate::statistics::RequestOutcome;
 use crate::world::{Event, Simulation};
 
-/// A request that engines had no room for is offered again so often.
+/// Number of times that an online request is enqueued again after engines rejected it as full; then
+/// it is refused.
 const MAX_FULL_RETRIES: u32 = 3;
-/// Callers whom an engine's refusals reach come back after this time.
+/// Time after which callers refused because of full engines retry.
 const FULL_RETRY_AFTER_MS: u64 = 120;
 
 impl<P: Placement> Simulation<'_, P> {
--- a/crates/foxtailhold-experiment/src/world/loss.rs
+++ b/crates/foxtailhold-experiment/src/world/loss.rs
@@ -1,11 +1,11 @@
-//! The loss of all instances, and their return.
+//! Failure of all instances, and their recovery.
 
 use crate::arrivals::RequestKind;
 use crate::placement::Placement;
 use crate::statistics::RequestOutcome;
 use crate::world::Simulation;
 
-/// Events of an unfinished item are kept in pieces of so many, as owners of jobs do.
+/// Number of events between checkpoints of an unfinished item, as the owners of jobs store them.
 const CHECKPOINT_EVENTS: u64 = 40;
 
 impl<P: Placement> Simulation<'_, P> {
--- a/crates/foxtailhold-experiment/src/world/mod.rs
+++ b/crates/foxtailhold-experiment/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! Plays one run: arrivals, messages, engines and one policy, in virtual time.
+//! Discrete-event simulation of one run: arrivals, messages, engines and one policy, in virtual
+//! time.
 
 mod ends;
 mod loss;
@@ -12,30 +13,31 @@
 use crate::sheet::{Sheet, Site};
 use crate::statistics::{RequestOutcome, RunStatistics};
 
-/// Policies are told of the time so often, in microseconds.
+/// Interval of [`Placement::tick`] in microseconds.
 pub const TICK_US: u64 = 20_000;
-/// An item that has outrun the mean is taken to need this share of it still.
+/// Share of the mean length that an item is estimated to still need when it is already longer than
+/// the mean.
 const MIN_REMAINING_SHARE: f64 = 0.1;
 
-/// All instances are away for a time, and their requests are lost.
+/// A failure of all instances: their requests are lost and they recover later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Outage {
-    /// When it begins, in microseconds.
+    /// Time of the failure in microseconds since the start of the run.
     pub at_us: u64,
-    /// How long it lasts.
+    /// Time until the instances recover, in microseconds.
     pub for_us: u64,
 }
 
-/// What is played.
+/// Input of a run, the same for every policy.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario<'a> {
     /// The deployment.
     pub sheet: &'a Sheet,
-    /// What arrives.
+    /// All requests, in order of arrival.
     pub requests: &'a [Request],
-    /// How long it is played, in microseconds.
+    /// Length of the run in microseconds.
     pub length_us: u64,
-    /// The loss of all instances, if any.
+    /// Failure of all instances; `None` for a run without one.
     pub outage: Option<Outage>,
 }
 
@@ -72,14 +74,15 @@
     OutageEnds,
 }
 
-/// A place in the order of events: by time, then as they were made.
+/// Key of an event in the queue: events are ordered by time, then by the order of scheduling.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at_us: u64,
     number: usize,
 }
 
-/// The way of one request.
+/// Progress of one request. `attempts` also identifies its current attempt: events of earlier
+/// attempts are ignored.
 #[derive(Debug, Clone, Copy)]
 struct RequestState {
     is_over: bool,
@@ -93,7 +96,6 @@
     longest_pause_us: u64,
 }
 
-/// A run that is played.
 struct Simulation<'a, P: Placement> {
     scenario: Scenario<'a>,
     policy: P,
@@ -108,7 +110,7 @@
     statistics: RunStatistics,
 }
 
-/// Plays a run with a policy.
+/// Simulates a run with a policy.
 pub fn simulate<P: Placement>(scenario: Scenario<'_>, policy: P) -> RunStatistics {
     let mut simulation = Simulation::new(scenario, policy);
     simulation.simulate();
@@ -274,8 +276,8 @@
         self.run_policy(|policy, now_us, actions| policy.enqueue(now_us, pending, actions));
     }
 
-    /// Time that an item still needs, as far as its instance can tell: it knows how long items are on
-    /// average, and what this one has given.
+    /// Estimated time that an item still needs. Its instance knows the mean length of items and how
+    /// many tokens this one has produced.
     fn remaining_us(&self, request: usize) -> u64 {
         let sheet = self.scenario.sheet;
         let mean_tokens = sheet.batch.events * sheet.engine.tokens_per_event as f64;
--- a/crates/foxtailhold-experiment/tests/engine.rs
+++ b/crates/foxtailhold-experiment/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The modelled engine, step by step.
+//! Step times, queueing and cancellation of the modelled engine.
 
 use foxtailhold_experiment::engine::{Engine, EngineRequest, QueueFull, StepOutput};
 use foxtailhold_experiment::sheet::EngineShape;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Steps until `until_us`; what came, with its time.
+/// Steps until `until_us`; returns the outputs with their times.
 fn run(engine: &mut Engine, until_us: u64) -> Vec<(u64, StepOutput)> {
     let mut all = Vec::new();
     while let Some(at_us) = engine.step_ends_us().filter(|at_us| *at_us <= until_us) {
--- a/crates/foxtailhold-experiment/tests/policies.rs
+++ b/crates/foxtailhold-experiment/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Policies on the sheets that come with the program.
+//! Policies, arrivals and the upper bound on the sheets that come with the program.
 
 use foxtailhold_experiment::arrivals::{self, RequestKind, rate_factor};
 use foxtailhold_experiment::bound::bound;
--- a/crates/foxtailhold-standin/tests/batch_beside_online.rs
+++ b/crates/foxtailhold-standin/tests/batch_beside_online.rs
@@ -1,6 +1,7 @@
-//! Batch yields to online work, through separate processes.
+//! Batch work is preempted for online requests, in separate processes.
 //!
-//! `FOXTAILHOLD_BATCH_POLICY=ordinary` runs the same with the baseline, which must be red here.
+//! `FOXTAILHOLD_BATCH_POLICY=ordinary` runs the same tests with the baseline policy, which must
+//! fail.
 
 mod common;
 
@@ -27,12 +28,13 @@
 const ITEMS: usize = 48;
 const ITEM_TOKENS: u64 = 300;
 const BURST: usize = 12;
-/// An item of the batch takes about two seconds at a full engine, so a wait for its slot shows.
+/// Largest accepted increase of the time to the first token. An item of the batch takes about two
+/// seconds at a full engine, so a request that waits for its slot exceeds it.
 const MARGIN_MS: u64 = 1_000;
 
-/// Longest time of an item that a paused owner leaves in its slot.
+/// Upper bound of the duration of an item that a paused owner leaves in its slot.
 const ITEM_MS: u64 = 2_500;
-/// Tokens that an engine may have sent and a cut stream not received.
+/// Tokens that an engine may have sent before a preemption and that the instance did not receive.
 const MAX_UNDELIVERED_TOKENS: u64 = 20;
 
 fn prompt(question: &str) -> String {
@@ -93,7 +95,7 @@
     serde_json::from_value(answer.unwrap()).unwrap()
 }
 
-/// Waits until batch has all but the headroom of every engine.
+/// Waits until batch items use all slots of every engine except the headroom of one.
 async fn wait_until_filled(deployment: &Deployment) {
     until("batch to fill the engines", async || {
         for index in 0..ENGINES {
@@ -129,7 +131,7 @@
     took_ms
 }
 
-/// First-token times of a burst over some instances, sorted.
+/// Sends a burst of requests over some instances; returns the sorted times to the first token.
 async fn burst(deployment: &Deployment, entries: &[usize], name: &str) -> Vec<u64> {
     let questions: Vec<String> = (0..BURST).map(|i| format!("{name} question {i}")).collect();
     let mut requests = Vec::new();
@@ -150,7 +152,7 @@
     all
 }
 
-/// Checks that the job completes with each item answered once and in whole.
+/// Checks that the job completes with each item answered once and in full.
 async fn check_job(deployment: &Deployment, entry: usize, job: &str) {
     let caller = &deployment.caller;
     let address = deployment.caller_address(entry);
@@ -179,7 +181,8 @@
     }
 }
 
-/// Checks that each item was finished once, and that a cut cost it only what was under way.
+/// Checks that each item finished once, and that each preemption repeated no more tokens than were
+/// undelivered.
 fn check_attempts(records: &[Ran]) {
     let mut finished: HashMap<&str, u32> = HashMap::new();
     let mut attempts: HashMap<&str, (u64, u64)> = HashMap::new();
@@ -198,7 +201,7 @@
         let max_tokens = ITEM_TOKENS + (count - 1) * MAX_UNDELIVERED_TOKENS;
         assert!(
             tokens <= max_tokens,
-            "{prompt}: {tokens} tokens in {count} legs"
+            "{prompt}: {tokens} tokens in {count} attempts"
         );
     }
 }
@@ -223,10 +226,13 @@
         .collect();
     println!("first token in ms, batch off: {without_batch_ms:?}");
     println!("first token in ms, with batch: {with_batch_ms:?}");
-    println!("batch cancelled so many ms after the burst came: {preempted_after_ms:?}");
+    println!("batch items preempted, in ms after the burst arrived: {preempted_after_ms:?}");
     println!("longest wait of an online request for a slot: {longest_wait_ms} ms");
 
-    assert!(!preempted_after_ms.is_empty(), "no batch item yielded");
+    assert!(
+        !preempted_after_ms.is_empty(),
+        "no batch item was preempted"
+    );
     let (without_batch_ms, with_batch_ms) = (without_batch_ms[BURST - 1], with_batch_ms[BURST - 1]);
     assert!(
         with_batch_ms < without_batch_ms + MARGIN_MS,
@@ -240,7 +246,7 @@
     check_attempts(&records(&deployment).await);
 }
 
-/// The instance that is the steward of the first engine.
+/// Index of the instance that is the batch controller of the first engine.
 fn controller_index() -> usize {
     let ids: Vec<InstanceId> = (0..3)
         .map(|index| format!("entry-{index}").as_str().try_into().unwrap())
@@ -271,7 +277,7 @@
     tokio::time::sleep(Duration::from_millis(GRANT_MS + ITEM_MS)).await;
     let with_batch_ms = burst(&deployment, &others, "during").await;
     println!("first token in ms, batch off: {without_batch_ms:?}");
-    println!("first token in ms, with batch and a paused steward: {with_batch_ms:?}");
+    println!("first token in ms, with batch and a paused batch controller: {with_batch_ms:?}");
     deployment.entries[paused].signal(Signal::SIGCONT);
     let (without_batch_ms, with_batch_ms) = (without_batch_ms[BURST - 1], with_batch_ms[BURST - 1]);
     assert!(
--- a/crates/foxtailhold-standin/tests/batch_cancel.rs
+++ b/crates/foxtailhold-standin/tests/batch_cancel.rs
@@ -1,4 +1,4 @@
-//! Cancelled batch jobs stop, over real processes: no item starts after the status `cancelled`.
+//! Cancelled batch jobs stop, in separate processes: no item starts after the status `cancelled`.
 
 mod batch_deployment;
 mod common;
--- a/crates/foxtailhold-standin/tests/batch_deadline.rs
+++ b/crates/foxtailhold-standin/tests/batch_deadline.rs
@@ -1,5 +1,5 @@
-//! Deadlines of batch jobs: refused at the door where they cannot be met, results kept where they
-//! pass.
+//! Deadlines of batch jobs: a job that cannot meet its deadline is refused when offered, and the
+//! results of a job whose deadline passes stay readable.
 
 mod batch_deployment;
 mod common;
--- a/crates/foxtailhold-standin/tests/batch_deployment/mod.rs
+++ b/crates/foxtailhold-standin/tests/batch_deployment/mod.rs
@@ -1,4 +1,5 @@
-//! A batch job in a deployment of separate processes, seen by its caller, the table and engines.
+//! Helpers for batch jobs in a deployment of separate processes: what the caller, the table and the
+//! engines show of a job.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -17,7 +18,7 @@
 use crate::common::Deployment;
 
 pub const CHAT: &str = "/v1/chat/completions";
-/// Limit for a job to end after a fault.
+/// Time limit for a job to end, also after a fault.
 pub const JOB_WAIT: Duration = Duration::from_secs(90);
 
 /// Lines of a batch input whose questions start with `name`.
@@ -36,7 +37,7 @@
     text
 }
 
-/// A job in a deployment.
+/// A batch job in a deployment, with the input that it was started from.
 pub struct Job<'a> {
     pub deployment: &'a Deployment,
     pub id: String,
@@ -81,7 +82,7 @@
             .await
     }
 
-    /// Waits until the instance `index` says one of `statuses`.
+    /// Waits until the instance `index` reports one of `statuses`; returns the job's description.
     pub async fn wait(&self, index: usize, statuses: &[&str]) -> Value {
         let start = Instant::now();
         let mut last = Value::Null;
@@ -93,10 +94,10 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("waited in vain for {statuses:?}: {last}");
+        panic!("timed out after {JOB_WAIT:?} waiting for {statuses:?}: {last}");
     }
 
-    /// Waits until some items are done.
+    /// Waits until the instance `index` reports completed items.
     pub async fn wait_for_progress(&self, index: usize) {
         let start = Instant::now();
         while start.elapsed() < JOB_WAIT {
@@ -106,15 +107,15 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        panic!("job {} does not advance", self.id);
+        panic!("job {} completes no items", self.id);
     }
 
-    /// The output as it can be read at the instance `index`.
+    /// The output file as read from the instance `index`.
     pub async fn output(&self, index: usize) -> String {
         self.file(index, "file-out-").await
     }
 
-    /// A file of the job, by the start of its identifier.
+    /// A file of the job whose identifier starts with `prefix`.
     pub async fn file(&self, index: usize, prefix: &str) -> String {
         let path = format!("/v1/files/{prefix}{}/content", self.id);
         let address = self.deployment.caller_address(index);
@@ -141,14 +142,15 @@
         }
     }
 
-    /// The instance that owns the job by the table.
+    /// The instance that holds the job's lease in the table; `None` if there is none or it was
+    /// released.
     pub async fn owner(&self) -> Option<String> {
         let found = platform(self.deployment).get("owner", &self.id).await;
         let owner: OwnerRow = found.ok()??.read().ok()?;
         (!owner.released).then(|| owner.holder.to_string())
     }
 
-    /// Waits for an owner other than `before`; gives its place among the entry instances.
+    /// Waits for an owner other than `before`; returns its index among the entry instances.
     pub async fn owner_other_than(&self, before: Option<usize>) -> usize {
         let start = Instant::now();
         while start.elapsed() < JOB_WAIT {
@@ -162,7 +164,7 @@
         panic!("job {} has no other owner", self.id);
     }
 
-    /// Runs of this job's items at all engines that live, by prompt.
+    /// Attempts of this job's items at all engines that still run, by prompt.
     pub async fn attempts_by_prompt(&self) -> HashMap<String, Vec<Ran>> {
         let mut attempts_by_prompt: HashMap<String, Vec<Ran>> = HashMap::new();
         for engine in &self.deployment.engines {
@@ -185,14 +187,14 @@
         attempts_by_prompt
     }
 
-    /// How often items of this job were run to their end. An item that goes on by continuation at
-    /// another engine is started there too, and ends once.
+    /// Number of attempts of this job's items that ran to their end. An item that continues at
+    /// another engine has an attempt there too, but finishes once.
     pub async fn finished_attempts(&self) -> usize {
         let attempts_by_prompt = self.attempts_by_prompt().await.into_values().flatten();
         attempts_by_prompt.filter(|ran| ran.finished).count()
     }
 
-    /// How often items of this job were started from their beginning.
+    /// Number of attempts of this job's items that started from the beginning of the answer.
     pub async fn fresh_starts(&self) -> usize {
         let attempts_by_prompt = self.attempts_by_prompt().await;
         let from_beginning = |ran: &&Ran| ran.resumed_at == 0;
@@ -203,12 +205,12 @@
             .count()
     }
 
-    /// How often items of this job, or the rest of them by continuation, were started.
+    /// Number of attempts of this job's items, including those that continue an earlier attempt.
     async fn attempts(&self) -> usize {
         self.attempts_by_prompt().await.values().map(Vec::len).sum()
     }
 
-    /// Checks for a while that no item of this job is started or goes on by continuation.
+    /// Checks that no attempt of this job's items starts within `for_ms`.
     pub async fn check_no_new_attempts(&self, for_ms: u64) {
         let before = self.attempts().await;
         tokio::time::sleep(Duration::from_millis(for_ms)).await;
@@ -219,7 +221,7 @@
         );
     }
 
-    /// Chunk rows by key.
+    /// Committed chunk rows with their keys.
     pub async fn chunks(&self) -> Vec<(String, ChunkRow)> {
         let prefix = format!("{}/", self.id);
         let platform = platform(self.deployment);
@@ -228,7 +230,7 @@
         rows.into_iter().map(read).collect()
     }
 
-    /// Names of all result objects of this job.
+    /// Names of all result objects of this job, committed or not.
     pub async fn objects(&self) -> Vec<String> {
         let prefix = format!("result/{}/", self.id);
         let platform = platform(self.deployment);
@@ -261,12 +263,12 @@
     deployment.caller.upload(address, content).await.unwrap()
 }
 
-/// Offers a job for an uploaded file; gives its identifier.
+/// Offers a job for an uploaded file; returns the job's identifier.
 pub async fn offer(deployment: &Deployment, index: usize, file: &str) -> Result<String> {
     offer_within(deployment, index, file, "1h").await
 }
 
-/// Offers a job that must be finished within `window`.
+/// Offers a job that must finish within `window`; returns the job's identifier.
 pub async fn offer_within(
     deployment: &Deployment,
     index: usize,
--- a/crates/foxtailhold-standin/tests/batch_faults.rs
+++ b/crates/foxtailhold-standin/tests/batch_faults.rs
@@ -1,4 +1,4 @@
-//! Batch jobs under failures of their owner and of the platform's store, over real processes.
+//! Batch jobs under failures of their owner and of the platform's store, in separate processes.
 
 mod batch_deployment;
 mod common;
@@ -13,8 +13,8 @@
 /// Long enough that a job of [`ITEMS`] runs for several seconds on two engines.
 const TOKENS: u64 = 40;
 const ITEMS: usize = 900;
-/// Items in flight at most: two engines of 16 slots, each with one slot of headroom. So many may
-/// run again when a lapse of the lease stops them.
+/// Most items in flight: two engines of 16 slots, each with one slot of headroom. Up to this many
+/// items may run again when the owner stops them because its lease expired.
 const MAX_ITEMS_IN_FLIGHT: usize = 2 * 15;
 
 async fn deployment() -> Deployment {
@@ -146,7 +146,7 @@
     let job = Job::start(&deployment, 0, "stored", ITEMS, TOKENS).await;
     let owner = job.owner_other_than(None).await;
     platform_faults(&deployment, json!({ "table_down": true })).await;
-    until("a result object that no row names", async || {
+    until("a result object that no chunk row refers to", async || {
         !job.objects().await.is_empty()
     })
     .await;
--- a/crates/foxtailhold-standin/tests/batch_large.rs
+++ b/crates/foxtailhold-standin/tests/batch_large.rs
@@ -1,4 +1,4 @@
-//! A large input accepted, finished and read back.
+//! A large batch input is accepted, completed and read back.
 //!
 //! `FOXTAILHOLD_BATCH_ITEMS=140000` runs the full size.
 
@@ -14,7 +14,8 @@
 use serde_json::Value;
 
 const DEFAULT_ITEMS: usize = 6_000;
-/// One in so many items may be cut by a steward after its last token was made.
+/// At most one in this many items may be preempted after its last token was produced, and run
+/// again.
 const REPEATED_ITEMS_DIVISOR: usize = 50;
 
 async fn transactions(deployment: &Deployment) -> u64 {
@@ -52,10 +53,10 @@
     job.check_output(2).await;
     println!("read back after {} ms", start.elapsed().as_millis());
     let repeated = job.finished_attempts().await - items;
-    println!("{repeated} items cut by a steward after their last token and run repeated");
+    println!("{repeated} items preempted after their last token and run again");
     assert!(
         repeated <= items / REPEATED_ITEMS_DIVISOR,
-        "{repeated} items were run repeated"
+        "{repeated} items were run again"
     );
     let open = platform(&deployment).scan("job_open", "", "", 10).await;
     assert!(open.unwrap().is_empty());
--- a/crates/foxtailhold-standin/tests/batch_poison.rs
+++ b/crates/foxtailhold-standin/tests/batch_poison.rs
@@ -1,4 +1,4 @@
-//! An item that crashes each engine that runs it ends as failed; its neighbours complete.
+//! An item that crashes every engine that runs it ends as failed; the other items complete.
 
 mod batch_deployment;
 mod common;
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 const ITEMS: usize = 60;
-/// Every engine crashes on this item.
+/// Index of the item on which every engine crashes.
 const POISON: usize = 31;
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/foxtailhold-standin/tests/common/answers.rs
+++ b/crates/foxtailhold-standin/tests/common/answers.rs
@@ -1,4 +1,4 @@
-//! What an answer must be, and what came.
+//! Expected and received answers of engines, and the engines' fault switches.
 
 use foxtailhold_standin::engine::EngineFaults;
 use http::Method;
@@ -14,7 +14,7 @@
     json!([{ "role": "user", "content": question }]).to_string()
 }
 
-/// The text of a streamed answer, and whether it ended as it must.
+/// The text of a streamed answer, and whether the stream ended with `[DONE]`.
 pub fn streamed_text(body: &[u8]) -> (String, bool) {
     let body = String::from_utf8_lossy(body);
     let mut text = String::new();
@@ -32,7 +32,7 @@
     (text, body.ends_with("data: [DONE]\n\n"))
 }
 
-/// Sets the fault switches of an engine.
+/// Sets all fault switches of an engine.
 pub async fn set_faults(deployment: &Deployment, engine: usize, faults: &EngineFaults) {
     let address = deployment.engines[engine].address("listening");
     let body = serde_json::to_vec(faults).unwrap();
--- a/crates/foxtailhold-standin/tests/common/mod.rs
+++ b/crates/foxtailhold-standin/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Separate processes on loopback for tests: the platform, engines, services, entry instances.
+//! Test deployments of separate processes on loopback: platform, engines, services and entry
+//! instances.
 #![allow(dead_code)]
 
 pub mod answers;
@@ -17,18 +18,18 @@
 
 /// Operator token of the test instances.
 pub const TOKEN: &str = "test-operator-token";
-/// Limit for anything that has to happen by itself.
+/// Time limit for conditions that must come true without further action.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
 const ZONES: [&str; 3] = ["concord-hall", "nashua-hall", "keene-hall"];
 
 /// A child process that is killed when dropped.
 pub struct Process {
     child: Child,
-    /// What it printed when it was ready.
+    /// The JSON line that the process printed when it was ready.
     pub ready: Value,
 }
 
-/// The path of a program of this workspace, built by `cargo test --workspace`.
+/// The path of a program of this workspace; it must be built before.
 pub fn program(name: &str) -> PathBuf {
     let standin = PathBuf::from(env!("CARGO_BIN_EXE_foxtailhold-standin"));
     let path = standin.with_file_name(name);
@@ -40,7 +41,7 @@
 }
 
 impl Process {
-    /// Starts a program and waits for its first line.
+    /// Starts a program and waits for the line that it prints when ready.
     pub fn start(name: &str, arguments: &[&str]) -> Self {
         let mut command = Command::new(program(name));
         let level = std::env::var("RUST_LOG").unwrap_or("error".into());
@@ -48,7 +49,7 @@
         Process::spawn(name, command)
     }
 
-    /// Starts a command and waits for its first line.
+    /// Starts a command and waits for the line that it prints when ready.
     pub fn spawn(name: &str, mut command: Command) -> Self {
         let mut child = command.stdout(Stdio::piped()).spawn().unwrap();
         let stdout = child.stdout.take().unwrap();
@@ -59,22 +60,23 @@
             let _ = sender.send(line);
         });
         let line = line.recv_timeout(WAIT_LIMIT).unwrap_or_default();
-        let ready = serde_json::from_str(&line)
-            .unwrap_or_else(|error| panic!("{name} printed {line:?} when it started: {error}"));
+        let ready = serde_json::from_str(&line).unwrap_or_else(|error| {
+            panic!("{name} did not print a JSON line when ready, but {line:?}: {error}")
+        });
         Process { child, ready }
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.child.id() as i32), signal).unwrap();
     }
 
-    /// The exit status, where it has exited.
+    /// The exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
-    /// Waits for the exit.
+    /// Waits until the process exits, at most [`WAIT_LIMIT`].
     pub fn wait(&mut self) -> ExitStatus {
         let start = Instant::now();
         while start.elapsed() < WAIT_LIMIT {
@@ -83,10 +85,10 @@
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        panic!("the process did not exit");
+        panic!("the process did not exit within {WAIT_LIMIT:?}");
     }
 
-    /// An address it printed when it was ready.
+    /// An address from the line that the process printed when ready.
     pub fn address(&self, field: &str) -> SocketAddr {
         self.ready[field].as_str().unwrap().parse().unwrap()
     }
@@ -109,7 +111,8 @@
 }
 
 impl Deployment {
-    /// Starts the platform, `engines`, one service and `entries`, and waits until all know all.
+    /// Starts the platform, `engines`, one service and `entries`, and waits until all instances
+    /// know each other and every backend server.
     pub async fn start(engines: usize, entries: usize) -> Self {
         let platform = Process::start(
             "foxtailhold-standin",
@@ -154,7 +157,7 @@
             .push(Process::start("foxtailhold-standin", &arguments));
     }
 
-    /// Starts an entry instance with ports chosen by the system and tells the fleet list.
+    /// Starts an entry instance on ports chosen by the system and adds it to the fleet list.
     pub fn add_entry(&mut self, id: &str, zone: &str, more: &[&str]) {
         let platform = self.platform_address();
         let any = "127.0.0.1:0";
@@ -198,7 +201,7 @@
         .await;
     }
 
-    /// The identifiers in the list of addresses that an entry instance gives.
+    /// The instances in the address list that an entry instance returns.
     pub async fn listed_instances(&self, index: usize) -> Vec<String> {
         let address = self.caller_address(index);
         let answer = self
@@ -210,7 +213,7 @@
         entries.iter().map(id).collect()
     }
 
-    /// Sets the demo customer's contract and waits until it is in force everywhere.
+    /// Sets the demo customer's contract and waits until it is in force on every instance.
     pub async fn set_demo_contract(&self) {
         let customer = "granite-trail".try_into().unwrap();
         let document = foxtailhold_standin::demo::contract(10_000);
@@ -230,7 +233,7 @@
     }
 }
 
-/// Waits until `done` holds.
+/// Waits until `done` returns true; panics after [`WAIT_LIMIT`]. `condition` is named in the panic.
 pub async fn until<F: AsyncFnMut() -> bool>(condition: &str, mut done: F) {
     let start = Instant::now();
     while start.elapsed() < WAIT_LIMIT {
@@ -239,5 +242,5 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("waited in vain for {condition}");
+    panic!("timed out after {WAIT_LIMIT:?} waiting for {condition}");
 }
--- a/crates/foxtailhold-standin/tests/contract_peer.rs
+++ b/crates/foxtailhold-standin/tests/contract_peer.rs
@@ -1,4 +1,5 @@
-//! Messages between instances: a client against peers that fail, a server against bad messages.
+//! Messages between instances: the client against faulty peers, and the server against malformed
+//! messages.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -136,7 +137,7 @@
     assert!(matches!(error, PeerError::Connect { .. }), "{error:?}");
 }
 
-/// Answers with nothing new, and keeps the stamps it got.
+/// Answers every message with no changes and records the clock stamps it receives.
 #[derive(Clone, Default)]
 struct Handler {
     received: Arc<Mutex<Vec<HlcTime>>>,
@@ -152,7 +153,8 @@
     }
 }
 
-/// Sends one message with a stamp and returns the status of the answer, if there is one.
+/// Sends one message with a clock stamp; returns the status, or `None` if the server reset the
+/// stream.
 async fn send(address: SocketAddr, body: Bytes, stamp: &str) -> Option<u16> {
     let stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
--- a/crates/foxtailhold-standin/tests/contract_platform.rs
+++ b/crates/foxtailhold-standin/tests/contract_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's client (table, object store, fleet list) against a platform that fails.
+//! The platform client (table, object store, fleet list) against a faulty platform.
 
 mod faulty;
 
@@ -8,7 +8,7 @@
 };
 use test_case::test_case;
 
-/// What an error says of the effect.
+/// What an error states about the effect of the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Effect {
     No,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The errors of every write and read; `None` for a call that was answered.
+/// The errors of every kind of write and read; `None` for a call that succeeded.
 async fn errors(platform: &HttpPlatform) -> [Option<PlatformError>; 7] {
     let put = [Operation::put("table", "key", Expect::Absent, &1)];
     let (transact, put, get, scan, read, list, fleet) = tokio::join!(
@@ -77,7 +77,7 @@
     let platform = HttpPlatform::new(server.address);
     let [transact, put, get, scan, read, list, fleet] = errors(&platform).await;
     for error in [transact, get, scan, list, fleet] {
-        let error = error.expect("nonsense was taken for an answer");
+        let error = error.expect("a malformed body was accepted");
         assert_eq!(effect(&error), Effect::Malformed, "{error:?}");
         assert!(error.may_have_taken_effect());
     }
--- a/crates/foxtailhold-standin/tests/contract_service.rs
+++ b/crates/foxtailhold-standin/tests/contract_service.rs
@@ -1,4 +1,4 @@
-//! The client of plain services against services that fail.
+//! The client of plain services against faulty services.
 
 mod faulty;
 
--- a/crates/foxtailhold-standin/tests/contracts_in_force.rs
+++ b/crates/foxtailhold-standin/tests/contracts_in_force.rs
@@ -1,4 +1,4 @@
-//! An accepted contract is in force on every instance within the bound and never reverts.
+//! An accepted contract is in force on every instance within [`FORCE_BOUND`] and never reverts.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 
-/// "Within seconds", as the letter says it.
+/// An accepted contract must be in force on every instance within seconds.
 const FORCE_BOUND: Duration = Duration::from_secs(6);
 
 fn customer() -> CustomerId {
--- a/crates/foxtailhold-standin/tests/crashed_engine.rs
+++ b/crates/foxtailhold-standin/tests/crashed_engine.rs
@@ -1,4 +1,5 @@
-//! An engine stand-in that a request has crashed is silent until its process ends, as a real one is.
+//! After a request has crashed an engine stand-in, it stays silent until its process ends, like a
+//! real engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/foxtailhold-standin/tests/crashing_request.rs
+++ b/crates/foxtailhold-standin/tests/crashing_request.rs
@@ -1,5 +1,5 @@
-//! A request that crashes backend servers is stopped after few crashes, and its neighbours are
-//! answered (invariant 10).
+//! A request that crashes backend servers is quarantined after a few crashes, and other requests
+//! are still answered.
 
 mod common;
 
@@ -50,7 +50,8 @@
     }
 }
 
-/// Starts engines that crash on the poison, and each anew when it has crashed.
+/// Engines that crash on the poison request; a supervisor thread restarts each one that has
+/// crashed.
 struct SupervisedEngines {
     stop: Arc<AtomicBool>,
     crashes: Arc<AtomicUsize>,
@@ -123,7 +124,8 @@
     (deployment, engines)
 }
 
-/// Streams of innocent requests through one instance, one after the other, until told to stop.
+/// Sends harmless requests through one instance, one after the other, until `stop` is set, and
+/// checks that each is answered in full. Returns their number.
 fn stream_innocent_requests(
     caller: Caller,
     address: SocketAddr,
@@ -152,7 +154,8 @@
     })
 }
 
-/// Sends the poison until it is refused as quarantined, as a caller does who resends at once.
+/// Sends the poison request again and again, like a caller that retries at once, until it is
+/// refused as quarantined. Returns the number of sends and the refusal.
 async fn resend(address: SocketAddr) -> (usize, ChatResponse) {
     let body = chat(POISON, 12, false);
     for sends in 1..200 {
--- a/crates/foxtailhold-standin/tests/demo.rs
+++ b/crates/foxtailhold-standin/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The main job with everything embedded, through the real binary.
+//! The `demo` subcommand of the real program, which runs everything in one process.
 
 use std::process::{Command, Output};
 
--- a/crates/foxtailhold-standin/tests/faulty/mod.rs
+++ b/crates/foxtailhold-standin/tests/faulty/mod.rs
@@ -1,4 +1,4 @@
-//! An HTTP server that answers in faulty ways, one way at a time.
+//! An HTTP server that answers with a selected fault.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -12,30 +12,30 @@
 /// Longer than any client waits.
 const SILENCE: Duration = Duration::from_secs(60);
 
-/// What the server does with a request.
+/// The fault that the server shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Answers as it should.
+    /// Answers correctly.
     None,
-    /// Nobody listens.
+    /// No socket listens on the address.
     Refused,
-    /// The connection is reset before the request was read.
+    /// The connection is closed before the request was read.
     ResetBefore,
-    /// The request takes effect, and its answer is lost.
+    /// The request takes effect, and the connection is closed without an answer.
     AnswerLost,
-    /// The connection ends within the answer.
+    /// The connection is closed within the body of the answer.
     ResetAfter,
-    /// No byte of an answer comes.
+    /// No byte of an answer is sent.
     SlowHead,
-    /// The answer's body does not go on.
+    /// The body of the answer stalls.
     SlowBody,
     /// The answer is not HTTP.
     NotHttp,
-    /// The answer's body is not what it should be.
+    /// The body of the answer cannot be decoded.
     BadBody,
     /// The answer has this status.
     Status(u16),
-    /// The answer has so many MiB.
+    /// The body of the answer is larger than this many MiB.
     OversizedMib(usize),
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl FaultyServer {
-    /// Serves `body` as the right answer.
+    /// Starts a server whose correct answer is `body`.
     pub async fn start(fault: Fault, body: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let faulty = FaultyServer {
@@ -62,12 +62,12 @@
         faulty
     }
 
-    /// Does something else from now on.
+    /// Changes the fault of all later requests.
     pub fn set(&self, fault: Fault) {
         *self.fault.lock().unwrap() = fault;
     }
 
-    /// Requests read whole.
+    /// Number of requests that were read completely.
     pub fn effects(&self) -> usize {
         self.effects.load(Ordering::SeqCst)
     }
@@ -121,7 +121,7 @@
     format!("HTTP/1.1 {status} X\r\ncontent-length: {length}\r\n\r\n")
 }
 
-/// Whether the connection goes on.
+/// Sends an answer; returns whether the connection stays open.
 async fn answer(stream: &mut TcpStream, fault: Fault, body: &str) -> bool {
     let text = match fault {
         Fault::None => head(200, body.len()) + body,
--- a/crates/foxtailhold-standin/tests/leaving_backends.rs
+++ b/crates/foxtailhold-standin/tests/leaving_backends.rs
@@ -1,5 +1,5 @@
-//! A leaving backend server gets no new work after a few seconds, from any instance; a returned one
-//! is used again.
+//! A leaving backend server gets no new requests from any instance after a few seconds, and is used
+//! again once it has returned.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 
 const CHAT: &str = "/v1/chat/completions";
-/// "A few seconds."
+/// Time after which no instance may send requests to a leaving backend server.
 const FEW_SECONDS: Duration = Duration::from_secs(3);
 
 async fn post(deployment: &Deployment, path: &str, body: Value) {
@@ -43,7 +43,7 @@
     .await;
 }
 
-/// Requests that the engine itself says it ran.
+/// Number of requests in the engine's own record.
 async fn recorded_requests(deployment: &Deployment, engine: usize) -> usize {
     let address = deployment.engines[engine].address("listening");
     let record = deployment
@@ -52,7 +52,7 @@
     record.await.unwrap().as_array().unwrap().len()
 }
 
-/// Sends some requests through every instance.
+/// Sends `rounds` requests through every instance.
 async fn call_all(deployment: &Deployment, rounds: usize) {
     for round in 0..rounds {
         for index in 0..deployment.entries.len() {
--- a/crates/foxtailhold-standin/tests/limits_and_overload.rs
+++ b/crates/foxtailhold-standin/tests/limits_and_overload.rs
@@ -1,4 +1,4 @@
-//! Limits over several instances and overload, through separate processes.
+//! Customer limits over several instances, and overload, in separate processes.
 
 mod common;
 
@@ -22,7 +22,7 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// One answer as a caller sees it.
+/// One response as a caller sees it.
 #[derive(Debug)]
 struct CallerResponse {
     status: u16,
@@ -82,7 +82,7 @@
     .await;
 }
 
-/// Callers that send without rest, and come back at once where they are refused.
+/// Callers that send continuously, and ignore the retry time of refusals.
 struct Flood {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<Vec<CallerResponse>>>,
@@ -141,7 +141,7 @@
     served
 }
 
-/// Requests that the engines ran.
+/// Number of requests in the engines' records.
 async fn recorded_requests(deployment: &Deployment) -> usize {
     let mut recorded_requests = 0;
     for engine in &deployment.engines {
@@ -154,7 +154,8 @@
     recorded_requests
 }
 
-/// Floods for `seconds` and returns what was served, with the exact time.
+/// Sends a flood for `seconds`; returns the number of served requests and the exact duration in
+/// seconds.
 async fn flood_for(addresses: &[SocketAddr], key: &str, seconds: u64) -> (usize, f64) {
     let start = Instant::now();
     let flood = Flood::start(addresses, key, 3 * addresses.len(), 5);
@@ -200,7 +201,9 @@
     deployment.entries[coordinator].signal(Signal::SIGKILL);
     deployment.entries[coordinator].wait();
     let (served, elapsed_s) = flood_for(&others, key, 12).await;
-    println!("home lost: {served} in {elapsed_s:.1} s of {rate} a second and {burst} at once");
+    println!(
+        "coordinator lost: {served} in {elapsed_s:.1} s of {rate} a second and {burst} at once"
+    );
     let lost_s = 8.0;
     let bound = rate * (elapsed_s + lost_s) + 2.0 * burst + 3.0;
     assert!(served as f64 <= bound, "{served} of {bound}");
--- a/crates/foxtailhold-standin/tests/once.rs
+++ b/crates/foxtailhold-standin/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be repeated, through separate processes: each runs at most once.
+//! Requests that must not be repeated run at most once, in separate processes.
 
 mod common;
 
@@ -112,7 +112,7 @@
     deployment
 }
 
-/// Resends until the answer is there; counts no run by itself.
+/// Resends until the call is answered with status 200. It does not check how often the service ran.
 async fn resend_until_answered(
     deployment: &Deployment,
     entry: usize,
@@ -178,7 +178,7 @@
     });
     tokio::time::sleep(Duration::from_millis(400)).await;
     deployment.entries[0].signal(signal);
-    // The claim takes effect after its sender is gone.
+    // Wait until the delayed claim takes effect, after its sender is gone.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     platform_faults(&deployment, PlatformFaults::default()).await;
     for entry in [1, 2] {
@@ -222,7 +222,8 @@
     assert_eq!(runs(&deployment).await, 0);
     platform_faults(&deployment, PlatformFaults::default()).await;
     let resent = resend_until_answered(&deployment, 1, "hold-1").await;
-    // Late writes and the release have landed by now, and still the answer is the only one.
+    // Delayed writes and the release have taken effect by now, and the answer must still be the
+    // same.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     assert_eq!(post_hold(&deployment, 2, "hold-1").await.body, resent.body);
     assert_eq!(runs(&deployment).await, 1);
@@ -362,8 +363,9 @@
     }
 }
 
-/// A service that answers the first call on each connection, if `answers`, and closes the
-/// connection without an answer after it has read the next one.
+/// A service that closes each connection without an answer after it has read a call. If `answers`
+/// is set, it first answers one call on each connection. Returns its address and the connection
+/// number of each call that it read.
 async fn closing_service(
     answers: bool,
 ) -> (SocketAddr, std::sync::Arc<std::sync::Mutex<Vec<usize>>>) {
@@ -458,7 +460,7 @@
         let before = seen.lock().unwrap().len();
         let answered = post(address, path, None, Bytes::from_static(b"{}")).await;
         let seen = seen.lock().unwrap().clone();
-        // One request in, one request seen, whatever became of the connection.
+        // The HTTP client must not resend by itself: one request in, one request at the service.
         assert_eq!(seen.len(), before + 1);
         let last = *seen.last().unwrap();
         if seen[..before].contains(&last) {
--- a/crates/foxtailhold-standin/tests/orders.rs
+++ b/crates/foxtailhold-standin/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines through separate processes: one giver at a time, no old order after a newer.
+//! Orders to engines in separate processes: one issuer at a time, and no older order takes effect
+//! after a newer one.
 
 mod common;
 
@@ -85,14 +86,14 @@
 }
 
 async fn wait_until_in_effect(deployment: &Deployment, version: &str) {
-    until("the wanted state to be in effect", async || {
+    until("the desired state to be in effect", async || {
         let state: EngineState = get(deployment, engine(deployment), "/orders").await;
         state.in_effect == Some(setup(version)) && state.loading.is_none()
     })
     .await;
 }
 
-/// The versions in the record, with whether each was taken.
+/// The versions in the engine's record, with whether the engine accepted each.
 async fn record(deployment: &Deployment) -> Vec<(String, bool)> {
     let seen: Vec<SeenOrder> = get(deployment, engine(deployment), "/standin/orders").await;
     let mut versions = Vec::new();
@@ -103,7 +104,7 @@
     versions
 }
 
-/// The index of the entry instance that holds the lease.
+/// Index of the entry instance that holds the order lease.
 async fn issuer(deployment: &Deployment) -> Option<usize> {
     let path = format!("/v1/table/order_lease/row?key={ENGINE}");
     let row: Value = get(deployment, platform(deployment), &path).await;
@@ -154,7 +155,7 @@
     .await;
     let waits: u64 = get(&deployment, engine(&deployment), "/standin/orders/waits").await;
     assert!(waits > 0);
-    // Once the state is in effect the lease is ended and no more writes are made.
+    // Once the state is in effect, the lease is ended and the issuer makes no more writes.
     let path = "/standin/transactions";
     let mut ended = Value::Null;
     until("the lease to be ended", async || {
@@ -195,7 +196,7 @@
     .await;
     set(&deployment, 0, "v1").await;
     let mut holder = None;
-    until("a giver", async || {
+    until("an issuer", async || {
         holder = issuer(&deployment).await;
         holder.is_some()
     })
--- a/crates/foxtailhold-standin/tests/planned_stop.rs
+++ b/crates/foxtailhold-standin/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request of a caller that follows the rules: it asks for the list of
+//! A planned stop interrupts no request of a caller that follows the rules: it fetches the list of
 //! addresses, keeps it for at most `keep_for_ms`, and sends to any address in it.
 
 mod common;
@@ -18,7 +18,7 @@
 const CHAT: &str = "/v1/chat/completions";
 const CALLERS: usize = 12;
 
-/// One caller's kept list.
+/// The list of addresses that a caller has cached.
 struct AddressList {
     addresses: Vec<SocketAddr>,
     asked_at: Instant,
@@ -26,7 +26,7 @@
 }
 
 impl AddressList {
-    /// Asks the addresses known from the start, one after the other.
+    /// Fetches the list from the first of the known addresses that answers.
     async fn fetch(caller: &Caller, known: &[SocketAddr]) -> AddressList {
         let asked_at = Instant::now();
         for address in known {
@@ -50,7 +50,7 @@
     }
 }
 
-/// What the callers saw.
+/// Results over all callers.
 #[derive(Default)]
 struct CallerStatistics {
     done: AtomicBool,
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// Calls without a pause, always at the last address that its list allows.
+/// Calls without pauses, rotating over the addresses of a list that is renewed as late as allowed.
 async fn run_compliant_caller(
     index: usize,
     mut known: Vec<SocketAddr>,
--- a/crates/foxtailhold-standin/tests/refusals_true.rs
+++ b/crates/foxtailhold-standin/tests/refusals_true.rs
@@ -1,5 +1,5 @@
-//! What a refusal says of the request's effect is what the backend servers' records show
-//! (invariant 5).
+//! What a refusal states about the execution of the request agrees with the records of the backend
+//! servers.
 
 mod common;
 
@@ -20,7 +20,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-/// A refusal as it was answered.
+/// A refusal as the caller received it.
 #[derive(Debug, Clone)]
 struct Refusal {
     text: String,
@@ -35,7 +35,7 @@
         .header("authorization", format!("Bearer {API_KEY}"))
 }
 
-/// Sends a request; `None` where it was answered.
+/// Sends a request; `None` if it was answered without an error.
 async fn send_for_refusal(builder: request::Builder, text: &str, body: String) -> Option<Refusal> {
     let start = Instant::now();
     let uri = builder.uri_ref().unwrap().authority().unwrap().as_str();
@@ -72,7 +72,7 @@
     send_for_refusal(builder, text, chat(text, 12, streamed).to_string()).await
 }
 
-/// All that the backend servers which still run have in their records.
+/// All prompts and bodies in the records of the backend servers that still run.
 async fn records(deployment: &Deployment) -> String {
     let mut records = String::new();
     for process in deployment.engines.iter().chain(&deployment.services) {
@@ -99,7 +99,7 @@
             "not_run" => assert!(!ran, "{refusal:?} is false"),
             "ran" => assert!(ran, "{refusal:?} is false"),
             "may_have_run" => {}
-            other => panic!("{other} is no statement"),
+            other => panic!("unknown value of `ran`: {other}"),
         }
     }
 }
@@ -265,10 +265,11 @@
     assert_eq!((gone.ran.as_str(), gone.retry_after), ("not_run", true));
 }
 
-/// The round from which engines may say that they are leaving, which all remember for 12 s.
+/// First round in which engines may report that they are leaving. Instances remember this for 12 s,
+/// so an earlier round would exclude the engines from the rounds after it.
 const LEAVING_ROUND: usize = 22;
 
-/// A random fault; in each third round one that refuses new requests.
+/// A random fault; in each third round only faults that refuse new requests.
 fn random_faults(rng: &mut SmallRng, round: usize) -> EngineFaults {
     let tokens = Some(rng.random_range(0..12));
     let none = EngineFaults::default();
--- a/crates/foxtailhold-standin/tests/retries.rs
+++ b/crates/foxtailhold-standin/tests/retries.rs
@@ -1,4 +1,5 @@
-//! A failing fleet sees few more requests than callers send.
+//! When all engines fail, retries stay within their budget, so the engines see few more requests
+//! than callers send.
 
 mod common;
 
--- a/crates/foxtailhold-standin/tests/timeline.rs
+++ b/crates/foxtailhold-standin/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line over separate processes whose wall clocks disagree.
+//! The merged timeline of separate processes whose wall clocks disagree.
 
 mod common;
 
@@ -23,7 +23,8 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-/// Two instances, the first one's clock an hour ahead, the second one's an hour behind.
+/// Starts two instances: the clock of the first is an hour ahead, that of the second an hour
+/// behind.
 async fn start_with_skewed_clocks() -> Deployment {
     let mut deployment = Deployment::start(1, 0).await;
     for (id, offset_ms) in [("entry-0", HOUR_MS), ("entry-1", BEHIND_MS)] {
--- a/crates/foxtailhold-standin/tests/watching.rs
+++ b/crates/foxtailhold-standin/tests/watching.rs
@@ -1,4 +1,4 @@
-//! What an instance tells those who watch it: metrics, health, readiness and logs.
+//! Metrics, health, readiness and logs of an instance.
 
 mod common;
 
@@ -54,7 +54,7 @@
     assert_eq!(get(address, "/v1/models", Some(WRONG_KEY)).await.0, 401);
 }
 
-/// The value of a sample, given with its labels.
+/// The value of a metric sample; `name` includes its labels.
 fn sample(text: &str, name: &str) -> f64 {
     for line in text.lines() {
         if let Some(value) = line
--- a/crates/foxtailhold-standin/tests/whole_answer.rs
+++ b/crates/foxtailhold-standin/tests/whole_answer.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request, whatever the engines do (invariant 4).
+//! Each caller gets the complete answer to its own request, whatever faults the engines have.
 
 mod common;
 
--- a/crates/foxtailhold-standin/tests/whole_path.rs
+++ b/crates/foxtailhold-standin/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path through separate processes.
+//! End-to-end path of online requests, batch jobs, contracts and service calls through separate
+//! processes.
 
 mod common;
 
@@ -209,7 +210,7 @@
     assert_eq!(deployment.entries[1].wait().code(), Some(0));
 }
 
-/// A request with headers of its own.
+/// An HTTP client that sends the headers of requests that must not be repeated.
 mod idempotent_client {
     use std::net::SocketAddr;
 
@@ -229,7 +230,7 @@
     }
 
     impl Client {
-        /// Posts a request that must not be repeated under `key`.
+        /// Posts a request that must not be repeated, under the idempotency key `key`.
         pub async fn post_idempotent(
             &self,
             address: SocketAddr,
