--- a/crates/foxtailhold-experiment/src/placement/allocator.rs
+++ b/crates/foxtailhold-experiment/src/placement/allocator.rs
@@ -43,7 +43,7 @@
 struct OpenSlotRequest {
     pending: PendingRequest,
     number: u64,
-    asked_at_us: u64,
+    requested_at_us: u64,
     sent_at_us: Option<u64>,
 }
 
@@ -145,7 +145,7 @@
         let Some(slot_request) = self
             .open_requests
             .get(&request)
-            .filter(|a| a.number == number)
+            .filter(|open| open.number == number)
         else {
             return;
         };
@@ -176,23 +176,27 @@
             decision: Some(decision),
         };
         self.deliver(now_us, &own, actions);
-        for decision in &notices {
-            self.deliver(now_us, decision, actions);
+        for notice in &notices {
+            self.deliver(now_us, notice, actions);
         }
     }
 
-    fn deliver(&mut self, now_us: u64, decision: &SlotNotice, actions: &mut Vec<Action<Message>>) {
-        let Some(request) = self.by_number.get(&decision.request.number).copied() else {
+    fn deliver(&mut self, now_us: u64, notice: &SlotNotice, actions: &mut Vec<Action<Message>>) {
+        let Some(request) = self.by_number.get(&notice.request.number).copied() else {
             return;
         };
-        let Some(instance) = self.open_requests.get(&request).map(|a| a.pending.instance) else {
+        let Some(instance) = self
+            .open_requests
+            .get(&request)
+            .map(|open| open.pending.instance)
+        else {
             return;
         };
         let at_us = now_us + self.latency_us(instance);
         let Some(slot_request) = self.open_requests.get_mut(&request) else {
             return;
         };
-        match &decision.decision {
+        match &notice.decision {
             Some(SlotDecision::Granted(backend)) => {
                 if slot_request.sent_at_us.is_some() {
                     return;
@@ -226,8 +230,8 @@
         notices: &[SlotNotice],
         actions: &mut Vec<Action<Message>>,
     ) {
-        for decision in notices {
-            self.deliver(now_us, decision, actions);
+        for notice in notices {
+            self.deliver(now_us, notice, actions);
         }
     }
 }
@@ -245,7 +249,7 @@
         let slot_request = OpenSlotRequest {
             pending,
             number: self.next_number,
-            asked_at_us: now_us,
+            requested_at_us: now_us,
             sent_at_us: None,
         };
         self.open_requests.insert(pending.request, slot_request);
@@ -315,19 +319,21 @@
         let mut notices = Vec::new();
         self.allocator.tick(MonoMs(now_us / 1_000), &mut notices);
         self.deliver_all(now_us, &notices, actions);
-        let mut again = Vec::new();
+        let mut repeated = Vec::new();
         for slot_request in self.open_requests.values_mut() {
             let after_us = match slot_request.pending.kind {
                 RequestKind::Online => ONLINE_RETRY_US,
                 RequestKind::Batch => BATCH_RETRY_US,
             };
-            if slot_request.sent_at_us.is_none() && now_us >= slot_request.asked_at_us + after_us {
-                slot_request.asked_at_us = now_us;
-                again.push(*slot_request);
+            if slot_request.sent_at_us.is_none()
+                && now_us >= slot_request.requested_at_us + after_us
+            {
+                slot_request.requested_at_us = now_us;
+                repeated.push(*slot_request);
             }
         }
-        again.sort_by_key(|slot_request| slot_request.number);
-        for slot_request in again {
+        repeated.sort_by_key(|slot_request| slot_request.number);
+        for slot_request in repeated {
             self.send_slot_request(now_us, &slot_request, actions);
         }
     }
--- a/crates/foxtailhold-standin/tests/batch_beside_online.rs
+++ b/crates/foxtailhold-standin/tests/batch_beside_online.rs
@@ -251,8 +251,8 @@
     let ids: Vec<InstanceId> = (0..3)
         .map(|index| format!("entry-{index}").as_str().try_into().unwrap())
         .collect();
-    let controller_index = rendezvous::select(&ids, b"steward/engine-0").unwrap();
-    ids.iter().position(|id| id == controller_index).unwrap()
+    let controller = rendezvous::select(&ids, b"steward/engine-0").unwrap();
+    ids.iter().position(|id| id == controller).unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread")]
