--- a/crates/foxtailhold-experiment/src/plot.rs
+++ b/crates/foxtailhold-experiment/src/plot.rs
@@ -1,4 +1,4 @@
-//! Lines of a report over time, as SVG.
+//! Plots the results of a report over time, as SVG.
 
 use std::path::{Path, PathBuf};
 
@@ -7,11 +7,11 @@
 use thiserror::Error;
 
 use crate::report::{Report, Row};
-use crate::tally::WINDOW_US;
+use crate::statistics::WINDOW_US;
 
 const SIZE_PX: (u32, u32) = (960, 420);
 
-/// Result of drawing.
+/// Result of drawing plots.
 pub type Result<T> = std::result::Result<T, PlotError>;
 
 /// A plot cannot be written.
@@ -19,25 +19,25 @@
 #[error("cannot write the plot {}: {source}", file.display())]
 pub struct PlotError {
     file: PathBuf,
-    source: Cause,
+    source: PlotErrorCause,
 }
 
-/// Why.
+/// Cause of a [`PlotError`].
 #[derive(Debug, Error)]
-pub enum Cause {
-    /// Its directory.
+pub enum PlotErrorCause {
+    /// The directory cannot be created.
     #[error(transparent)]
     Directory(#[from] std::io::Error),
-    /// Its drawing.
+    /// The drawing cannot be made or written.
     #[error(transparent)]
     Drawing(#[from] DrawingAreaErrorKind<std::io::Error>),
 }
 
-/// A figure that is drawn.
+/// One chart, drawn for every report.
 struct Figure {
     file: &'static str,
     title: &'static str,
-    /// Index of the kind in a window's counts.
+    /// Index of the request kind in the counts of a window: 0 online, 1 batch.
     kind: usize,
 }
 
@@ -54,9 +54,9 @@
     },
 ];
 
-/// Writes one SVG for each figure.
+/// Writes one SVG file per figure.
 pub fn write(report: &Report, directory: &Path) -> Result<()> {
-    let failed = |file: &Path, source: Cause| PlotError {
+    let failed = |file: &Path, source: PlotErrorCause| PlotError {
         file: file.to_owned(),
         source,
     };
@@ -68,25 +68,29 @@
     Ok(())
 }
 
-/// Share in time of each window in which something was owed, over all seeds.
+/// Share in time of each window with expected requests, over all seeds.
 fn line(row: &Row, kind: usize) -> Vec<(f64, f64)> {
-    let windows = row.tallies.iter().map(|tally| tally.windows.len()).max();
+    let windows = row
+        .statistics
+        .iter()
+        .map(|statistics| statistics.windows.len())
+        .max();
     let mut points = Vec::new();
     for index in 0..windows.unwrap_or_default() {
-        let (mut owed, mut in_time) = (0, 0);
-        for tally in &row.tallies {
-            owed += tally.windows[index].owed[kind];
-            in_time += tally.windows[index].in_time[kind];
+        let (mut expected, mut in_time) = (0, 0);
+        for statistics in &row.statistics {
+            expected += statistics.windows[index].expected[kind];
+            in_time += statistics.windows[index].in_time[kind];
         }
-        if owed > 0 {
+        if expected > 0 {
             let at_s = index as f64 * WINDOW_US as f64 / 1e6;
-            points.push((at_s, in_time as f64 / owed as f64));
+            points.push((at_s, in_time as f64 / expected as f64));
         }
     }
     points
 }
 
-fn draw(report: &Report, figure: &Figure, path: &Path) -> std::result::Result<(), Cause> {
+fn draw(report: &Report, figure: &Figure, path: &Path) -> std::result::Result<(), PlotErrorCause> {
     let lines: Vec<_> = report
         .rows
         .iter()
--- a/crates/foxtailhold-standin/tests/watching.rs
+++ b/crates/foxtailhold-standin/tests/watching.rs
@@ -1,4 +1,4 @@
-//! What an instance tells those who watch it: metrics, health, readiness and logs.
+//! Metrics, health, readiness and logs of an instance.
 
 mod common;
 
@@ -54,7 +54,7 @@
     assert_eq!(get(address, "/v1/models", Some(WRONG_KEY)).await.0, 401);
 }
 
-/// The value of a sample, given with its labels.
+/// The value of a metric sample; `name` includes its labels.
 fn sample(text: &str, name: &str) -> f64 {
     for line in text.lines() {
         if let Some(value) = line
@@ -68,9 +68,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_tell_what_was_done() {
+async fn metrics_count_requests_batch_items_and_platform_calls() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     run_a_few_requests(&deployment).await;
     let operator = deployment.entries[0].address("operator_address");
     let (status, text) = get(operator, "/metrics", None).await;
@@ -152,7 +152,7 @@
     let entry = Process::spawn("foxtailhold-entry", command);
     deployment.entries.push(entry);
     deployment.settle(1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     run_a_few_requests(&deployment).await;
     let operator = deployment.entries[0].address("operator_address");
     assert_eq!(get(operator, "/v1/jobs", Some(WRONG_TOKEN)).await.0, 401);
