--- a/crates/foxtailhold-standin/src/load/caller.rs
+++ b/crates/foxtailhold-standin/src/load/caller.rs
@@ -16,8 +16,8 @@
 
 use crate::demo::{API_KEY, chat};
 use crate::error::Result;
+use crate::load::recorder::{Ending, Tally};
 use crate::load::scenario::{Phase, Workload};
-use crate::load::tally::{Ending, Tally};
 
 /// A caller gives up when the first token has not come by then.
 const FIRST_TOKEN_TIMEOUT_MS: u64 = 10_000;
--- a/crates/foxtailhold-standin/src/load/mod.rs
+++ b/crates/foxtailhold-standin/src/load/mod.rs
@@ -5,9 +5,9 @@
 pub mod caller;
 pub mod fault;
 pub mod plot;
+pub mod recorder;
 pub mod report;
 pub mod run;
 pub mod scenario;
-pub mod tally;
 
 pub use run::run;
--- a/crates/foxtailhold-standin/src/load/report.rs
+++ b/crates/foxtailhold-standin/src/load/report.rs
@@ -5,8 +5,8 @@
 use crate::cli::LoadCommand;
 use crate::engine::EngineCounters;
 use crate::error::Result;
+use crate::load::recorder::Seen;
 use crate::load::scenario::Phase;
-use crate::load::tally::Seen;
 
 /// One phase under one policy.
 #[derive(Debug, Clone, Default, Serialize)]
--- a/crates/foxtailhold-standin/src/load/run.rs
+++ b/crates/foxtailhold-standin/src/load/run.rs
@@ -10,9 +10,9 @@
 use crate::error::{Result, StandinError};
 use crate::load::batch;
 use crate::load::caller::Callers;
+use crate::load::recorder::Tally;
 use crate::load::report::{Report, Row};
 use crate::load::scenario::{BatchPolicy, Phase, Workload, phases};
-use crate::load::tally::Tally;
 
 /// Variable of the instances' batch policy.
 const POLICY_VARIABLE: &str = "FOXTAILHOLD_BATCH_POLICY";
