--- a/crates/foxtailhold-standin/examples/contract_force.rs
+++ b/crates/foxtailhold-standin/examples/contract_force.rs
@@ -16,13 +16,13 @@
 use foxtailhold_standin::platform::PlatformStandin;
 
 /// Longest wait for one change.
-const LIMIT: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Wait in which the store's background is counted.
-const QUIET: Duration = Duration::from_secs(8);
+const IDLE_PERIOD: Duration = Duration::from_secs(8);
 
 /// How a change is made known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Propagation {
     Push,
     GossipAndPoll,
     PollAlone,
@@ -34,17 +34,17 @@
 }
 
 impl Bench {
-    fn all_at(&self, number: u64) -> bool {
+    fn all_have_applied(&self, number: u64) -> bool {
         let at = |instance: &Instance<HttpPlatform>| instance.shared().contracts.load().number();
         self.instances.iter().all(|instance| at(instance) >= number)
     }
 
-    async fn change(&self, way: Way, number: u64) -> Result<Duration> {
+    async fn change(&self, propagation: Propagation, number: u64) -> Result<Duration> {
         let document = demo::contract(10 + number as u32);
         let shared = self.instances[0].shared();
         let customer = "granite-trail".try_into()?;
         let start = Instant::now();
-        if way == Way::Push {
+        if propagation == Propagation::Push {
             let operator = OperatorClient::new(shared.settings.operator_address, TOKEN);
             let set = operator.set_contract(&customer, number - 1, &document);
             set.await.expect("the change is accepted");
@@ -59,16 +59,20 @@
             let accepted = contract_change::accept(&shared.platform, &update, &id);
             accepted.await.expect("the change is accepted");
         }
-        while !self.all_at(number) && start.elapsed() < LIMIT {
+        while !self.all_have_applied(number) && start.elapsed() < CHANGE_TIMEOUT {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         Ok(start.elapsed())
     }
 }
 
-async fn measure(way: Way, instances: usize, changes: u64) -> Result<()> {
+async fn measure(propagation: Propagation, instances: usize, changes: u64) -> Result<()> {
     let mut cluster = Cluster::start(ClusterShape {
-        instances: if way == Way::PollAlone { 0 } else { instances },
+        instances: if propagation == Propagation::PollAlone {
+            0
+        } else {
+            instances
+        },
         engines: 0,
         services: 0,
         ..ClusterShape::default()
@@ -85,16 +89,16 @@
         let instance = Instance::start(settings, platform).await?;
         bench.instances.push(instance);
     }
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     let before = bench.platform.counts();
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     let after = bench.platform.counts();
-    let reads = (after.table_reads - before.table_reads) as f64 / QUIET.as_secs_f64();
-    let writes = (after.transactions - before.transactions) as f64 / QUIET.as_secs_f64();
+    let reads = (after.table_reads - before.table_reads) as f64 / IDLE_PERIOD.as_secs_f64();
+    let writes = (after.transactions - before.transactions) as f64 / IDLE_PERIOD.as_secs_f64();
     let (before, start) = (bench.platform.counts(), Instant::now());
     let mut took_ms = Vec::new();
     for number in 1..=changes {
-        took_ms.push(bench.change(way, number).await?.as_millis());
+        took_ms.push(bench.change(propagation, number).await?.as_millis());
         tokio::time::sleep(Duration::from_millis(rand::random::<u64>() % 300)).await;
     }
     let after = bench.platform.counts();
@@ -102,7 +106,7 @@
     let transactions = (after.transactions - before.transactions) as f64 - background;
     took_ms.sort_unstable();
     println!(
-        "{way:?}: {instances} instances, {changes} changes: p50 {} ms, worst {} ms; \
+        "{propagation:?}: {instances} instances, {changes} changes: p50 {} ms, worst {} ms; \
          {:.2} transactions a change; quiet store reads {reads:.1} and writes {writes:.1} a second",
         took_ms[took_ms.len() / 2],
         took_ms[took_ms.len() - 1],
@@ -119,8 +123,12 @@
         .collect();
     let instances = arguments.first().copied().unwrap_or(11);
     let changes = arguments.get(1).copied().unwrap_or(100) as u64;
-    for way in [Way::Push, Way::GossipAndPoll, Way::PollAlone] {
-        measure(way, instances, changes).await?;
+    for propagation in [
+        Propagation::Push,
+        Propagation::GossipAndPoll,
+        Propagation::PollAlone,
+    ] {
+        measure(propagation, instances, changes).await?;
     }
     Ok(())
 }
--- a/crates/foxtailhold-standin/examples/overload.rs
+++ b/crates/foxtailhold-standin/examples/overload.rs
@@ -20,7 +20,7 @@
 /// Tokens of each answer.
 const TOKENS: u64 = 16;
 /// An answer counts when it has come within this time.
-const GOOD_MS: u128 = 3_000;
+const RESPONSE_LIMIT_MS: u128 = 3_000;
 /// Arrivals a second, in order: the last phase shows the recovery.
 const RATES_PER_S: [u64; 7] = [100, 140, 180, 220, 280, 360, 140];
 
@@ -34,7 +34,7 @@
     let answer = client.call_bytes(&call, body, "application/json").await;
     let took_ms = start.elapsed().as_millis();
     let served = answer.is_ok_and(|(status, _)| status.is_success());
-    (served && took_ms <= GOOD_MS, took_ms)
+    (served && took_ms <= RESPONSE_LIMIT_MS, took_ms)
 }
 
 async fn phase(client: &HttpClient, addresses: &[SocketAddr], rate_per_s: u64) {
--- a/crates/foxtailhold-standin/src/bench/memory.rs
+++ b/crates/foxtailhold-standin/src/bench/memory.rs
@@ -24,21 +24,21 @@
 
 /// Opens streams, holds them, and reads the instance's resident memory.
 pub async fn run(command: &BenchCommand) -> Result<()> {
-    for wanted in [1_000, command.streams] {
+    for stream_count in [1_000, command.streams] {
         let deployment = bench::start(0, &ENGINE).await?;
         let address = deployment.caller_addresses()?[0];
         let client = BenchClient::new(address, 1_000_000, true);
         let idle_bytes = deployment.instances[0].usage()?.rss_bytes;
         let start = Instant::now();
-        let mut held = Vec::with_capacity(wanted);
-        while held.len() < wanted {
+        let mut open_streams = Vec::with_capacity(stream_count);
+        while open_streams.len() < stream_count {
             let mut opening = tokio::task::JoinSet::new();
-            for _ in 0..OPENED_AT_ONCE.min(wanted - held.len()) {
+            for _ in 0..OPENED_AT_ONCE.min(stream_count - open_streams.len()) {
                 let client = client.clone();
                 opening.spawn(async move { client.open().await });
             }
             for opened in opening.join_all().await {
-                held.push(opened?);
+                open_streams.push(opened?);
             }
         }
         let opened_ms = start.elapsed().as_millis();
@@ -49,17 +49,17 @@
         let after = deployment.instances[0].usage()?;
         let grown = after.rss_bytes.saturating_sub(idle_bytes);
         println!(
-            "memory     {wanted} open streams (opened in {opened_ms} ms): resident {:.1} MB, idle \
+            "memory     {stream_count} open streams (opened in {opened_ms} ms): resident {:.1} MB, idle \
              {:.1} MB, {:.1} KB a stream, {:.2} cores",
             after.rss_bytes as f64 / 1e6,
             idle_bytes as f64 / 1e6,
-            grown as f64 / 1e3 / wanted as f64,
+            grown as f64 / 1e3 / stream_count as f64,
             (after.cpu_s - before.cpu_s) / settle.as_secs_f64()
         );
-        if held.len() != wanted {
+        if open_streams.len() != stream_count {
             return Err(StandinError::Check {
                 step: "open streams",
-                detail: format!("{} of {wanted} are open", held.len()),
+                detail: format!("{} of {stream_count} are open", open_streams.len()),
             });
         }
         deployment.close();
--- a/crates/foxtailhold-standin/src/bench/throughput.rs
+++ b/crates/foxtailhold-standin/src/bench/throughput.rs
@@ -34,19 +34,19 @@
     Ok(total)
 }
 
-struct Measured {
+struct Throughput {
     per_s: f64,
     per_cpu_s: f64,
     cores: f64,
 }
 
-async fn measure(deployment: &Deployment, client: &BenchClient, wait_s: u64) -> Result<Measured> {
+async fn measure(deployment: &Deployment, client: &BenchClient, wait_s: u64) -> Result<Throughput> {
     exchanges(client, Duration::from_secs(1)).await?;
     let (start, before) = (Instant::now(), deployment.instances[0].usage()?);
     let done = exchanges(client, Duration::from_secs(wait_s)).await? as f64;
     let elapsed_s = start.elapsed().as_secs_f64();
     let cpu_s = deployment.instances[0].usage()?.cpu_s - before.cpu_s;
-    Ok(Measured {
+    Ok(Throughput {
         per_s: done / elapsed_s,
         per_cpu_s: done / cpu_s.max(0.01),
         cores: cpu_s / elapsed_s,
--- a/crates/foxtailhold-standin/src/demo.rs
+++ b/crates/foxtailhold-standin/src/demo.rs
@@ -19,7 +19,7 @@
 /// API key of the demo's customer.
 pub const API_KEY: &str = "granite-trail-demo-key";
 /// Limit for anything that has to happen by itself.
-const WAIT: Duration = Duration::from_secs(30);
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The contract of the demo's customer.
 pub fn contract(requests_per_s: u32) -> String {
@@ -30,8 +30,8 @@
     )
 }
 
-fn check(step: &'static str, holds: bool, detail: impl Into<String>) -> Result<()> {
-    if holds {
+fn check(step: &'static str, passed: bool, detail: impl Into<String>) -> Result<()> {
+    if passed {
         return Ok(());
     }
     let detail = detail.into();
@@ -147,9 +147,12 @@
 }
 
 /// Waits until `done` holds.
-async fn until<F: AsyncFnMut() -> Result<bool>>(step: &'static str, mut done: F) -> Result<u128> {
+async fn wait_until<F: AsyncFnMut() -> Result<bool>>(
+    step: &'static str,
+    mut done: F,
+) -> Result<u128> {
     let start = Instant::now();
-    while start.elapsed() < WAIT {
+    while start.elapsed() < STEP_TIMEOUT {
         if done().await? {
             return Ok(start.elapsed().as_millis());
         }
@@ -158,7 +161,7 @@
     check(
         step,
         false,
-        format!("did not happen within {} s", WAIT.as_secs()),
+        format!("did not happen within {} s", STEP_TIMEOUT.as_secs()),
     )?;
     Ok(0)
 }
@@ -196,7 +199,7 @@
                 step: "change a contract",
                 detail: error.to_string(),
             })?;
-        until("contract in force on all instances", async || {
+        wait_until("contract in force on all instances", async || {
             for operator in &operators {
                 let seen = operator.contract(&customer).await;
                 if !seen.is_ok_and(|view| view.version >= accepted.version) {
@@ -208,7 +211,7 @@
         .await
     }
 
-    async fn entries(&self) -> Result<usize> {
+    async fn listed_instances(&self) -> Result<usize> {
         let address = self.callers()[0];
         let answer = self
             .caller
@@ -264,7 +267,7 @@
         check("resent batch", ids[0] == ids[1], format!("{ids:?}"))?;
         let path = format!("/v1/batches/{}", ids[0].as_str().unwrap_or_default());
         let mut output = String::new();
-        let took = until("batch", async || {
+        let took = wait_until("batch", async || {
             let batch = self
                 .caller
                 .json(addresses[1], Method::GET, &path, &Value::Null);
@@ -297,7 +300,7 @@
 
     async fn models_served(&self) -> Result<u128> {
         let addresses = self.callers();
-        until("models served", async || {
+        wait_until("models served", async || {
             let mut served = true;
             for address in &addresses {
                 let models = self
@@ -344,8 +347,8 @@
     }
 
     async fn run(&mut self, items: usize) -> Result<()> {
-        let ms = until("all instances in the list of addresses", async || {
-            Ok(self.entries().await? == 3)
+        let ms = wait_until("all instances in the list of addresses", async || {
+            Ok(self.listed_instances().await? == 3)
         })
         .await?;
         report("entries", format_args!("3 addresses after {ms} ms"));
--- a/crates/foxtailhold-standin/src/deployment.rs
+++ b/crates/foxtailhold-standin/src/deployment.rs
@@ -54,7 +54,7 @@
     pub services: Vec<Process>,
     /// The instances.
     pub instances: Vec<Process>,
-    started: usize,
+    instances_started: usize,
 }
 
 impl Deployment {
@@ -67,7 +67,7 @@
             engines: Vec::new(),
             services: Vec::new(),
             instances: Vec::new(),
-            started: 0,
+            instances_started: 0,
             shape,
         };
         for index in 0..deployment.shape.engines {
@@ -115,8 +115,8 @@
 
     /// Starts one more instance and tells the fleet list.
     pub async fn add_instance(&mut self) -> Result<()> {
-        let index = self.started;
-        self.started += 1;
+        let index = self.instances_started;
+        self.instances_started += 1;
         let zone = self.shape.zones[index % 3];
         let platform = self.platform_address()?.to_string();
         let (id, any) = (format!("entry-{index}"), "127.0.0.1:0");
@@ -150,7 +150,7 @@
     pub fn caller_addresses(&self) -> Result<Vec<SocketAddr>> {
         let mut addresses = Vec::new();
         for instance in &self.instances {
-            if !instance.silent {
+            if !instance.unresponsive {
                 addresses.push(instance.address("caller_address")?);
             }
         }
@@ -251,7 +251,7 @@
     pub fn resume_all(&mut self) -> Result<()> {
         let backends = self.engines.iter_mut().chain(&mut self.services);
         for process in backends.chain(&mut self.instances) {
-            if process.silent {
+            if process.unresponsive {
                 process.signal(Signal::SIGCONT)?;
             }
         }
--- a/crates/foxtailhold-standin/src/engine/handler.rs
+++ b/crates/foxtailhold-standin/src/engine/handler.rs
@@ -20,7 +20,7 @@
 use crate::answer::{self, Answer};
 use crate::engine::faults::{EngineFaults, Ran};
 use crate::engine::orders::EngineOrders;
-use crate::engine::scheduler::{EngineShape, Scheduler, Work};
+use crate::engine::scheduler::{EngineShape, GenerationRequest, Scheduler};
 use crate::engine::text;
 use crate::error::Result;
 
@@ -52,7 +52,7 @@
 }
 
 /// What a prompt is to the engine: the messages or the prompt as JSON text.
-pub fn prompt_of(messages: &Value, prompt: &Value) -> String {
+pub fn prompt_text(messages: &Value, prompt: &Value) -> String {
     if messages.is_null() {
         return prompt.to_string();
     }
@@ -69,7 +69,7 @@
 }
 
 /// One request as it is answered.
-struct Exchange {
+struct Generation {
     id: String,
     chat: bool,
     model: String,
@@ -128,7 +128,7 @@
                 Ok(answer::ok(&self.scheduler.lock().counters()))
             }
             (&Method::GET, "/orders") => Ok(answer::ok(&self.orders.engine_state())),
-            (&Method::POST, "/orders") => self.orders.take(incoming).await,
+            (&Method::POST, "/orders") => self.orders.handle_order(incoming).await,
             (&Method::GET, "/standin/orders") => Ok(answer::ok(&self.orders.record())),
             (&Method::GET, "/standin/orders/waits") => Ok(answer::ok(&self.orders.weight_waits())),
             (&Method::POST, "/standin/orders/faults") => {
@@ -160,15 +160,15 @@
     ) -> std::result::Result<Answer, Answer> {
         let tokens = completion.max_completion_tokens.or(completion.max_tokens);
         let tokens = tokens.unwrap_or(DEFAULT_TOKENS);
-        let prompt = prompt_of(&completion.messages, &completion.prompt);
+        let prompt = prompt_text(&completion.messages, &completion.prompt);
         let resumed_at = completion.continuation.as_ref().map_or(0, |c| c.tokens);
-        if let Some(given) = &completion.continuation
-            && given.text != text::answer(&prompt, given.tokens)
+        if let Some(prefix) = &completion.continuation
+            && prefix.text != text::answer(&prompt, prefix.tokens)
         {
             let message = "the continuation is not what this model generates";
             return Err(answer::error(StatusCode::BAD_REQUEST, message));
         }
-        let exchange = Exchange {
+        let generation = Generation {
             id,
             chat,
             model: completion.model,
@@ -176,16 +176,16 @@
             tokens,
             resumed_at,
         };
-        let ordinals = self.submit(&exchange)?;
+        let ordinals = self.submit(&generation)?;
         if completion.stream {
-            return Ok(self.stream(exchange, ordinals));
+            return Ok(self.stream(generation, ordinals));
         }
-        self.whole(&exchange, ordinals).await
+        self.complete_unstreamed(&generation, ordinals).await
     }
 
     fn submit(
         &self,
-        exchange: &Exchange,
+        generation: &Generation,
     ) -> std::result::Result<mpsc::UnboundedReceiver<u64>, Answer> {
         let mut scheduler = self.scheduler.lock();
         if scheduler.faults.leaving {
@@ -199,11 +199,11 @@
             ));
         }
         let (out, ordinals) = mpsc::unbounded_channel();
-        scheduler.submit(Work {
-            request: exchange.id.clone(),
-            prompt: exchange.prompt.clone(),
-            tokens: exchange.tokens,
-            resumed_at: exchange.resumed_at,
+        scheduler.submit(GenerationRequest {
+            id: generation.id.clone(),
+            prompt: generation.prompt.clone(),
+            tokens: generation.tokens,
+            resumed_at: generation.resumed_at,
             out,
         });
         self.arrived.notify_one();
@@ -214,34 +214,34 @@
         Ok(ordinals)
     }
 
-    async fn whole(
+    async fn complete_unstreamed(
         &self,
-        exchange: &Exchange,
+        generation: &Generation,
         mut ordinals: mpsc::UnboundedReceiver<u64>,
     ) -> std::result::Result<Answer, Answer> {
-        let mut last = exchange.resumed_at;
+        let mut last = generation.resumed_at;
         while let Some(ordinal) = ordinals.recv().await {
             last = ordinal;
         }
-        if last < exchange.tokens {
+        if last < generation.tokens {
             return pending().await;
         }
         let faults = self.scheduler.lock().faults.clone();
         let id = match faults.foreign_answers {
             true => "another",
-            false => &exchange.id,
+            false => &generation.id,
         };
-        let body = exchange.whole_body(id);
+        let body = generation.unstreamed_body(id);
         if faults.cut_answers || faults.short_answers {
-            return Ok(broken_answer(&body, faults.cut_answers));
+            return Ok(truncated_answer(&body, faults.cut_answers));
         }
         Ok(answer::ok(&body))
     }
 
-    fn stream(&self, exchange: Exchange, ordinals: mpsc::UnboundedReceiver<u64>) -> Answer {
+    fn stream(&self, generation: Generation, ordinals: mpsc::UnboundedReceiver<u64>) -> Answer {
         let (sender, stream) = body::streamed();
         let faults = self.scheduler.lock().faults.clone();
-        tokio::spawn(send_events(exchange, faults, ordinals, sender));
+        tokio::spawn(send_events(generation, faults, ordinals, sender));
         let mut response = Response::new(stream);
         let event_stream = HeaderValue::from_static("text/event-stream");
         response
@@ -251,7 +251,7 @@
     }
 }
 
-impl Exchange {
+impl Generation {
     fn completion_id(&self, id: &str) -> String {
         if self.chat {
             return format!("chatcmpl-{id}");
@@ -259,7 +259,7 @@
         format!("cmpl-{id}")
     }
 
-    fn whole_body(&self, id: &str) -> Value {
+    fn unstreamed_body(&self, id: &str) -> Value {
         let text = text::answer(&self.prompt, self.tokens);
         let (object, choice) = if self.chat {
             let message = json!({ "role": "assistant", "content": text });
@@ -303,9 +303,9 @@
 }
 
 /// Half of an answer, ended by a broken connection or as if it were whole.
-fn broken_answer(whole: &Value, cut: bool) -> Answer {
+fn truncated_answer(complete_unstreamed: &Value, cut: bool) -> Answer {
     let (sender, stream) = body::streamed();
-    let mut text = whole.to_string();
+    let mut text = complete_unstreamed.to_string();
     text.truncate(text.len() / 2);
     tokio::spawn(async move {
         sender.send(text.into()).await;
@@ -317,7 +317,7 @@
 }
 
 /// The event that takes the place of the one at `ordinal`, where a fault wants one.
-fn replaced(faults: &EngineFaults, ordinal: u64) -> Option<&'static str> {
+fn replacement_event(faults: &EngineFaults, ordinal: u64) -> Option<&'static str> {
     let is_past = |after: Option<u64>| after.is_some_and(|tokens| ordinal > tokens);
     if is_past(faults.done_after_tokens) {
         return Some("data: [DONE]\n\n");
@@ -329,14 +329,14 @@
 }
 
 async fn send_events(
-    exchange: Exchange,
+    generation: Generation,
     faults: EngineFaults,
     mut ordinals: mpsc::UnboundedReceiver<u64>,
     sender: AnswerSender,
 ) {
-    let mut last = exchange.resumed_at;
-    let mut held: Option<String> = None;
-    let mut previous: Option<String> = None;
+    let mut last = generation.resumed_at;
+    let mut swapped_event: Option<String> = None;
+    let mut previous_event: Option<String> = None;
     loop {
         let next = tokio::select! {
             next = ordinals.recv() => next,
@@ -353,35 +353,35 @@
             return;
         }
         last = ordinal;
-        if let Some(event) = replaced(&faults, ordinal) {
+        if let Some(event) = replacement_event(&faults, ordinal) {
             sender.send(event.into()).await;
             return;
         }
         let foreign = faults
             .foreign_after_tokens
             .is_some_and(|tokens| ordinal > tokens);
-        let id = if foreign { "another" } else { &exchange.id };
-        let mut event = exchange.event(ordinal, id);
+        let id = if foreign { "another" } else { &generation.id };
+        let mut event = generation.event(ordinal, id);
         if faults.duplicate_events {
             event = event.repeat(2);
         }
         if faults.late_events {
-            let late = previous.replace(event.clone());
+            let late = previous_event.replace(event.clone());
             event.push_str(&late.unwrap_or_default());
         }
         let swapped = faults
             .swap_after_tokens
             .is_some_and(|tokens| ordinal > tokens);
-        if swapped && held.is_none() {
-            held = Some(event);
+        if swapped && swapped_event.is_none() {
+            swapped_event = Some(event);
             continue;
         }
-        event.push_str(&held.take().unwrap_or_default());
+        event.push_str(&swapped_event.take().unwrap_or_default());
         if !sender.send(event.into()).await {
             return;
         }
     }
-    if last < exchange.tokens {
+    if last < generation.tokens {
         sender.gone().await;
         return;
     }
--- a/crates/foxtailhold-standin/src/engine/orders.rs
+++ b/crates/foxtailhold-standin/src/engine/orders.rs
@@ -90,12 +90,12 @@
     }
 
     /// Takes an order, also when its giver goes away meanwhile.
-    pub async fn take(&self, incoming: Incoming) -> std::result::Result<Answer, Answer> {
+    pub async fn handle_order(&self, incoming: Incoming) -> std::result::Result<Answer, Answer> {
         let order: Order = answer::read_json(incoming).await?;
         let orders = self.clone();
         let task = tokio::spawn(async move {
-            tokio::time::sleep(orders.delay()).await;
-            orders.decide(order)
+            tokio::time::sleep(orders.next_delay()).await;
+            orders.accept(order)
         });
         match task.await {
             Ok(true) => Ok(answer::ok(&self.engine_state())),
@@ -110,7 +110,7 @@
         }
     }
 
-    fn delay(&self) -> Duration {
+    fn next_delay(&self) -> Duration {
         let mut state = self.state.lock();
         if state.faults.late_orders == 0 {
             return Duration::ZERO;
@@ -119,7 +119,7 @@
         Duration::from_millis(state.faults.delay_ms)
     }
 
-    fn decide(&self, order: Order) -> bool {
+    fn accept(&self, order: Order) -> bool {
         let mut state = self.state.lock();
         let taken = self.fencing == FencingCheck::Ignored || !order.is_stale(&state.engine);
         let setup = order.setup.clone();
--- a/crates/foxtailhold-standin/src/engine/scheduler.rs
+++ b/crates/foxtailhold-standin/src/engine/scheduler.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::engine::counters::{APART_TEXT, EngineCounters};
+use crate::engine::counters::{BATCH_MARKER, EngineCounters};
 use crate::engine::faults::{EngineFaults, Ran};
 use crate::engine::text;
 
@@ -58,9 +58,9 @@
 
 /// A request as the scheduler sees it.
 #[derive(Debug)]
-pub struct Work {
+pub struct GenerationRequest {
     /// Identifier.
-    pub request: String,
+    pub id: String,
     /// Prompt.
     pub prompt: String,
     /// Tokens of the whole answer.
@@ -72,24 +72,24 @@
 }
 
 #[derive(Debug)]
-struct Active {
-    work: Work,
-    prefill_left: u64,
-    next: u64,
-    record: usize,
-    apart: bool,
+struct ActiveRequest {
+    request: GenerationRequest,
+    prefill_remaining: u64,
+    next_token: u64,
+    record_index: usize,
+    is_batch: bool,
 }
 
 /// The state of one engine.
 #[derive(Debug)]
 pub struct Scheduler {
     shape: EngineShape,
-    waiting: VecDeque<Active>,
-    running: Vec<Active>,
+    waiting: VecDeque<ActiveRequest>,
+    running: Vec<ActiveRequest>,
     cache: HashMap<u64, u64>,
-    clock: u64,
+    cache_clock: u64,
     started: Instant,
-    stepped: Instant,
+    counted_at: Instant,
     counters: EngineCounters,
     reports: VecDeque<(Instant, LoadReport)>,
     started_unix_ms: u64,
@@ -110,9 +110,9 @@
             waiting: VecDeque::new(),
             running: Vec::new(),
             cache: HashMap::new(),
-            clock: 0,
+            cache_clock: 0,
             started: now,
-            stepped: now,
+            counted_at: now,
             counters: EngineCounters::default(),
             reports: VecDeque::new(),
             started_unix_ms: unix_ms(),
@@ -128,28 +128,28 @@
     }
 
     /// Takes a request in.
-    pub fn submit(&mut self, work: Work) {
-        let record = self.record.len();
+    pub fn submit(&mut self, request: GenerationRequest) {
+        let record_index = self.record.len();
         self.record.push(Ran {
-            request: work.request.clone(),
-            prompt: work.prompt.clone(),
+            request: request.id.clone(),
+            prompt: request.prompt.clone(),
             tokens: 0,
             finished: false,
             cancelled: false,
-            resumed_at: work.resumed_at,
+            resumed_at: request.resumed_at,
             came_unix_ms: unix_ms(),
             admitted_unix_ms: None,
             cancelled_unix_ms: None,
         });
-        let prefill_left = self.prefill_tokens(&work);
-        let next = work.resumed_at + 1;
-        let apart = work.prompt.contains(APART_TEXT);
-        self.waiting.push_back(Active {
-            work,
-            prefill_left,
-            next,
-            record,
-            apart,
+        let prefill_remaining = self.prefill_tokens(&request);
+        let next_token = request.resumed_at + 1;
+        let is_batch = request.prompt.contains(BATCH_MARKER);
+        self.waiting.push_back(ActiveRequest {
+            request,
+            prefill_remaining,
+            next_token,
+            record_index,
+            is_batch,
         });
     }
 
@@ -215,11 +215,11 @@
 
     fn count(&mut self) {
         let now = Instant::now();
-        let elapsed_us = (now - self.stepped).as_micros() as u64;
-        self.stepped = now;
-        let apart = self.running.iter().filter(|active| active.apart).count();
+        let elapsed_us = (now - self.counted_at).as_micros() as u64;
+        self.counted_at = now;
+        let batch_requests = self.running.iter().filter(|active| active.is_batch).count();
         self.counters.busy_slot_us += elapsed_us * self.running.len() as u64;
-        self.counters.apart_slot_us += elapsed_us * apart as u64;
+        self.counters.batch_slot_us += elapsed_us * batch_requests as u64;
     }
 
     fn load(&self) -> LoadReport {
@@ -235,12 +235,12 @@
         }
     }
 
-    fn prefill_tokens(&mut self, work: &Work) -> u64 {
-        let prompt = work.prompt.as_bytes();
-        let tokens = (prompt.len() / BYTES_PER_TOKEN) as u64 + work.resumed_at;
+    fn prefill_tokens(&mut self, request: &GenerationRequest) -> u64 {
+        let prompt = request.prompt.as_bytes();
+        let tokens = (prompt.len() / BYTES_PER_TOKEN) as u64 + request.resumed_at;
         let prefix = xxh3_64(&prompt[..prompt.len().min(PREFIX_BYTES)]);
-        self.clock += 1;
-        let hit = self.cache.insert(prefix, self.clock).is_some();
+        self.cache_clock += 1;
+        let hit = self.cache.insert(prefix, self.cache_clock).is_some();
         if self.cache.len() > self.shape.cached_prefixes
             && let Some(oldest) = self.cache.iter().min_by_key(|(_, used)| **used)
         {
@@ -255,13 +255,13 @@
 
     fn drop_cancelled(&mut self) {
         let record = &mut self.record;
-        let mut keep = |active: &Active| {
-            let gone = active.work.out.is_closed();
-            if gone {
-                record[active.record].cancelled = true;
-                record[active.record].cancelled_unix_ms = Some(unix_ms());
+        let mut keep = |active: &ActiveRequest| {
+            let disconnected = active.request.out.is_closed();
+            if disconnected {
+                record[active.record_index].cancelled = true;
+                record[active.record_index].cancelled_unix_ms = Some(unix_ms());
             }
-            !gone
+            !disconnected
         };
         self.waiting.retain(&mut keep);
         self.running.retain(&mut keep);
@@ -273,45 +273,45 @@
                 return;
             };
             let crash_on = self.faults.crash_on.as_deref();
-            if crash_on.is_some_and(|text| active.work.prompt.contains(text)) {
+            if crash_on.is_some_and(|text| active.request.prompt.contains(text)) {
                 self.crashed = true;
                 self.running.clear();
                 self.waiting.clear();
                 return;
             }
-            self.record[active.record].admitted_unix_ms = Some(unix_ms());
+            self.record[active.record_index].admitted_unix_ms = Some(unix_ms());
             self.running.push(active);
         }
     }
 
     fn prefill(&mut self) -> u64 {
-        let mut left = self.shape.prefill_tokens_per_step;
+        let mut budget = self.shape.prefill_tokens_per_step;
         for active in &mut self.running {
-            let spent = active.prefill_left.min(left);
-            active.prefill_left -= spent;
-            left -= spent;
+            let spent = active.prefill_remaining.min(budget);
+            active.prefill_remaining -= spent;
+            budget -= spent;
         }
-        self.shape.prefill_tokens_per_step - left
+        self.shape.prefill_tokens_per_step - budget
     }
 
     fn decode(&mut self) {
         for active in &mut self.running {
-            if active.prefill_left > 0 || active.next > active.work.tokens {
+            if active.prefill_remaining > 0 || active.next_token > active.request.tokens {
                 continue;
             }
-            let _ = active.work.out.send(active.next);
-            active.next += 1;
-            self.record[active.record].tokens += 1;
+            let _ = active.request.out.send(active.next_token);
+            active.next_token += 1;
+            self.record[active.record_index].tokens += 1;
             self.counters.tokens += 1;
-            self.counters.apart_tokens += u64::from(active.apart);
+            self.counters.batch_tokens += u64::from(active.is_batch);
         }
         let (record, counters) = (&mut self.record, &mut self.counters);
         self.running.retain(|active| {
-            let finished = active.next > active.work.tokens;
+            let finished = active.next_token > active.request.tokens;
             if finished {
-                record[active.record].finished = true;
+                record[active.record_index].finished = true;
                 counters.finished += 1;
-                counters.apart_finished += u64::from(active.apart);
+                counters.batch_finished += u64::from(active.is_batch);
             }
             !finished
         });
--- a/crates/foxtailhold-standin/src/load/batch.rs
+++ b/crates/foxtailhold-standin/src/load/batch.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use crate::demo::{Caller, chat};
-use crate::engine::counters::APART_TEXT;
+use crate::engine::counters::BATCH_MARKER;
 use crate::error::Result;
 use crate::load::scenario::Workload;
 
@@ -18,7 +18,7 @@
 fn input(workload: &Workload, job: usize) -> String {
     let mut text = String::new();
     for item in 0..ITEMS_PER_JOB {
-        let question = format!("{APART_TEXT} {job}-{item}: summary of the day, please");
+        let question = format!("{BATCH_MARKER} {job}-{item}: summary of the day, please");
         let line = json!({
             "custom_id": format!("{job}-{item}"),
             "method": "POST",
--- a/crates/foxtailhold-standin/src/load/caller.rs
+++ b/crates/foxtailhold-standin/src/load/caller.rs
@@ -16,7 +16,7 @@
 
 use crate::demo::{API_KEY, chat};
 use crate::error::Result;
-use crate::load::recorder::{Ending, Tally};
+use crate::load::recorder::{PhaseRecorder, RequestOutcome};
 use crate::load::scenario::{Phase, Workload};
 
 /// A caller gives up when the first token has not come by then.
@@ -47,19 +47,19 @@
     }
 
     /// Asks for the addresses again and again, each time any instance of the list.
-    pub async fn follow_list(self) {
+    pub async fn refresh_list(self) {
         loop {
             let list = self.addresses.load_full();
             let index = rand::random::<u32>() as usize % list.len().max(1);
             let Some(address) = list.get(index) else {
                 return;
             };
-            let keep_ms = self.ask_list(*address).await.unwrap_or(100);
+            let keep_ms = self.fetch_list(*address).await.unwrap_or(100);
             tokio::time::sleep(Duration::from_millis(keep_ms)).await;
         }
     }
 
-    async fn ask_list(&self, address: SocketAddr) -> Result<u64> {
+    async fn fetch_list(&self, address: SocketAddr) -> Result<u64> {
         let mut call = Call::new(Method::GET, address, "/v1/entries");
         call.timeout_ms = LIST_TIMEOUT_MS;
         let (_, body) = self.client.call::<()>(&call, None).await?;
@@ -77,27 +77,29 @@
 
     /// Sends requests for the whole phase at the times of a Poisson process, whether or not
     /// earlier ones were answered, and returns when each of them has ended.
-    pub async fn run(&self, phase: &Phase, seed: u64, tally: &Arc<Tally>) {
+    pub async fn run(&self, phase: &Phase, seed: u64, recorder: &Arc<PhaseRecorder>) {
         let mut random = SmallRng::seed_from_u64(seed);
         let start = Instant::now();
         let end = start + Duration::from_millis(phase.duration_ms);
-        let mut due = start;
+        let mut scheduled_at = start;
         let mut running = tokio::task::JoinSet::new();
         loop {
             let uniform: f64 = random.random_range(f64::EPSILON..1.0);
-            due += Duration::from_secs_f64(-uniform.ln() / phase.online_per_s);
-            if due >= end {
+            scheduled_at += Duration::from_secs_f64(-uniform.ln() / phase.online_per_s);
+            if scheduled_at >= end {
                 break;
             }
-            tokio::time::sleep_until(due).await;
+            tokio::time::sleep_until(scheduled_at).await;
             let list = self.addresses.load();
             let address = list[random.random_range(0..list.len())];
             let body = self.body(random.random());
-            let (callers, tally) = (self.clone(), tally.clone());
-            tally.sent();
+            let (callers, recorder) = (self.clone(), recorder.clone());
+            recorder.sent();
             running.spawn(async move {
-                let ending = callers.ask(address, body, due, &tally).await;
-                tally.ended(ending.unwrap_or(Ending::Failed));
+                let outcome = callers
+                    .send_request(address, body, scheduled_at, &recorder)
+                    .await;
+                recorder.ended(outcome.unwrap_or(RequestOutcome::Failed));
             });
             while running.try_join_next().is_some() {}
         }
@@ -105,24 +107,24 @@
         while running.join_next().await.is_some() {}
     }
 
-    fn body(&self, draw: u64) -> Bytes {
-        let troop = draw % 40;
+    fn body(&self, random_number: u64) -> Bytes {
+        let troop = random_number % 40;
         let mut question = format!("troop {troop}: ");
         while question.len() < self.workload.prompt_bytes.saturating_sub(32) {
             question.push_str("which requirement is left? ");
         }
-        question.push_str(&draw.to_string());
+        question.push_str(&random_number.to_string());
         let tokens = self.workload.answer_tokens;
         chat(&question, tokens, true).to_string().into()
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         address: SocketAddr,
         body: Bytes,
-        due: Instant,
-        tally: &Tally,
-    ) -> Result<Ending> {
+        scheduled_at: Instant,
+        recorder: &PhaseRecorder,
+    ) -> Result<RequestOutcome> {
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = uri(address, "/v1/chat/completions")?;
@@ -134,7 +136,7 @@
         let sent = self.client.send(address, request, FIRST_TOKEN_TIMEOUT_MS);
         let response = sent.await?;
         if !response.status().is_success() {
-            return Ok(Ending::Refused);
+            return Ok(RequestOutcome::Refused);
         }
         let mut body = response.into_body();
         let mut last: Option<Instant> = None;
@@ -142,32 +144,37 @@
         loop {
             let wait = Duration::from_millis(TOKEN_TIMEOUT_MS);
             let Ok(frame) = tokio::time::timeout(wait, body.frame()).await else {
-                return Ok(Ending::Failed);
+                return Ok(RequestOutcome::Failed);
             };
             let Some(frame) = frame else {
                 break;
             };
             let Ok(Ok(data)) = frame.map(hyper::body::Frame::into_data) else {
-                return Ok(Ending::Failed);
+                return Ok(RequestOutcome::Failed);
             };
-            note_tokens(&data, due, &mut last, tally);
+            record_tokens(&data, scheduled_at, &mut last, recorder);
             tail.extend_from_slice(&data[data.len().saturating_sub(16)..]);
         }
         if tail.ends_with(b"[DONE]\n\n") {
-            return Ok(Ending::Whole);
+            return Ok(RequestOutcome::Whole);
         }
-        Ok(Ending::Failed)
+        Ok(RequestOutcome::Failed)
     }
 }
 
-fn note_tokens(data: &[u8], due: Instant, last: &mut Option<Instant>, tally: &Tally) {
+fn record_tokens(
+    data: &[u8],
+    scheduled_at: Instant,
+    last: &mut Option<Instant>,
+    recorder: &PhaseRecorder,
+) {
     let marker = b"data: {";
     let tokens = data.windows(marker.len()).filter(|part| part == marker);
     for _ in tokens {
         let now = Instant::now();
         match *last {
-            None => tally.first_token((now - due).as_micros() as u64),
-            Some(before) => tally.next_token((now - before).as_micros() as u64),
+            None => recorder.first_token((now - scheduled_at).as_micros() as u64),
+            Some(before) => recorder.next_token((now - before).as_micros() as u64),
         }
         *last = Some(now);
     }
--- a/crates/foxtailhold-standin/src/load/recorder.rs
+++ b/crates/foxtailhold-standin/src/load/recorder.rs
@@ -11,7 +11,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// The whole answer came.
     Whole,
     /// It was refused with a status of 400 or higher.
@@ -33,7 +33,7 @@
 
 /// What callers saw.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct CallerStatistics {
     /// Requests sent.
     pub sent: u64,
     /// Whole answers.
@@ -60,7 +60,7 @@
 
 /// Counts and histograms shared by all callers of a phase.
 #[derive(Debug)]
-pub struct Tally(Mutex<State>);
+pub struct PhaseRecorder(Mutex<State>);
 
 /// An empty histogram of µs.
 pub fn histogram() -> Histogram<u64> {
@@ -68,7 +68,7 @@
 }
 
 /// Notes a time.
-pub fn note(histogram: &mut Histogram<u64>, us: u64) {
+pub fn record_us(histogram: &mut Histogram<u64>, us: u64) {
     histogram.saturating_record(us.max(1));
 }
 
@@ -82,9 +82,9 @@
     }
 }
 
-impl Default for Tally {
+impl Default for PhaseRecorder {
     fn default() -> Self {
-        Tally(Mutex::new(State {
+        PhaseRecorder(Mutex::new(State {
             first_token_us: histogram(),
             between_us: histogram(),
             sent: 0,
@@ -95,7 +95,7 @@
     }
 }
 
-impl Tally {
+impl PhaseRecorder {
     /// A request is due.
     pub fn sent(&self) {
         self.0.lock().sent += 1;
@@ -103,28 +103,28 @@
 
     /// A request's first token came.
     pub fn first_token(&self, us: u64) {
-        note(&mut self.0.lock().first_token_us, us);
+        record_us(&mut self.0.lock().first_token_us, us);
     }
 
     /// Another token came.
     pub fn next_token(&self, us: u64) {
-        note(&mut self.0.lock().between_us, us);
+        record_us(&mut self.0.lock().between_us, us);
     }
 
     /// A request ended.
-    pub fn ended(&self, ending: Ending) {
+    pub fn ended(&self, outcome: RequestOutcome) {
         let mut state = self.0.lock();
-        match ending {
-            Ending::Whole => state.whole += 1,
-            Ending::Refused => state.refused += 1,
-            Ending::Failed => state.failed += 1,
+        match outcome {
+            RequestOutcome::Whole => state.whole += 1,
+            RequestOutcome::Refused => state.refused += 1,
+            RequestOutcome::Failed => state.failed += 1,
         }
     }
 
     /// What was seen so far.
-    pub fn seen(&self) -> Seen {
+    pub fn seen(&self) -> CallerStatistics {
         let state = self.0.lock();
-        Seen {
+        CallerStatistics {
             sent: state.sent,
             whole: state.whole,
             refused: state.refused,
--- a/crates/foxtailhold-standin/src/load/report.rs
+++ b/crates/foxtailhold-standin/src/load/report.rs
@@ -5,7 +5,7 @@
 use crate::cli::LoadCommand;
 use crate::engine::EngineCounters;
 use crate::error::Result;
-use crate::load::recorder::Seen;
+use crate::load::recorder::CallerStatistics;
 use crate::load::scenario::Phase;
 
 /// One phase under one policy.
@@ -20,7 +20,7 @@
     /// Online requests a second that were planned.
     pub online_per_s: f64,
     /// What callers saw.
-    pub seen: Seen,
+    pub seen: CallerStatistics,
     /// Batch items finished by the engines in a second.
     pub items_per_s: f64,
     /// Share of the slot time left by online requests that batch used.
@@ -35,7 +35,7 @@
 
 impl Row {
     /// The row of a phase.
-    pub fn new(phase: &Phase, seen: Seen, counted: &[EngineCounters]) -> Self {
+    pub fn new(phase: &Phase, seen: CallerStatistics, counted: &[EngineCounters]) -> Self {
         let mut row = Row {
             phase: phase.name.to_owned(),
             online_per_s: phase.online_per_s,
@@ -43,23 +43,23 @@
             engines: counted.len(),
             ..Row::default()
         };
-        let (mut idle_us, mut apart_us, mut busy_us, mut all_us) = (0, 0, 0, 0);
+        let (mut idle_us, mut batch_us, mut busy_us, mut all_us) = (0, 0, 0, 0);
         for counters in counted {
             idle_us += counters.idle_slot_us();
-            apart_us += counters.apart_slot_us;
+            batch_us += counters.batch_slot_us;
             busy_us += counters.busy_slot_us;
             all_us += counters.slots * counters.elapsed_us;
             let elapsed_s = counters.elapsed_us as f64 / 1_000_000.0;
-            row.items_per_s += counters.apart_finished as f64 / elapsed_s.max(0.001);
+            row.items_per_s += counters.batch_finished as f64 / elapsed_s.max(0.001);
         }
-        row.idle_used = apart_us as f64 / (idle_us as f64).max(1.0);
+        row.idle_used = batch_us as f64 / (idle_us as f64).max(1.0);
         row.busy = busy_us as f64 / (all_us as f64).max(1.0);
         row
     }
 
     /// The row as a line of the table.
     pub fn line(&self) -> String {
-        let Seen {
+        let CallerStatistics {
             sent,
             whole,
             refused,
@@ -172,12 +172,14 @@
             println!("{}", row.line());
         }
         let policies = self.policies();
-        let base = policies.first().copied().unwrap_or_default();
-        println!("\nmedians over rounds: p99 of first token against policy {base}, items a second");
+        let baseline = policies.first().copied().unwrap_or_default();
+        println!(
+            "\nmedians over rounds: p99 of first token against policy {baseline}, items a second"
+        );
         for policy in &policies {
             for phase in self.phases() {
                 let p99 = |row: &Row| row.seen.first_token.p99_ms;
-                let ratio = self.median(policy, phase, p99) / self.median(base, phase, p99);
+                let ratio = self.median(policy, phase, p99) / self.median(baseline, phase, p99);
                 let items_per_s = self.median(policy, phase, |row| row.items_per_s);
                 println!("{policy:<9} {phase:<16} {ratio:>6.2} {items_per_s:>8.1}");
             }
--- a/crates/foxtailhold-standin/src/load/run.rs
+++ b/crates/foxtailhold-standin/src/load/run.rs
@@ -10,7 +10,7 @@
 use crate::error::{Result, StandinError};
 use crate::load::batch;
 use crate::load::caller::Callers;
-use crate::load::recorder::Tally;
+use crate::load::recorder::PhaseRecorder;
 use crate::load::report::{Report, Row};
 use crate::load::scenario::{BatchPolicy, Phase, Workload, phases};
 
@@ -84,7 +84,7 @@
         batch::submit(workload, &addresses).await?;
     }
     let callers = Callers::new(*workload, addresses);
-    let list = tokio::spawn(callers.clone().follow_list());
+    let list = tokio::spawn(callers.clone().refresh_list());
     tokio::time::sleep(Duration::from_millis(WARM_UP_MS)).await;
     let all = phases(workload, command.phase_s, command.faults);
     for (index, phase) in all.iter().enumerate() {
@@ -109,10 +109,10 @@
     if let Some(fault) = phase.fault {
         fault.begin(deployment).await?;
     }
-    let tally = Arc::new(Tally::default());
+    let recorder = Arc::new(PhaseRecorder::default());
     let running = tokio::spawn({
-        let (callers, phase, tally) = (callers.clone(), *phase, tally.clone());
-        async move { callers.run(&phase, seed, &tally).await }
+        let (callers, phase, recorder) = (callers.clone(), *phase, recorder.clone());
+        async move { callers.run(&phase, seed, &recorder).await }
     });
     let before = deployment.counters().await?;
     let cpu_before = cpu_s(deployment);
@@ -127,7 +127,7 @@
         fault.end(deployment).await?;
         tokio::time::sleep(Duration::from_millis(RECOVERY_MS)).await;
     }
-    let mut row = Row::new(phase, tally.seen(), &between(&before, &after));
+    let mut row = Row::new(phase, recorder.seen(), &between(&before, &after));
     row.cores_used = cpu_s / (phase.duration_ms as f64 / 1_000.0);
     Ok(row)
 }
--- a/crates/foxtailhold-standin/src/platform/faults.rs
+++ b/crates/foxtailhold-standin/src/platform/faults.rs
@@ -27,7 +27,7 @@
 
 /// What becomes of one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteFate {
+pub enum WriteEffect {
     /// It takes effect and is answered.
     Answered,
     /// It takes effect and the answer is lost.
@@ -38,19 +38,19 @@
 
 impl PlatformFaults {
     /// The fate of the next write, a transaction of `operations`, none for an object.
-    pub fn next_write(&mut self, operations: &[Operation]) -> WriteFate {
+    pub fn next_write(&mut self, operations: &[Operation]) -> WriteEffect {
         let named = |operation: &Operation| operation.table == self.only_table;
         if !self.only_table.is_empty() && !operations.iter().any(named) {
-            return WriteFate::Answered;
+            return WriteEffect::Answered;
         }
         if self.lose_writes > 0 {
             self.lose_writes -= 1;
-            return WriteFate::Lost;
+            return WriteEffect::Lost;
         }
         if self.lose_write_answers > 0 {
             self.lose_write_answers -= 1;
-            return WriteFate::AnswerLost;
+            return WriteEffect::AnswerLost;
         }
-        WriteFate::Answered
+        WriteEffect::Answered
     }
 }
--- a/crates/foxtailhold-standin/src/platform/fleet.rs
+++ b/crates/foxtailhold-standin/src/platform/fleet.rs
@@ -23,8 +23,8 @@
 #[derive(Debug)]
 pub struct LaggingFleet {
     lag_ms: u64,
-    past: VecDeque<(Instant, Fleet)>,
-    now: Fleet,
+    history: VecDeque<(Instant, Fleet)>,
+    current: Fleet,
 }
 
 impl LaggingFleet {
@@ -32,36 +32,47 @@
     pub fn new(lag_ms: u64) -> Self {
         LaggingFleet {
             lag_ms,
-            past: VecDeque::new(),
-            now: Fleet::default(),
+            history: VecDeque::new(),
+            current: Fleet::default(),
         }
     }
 
     /// Applies a change; readers see it after the lag.
     pub fn change(&mut self, change: FleetChange) {
         for instance in change.instances {
-            self.now.instances.retain(|known| known.id != instance.id);
-            self.now.instances.push(instance);
+            self.current
+                .instances
+                .retain(|known| known.id != instance.id);
+            self.current.instances.push(instance);
         }
         for backend in change.backends {
-            self.now.backends.retain(|known| known.id != backend.id);
-            self.now.backends.push(backend);
+            self.current.backends.retain(|known| known.id != backend.id);
+            self.current.backends.push(backend);
         }
         let gone = |id: &str| change.removed.iter().any(|removed| removed == id);
-        self.now.instances.retain(|known| !gone(known.id.as_str()));
-        self.now.backends.retain(|known| !gone(known.id.as_str()));
-        self.now.instances.sort_by(|a, b| a.id.cmp(&b.id));
-        self.now.backends.sort_by(|a, b| a.id.cmp(&b.id));
-        self.past.push_back((Instant::now(), self.now.clone()));
+        self.current
+            .instances
+            .retain(|known| !gone(known.id.as_str()));
+        self.current
+            .backends
+            .retain(|known| !gone(known.id.as_str()));
+        self.current.instances.sort_by(|a, b| a.id.cmp(&b.id));
+        self.current.backends.sort_by(|a, b| a.id.cmp(&b.id));
+        self.history
+            .push_back((Instant::now(), self.current.clone()));
     }
 
     /// The list as readers see it.
     pub fn visible(&mut self) -> Fleet {
         let lag = std::time::Duration::from_millis(self.lag_ms);
-        while self.past.get(1).is_some_and(|(at, _)| at.elapsed() >= lag) {
-            self.past.pop_front();
+        while self
+            .history
+            .get(1)
+            .is_some_and(|(at, _)| at.elapsed() >= lag)
+        {
+            self.history.pop_front();
         }
-        match self.past.front() {
+        match self.history.front() {
             Some((at, fleet)) if at.elapsed() >= lag => fleet.clone(),
             _ => Fleet::default(),
         }
--- a/crates/foxtailhold-standin/src/platform/handler.rs
+++ b/crates/foxtailhold-standin/src/platform/handler.rs
@@ -16,7 +16,7 @@
 
 use crate::answer::{self, Answer};
 use crate::error::Result;
-use crate::platform::faults::{PlatformFaults, WriteFate};
+use crate::platform::faults::{PlatformFaults, WriteEffect};
 use crate::platform::fleet::{FleetChange, LaggingFleet};
 use crate::platform::table::MemoryTable;
 use crate::platform::weights::{DEFAULT_WEIGHTS_PER_S, WeightRate};
@@ -124,7 +124,7 @@
     }
 
     fn weights(&self, name: &str) -> Answer {
-        let Err(wait) = self.state.lock().weights.take() else {
+        let Err(wait) = self.state.lock().weights.try_take() else {
             return Response::new(body::whole(Bytes::copy_from_slice(name.as_bytes())));
         };
         let mut answer = answer::error(StatusCode::TOO_MANY_REQUESTS, "come back later");
@@ -245,13 +245,13 @@
             let count = state.transactions_by_table.entry(table.to_owned());
             *count.or_default() += 1;
         }
-        let fate = state.faults.next_write(&operations);
-        if fate == WriteFate::Lost {
-            return Err(lost());
+        let effect = state.faults.next_write(&operations);
+        if effect == WriteEffect::Lost {
+            return Err(lost_response());
         }
         let transacted: Transacted = state.table.transact(operations);
-        if fate == WriteFate::AnswerLost {
-            return Err(lost());
+        if effect == WriteEffect::AnswerLost {
+            return Err(lost_response());
         }
         Ok(answer::ok(&transacted))
     }
@@ -259,13 +259,13 @@
     fn put_object(&self, name: String, bytes: Bytes) -> std::result::Result<Answer, Answer> {
         let mut state = self.state.lock();
         state.counts.object_writes += 1;
-        let fate = state.faults.next_write(&[]);
-        if fate == WriteFate::Lost {
-            return Err(lost());
+        let effect = state.faults.next_write(&[]);
+        if effect == WriteEffect::Lost {
+            return Err(lost_response());
         }
         state.objects.insert(name, bytes);
-        if fate == WriteFate::AnswerLost {
-            return Err(lost());
+        if effect == WriteEffect::AnswerLost {
+            return Err(lost_response());
         }
         Ok(body::empty(StatusCode::OK))
     }
@@ -286,7 +286,7 @@
     }
 }
 
-fn lost() -> Answer {
+fn lost_response() -> Answer {
     answer::error(StatusCode::GATEWAY_TIMEOUT, "the answer was lost")
 }
 
--- a/crates/foxtailhold-standin/src/platform/table.rs
+++ b/crates/foxtailhold-standin/src/platform/table.rs
@@ -10,18 +10,18 @@
 use tokio::time::Instant;
 
 /// How far back reads can lag.
-const PAST_KEPT: Duration = Duration::from_secs(30);
+const HISTORY_RETENTION: Duration = Duration::from_secs(30);
 
 /// All tables. Versions rise by one with each write of a row and start at 1.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryTable {
     rows: BTreeMap<(String, String), Row>,
-    past: VecDeque<Replaced>,
+    history: VecDeque<PreviousRow>,
 }
 
 /// A row before a write.
 #[derive(Debug, Clone)]
-struct Replaced {
+struct PreviousRow {
     at: Instant,
     key: (String, String),
     row: Option<Row>,
@@ -67,30 +67,30 @@
     pub fn as_of(&self, lag_ms: u64) -> MemoryTable {
         let lag = Duration::from_millis(lag_ms);
         let mut rows = self.rows.clone();
-        for replaced in self.past.iter().rev() {
-            if replaced.at.elapsed() >= lag {
+        for previous in self.history.iter().rev() {
+            if previous.at.elapsed() >= lag {
                 break;
             }
-            match &replaced.row {
-                Some(row) => rows.insert(replaced.key.clone(), row.clone()),
-                None => rows.remove(&replaced.key),
+            match &previous.row {
+                Some(row) => rows.insert(previous.key.clone(), row.clone()),
+                None => rows.remove(&previous.key),
             };
         }
         MemoryTable {
             rows,
-            past: VecDeque::new(),
+            history: VecDeque::new(),
         }
     }
 
-    fn remember(&mut self, key: &(String, String)) {
+    fn record_previous(&mut self, key: &(String, String)) {
         while self
-            .past
+            .history
             .front()
-            .is_some_and(|old| old.at.elapsed() > PAST_KEPT)
+            .is_some_and(|old| old.at.elapsed() > HISTORY_RETENTION)
         {
-            self.past.pop_front();
+            self.history.pop_front();
         }
-        self.past.push_back(Replaced {
+        self.history.push_back(PreviousRow {
             at: Instant::now(),
             key: key.clone(),
             row: self.rows.get(key).cloned(),
@@ -111,7 +111,7 @@
         for operation in operations {
             let key = (operation.table, operation.key);
             if operation.write != Write::None {
-                self.remember(&key);
+                self.record_previous(&key);
             }
             match operation.write {
                 Write::None => {}
--- a/crates/foxtailhold-standin/src/platform/weights.rs
+++ b/crates/foxtailhold-standin/src/platform/weights.rs
@@ -26,7 +26,7 @@
     }
 
     /// Takes one; where none is left, says when to come back.
-    pub fn take(&mut self) -> Result<(), Duration> {
+    pub fn try_take(&mut self) -> Result<(), Duration> {
         let rate = f64::from(self.weights_per_s);
         let filled = self.filled_at.elapsed().as_secs_f64() * rate;
         self.filled_at = Instant::now();
--- a/crates/foxtailhold-standin/src/process.rs
+++ b/crates/foxtailhold-standin/src/process.rs
@@ -49,7 +49,7 @@
 
 /// What the system counts of a process.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// Processor time, user and system.
     pub cpu_s: f64,
     /// Resident memory.
@@ -74,7 +74,7 @@
     /// Its availability zone.
     pub availability_zone: String,
     /// Whether it is stopped by a signal or killed.
-    pub silent: bool,
+    pub unresponsive: bool,
 }
 
 impl Process {
@@ -107,7 +107,7 @@
             child,
             ready: Value::Null,
             availability_zone: String::new(),
-            silent: false,
+            unresponsive: false,
         };
         process.ready = serde_json::from_str(&line).map_err(|error| StandinError::Check {
             step: "start a process",
@@ -124,7 +124,7 @@
     /// Sends a signal.
     pub fn signal(&mut self, signal: Signal) -> Result<()> {
         kill(Pid::from_raw(self.child.id() as i32), signal).map_err(std::io::Error::from)?;
-        self.silent = matches!(signal, Signal::SIGSTOP | Signal::SIGKILL);
+        self.unresponsive = matches!(signal, Signal::SIGSTOP | Signal::SIGKILL);
         Ok(())
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// What the system counts of it.
-    pub fn usage(&self) -> Result<Usage> {
+    pub fn usage(&self) -> Result<ProcessUsage> {
         let directory = PathBuf::from("/proc").join(self.child.id().to_string());
         let stat = std::fs::read_to_string(directory.join("stat"))?;
         let after_name = stat.rsplit(')').next().unwrap_or_default();
@@ -147,7 +147,7 @@
             let field = fields.get(index).and_then(|field| field.parse().ok());
             field.unwrap_or_default()
         };
-        Ok(Usage {
+        Ok(ProcessUsage {
             cpu_s: (ticks(11) + ticks(12)) / TICKS_PER_S,
             rss_bytes: resident_bytes(self.child.id())?,
         })
--- a/crates/foxtailhold-standin/src/service/mod.rs
+++ b/crates/foxtailhold-standin/src/service/mod.rs
@@ -29,7 +29,7 @@
 
 /// One call in the record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Called {
+pub struct ServiceCall {
     /// Method.
     pub method: String,
     /// Path and query.
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    record: Vec<Called>,
+    record: Vec<ServiceCall>,
     faults: ServiceFaults,
     running: u32,
 }
@@ -63,7 +63,7 @@
     }
 
     /// What was run.
-    pub fn record(&self) -> Vec<Called> {
+    pub fn record(&self) -> Vec<ServiceCall> {
         self.state.lock().record.clone()
     }
 
@@ -88,7 +88,7 @@
             }
             _ => {
                 let path = head.uri.path_and_query();
-                let call = Called {
+                let call = ServiceCall {
                     method: head.method.to_string(),
                     path: path.map_or("/", |path| path.as_str()).to_owned(),
                     body: String::from_utf8_lossy(&answer::read(incoming).await?).into_owned(),
@@ -98,7 +98,7 @@
         }
     }
 
-    async fn run(&self, call: Called) -> std::result::Result<Answer, Answer> {
+    async fn run(&self, call: ServiceCall) -> std::result::Result<Answer, Answer> {
         let (faults, number) = {
             let mut state = self.state.lock();
             state.record.push(call.clone());
--- a/crates/foxtailhold-standin/src/slopes/customers.rs
+++ b/crates/foxtailhold-standin/src/slopes/customers.rs
@@ -39,21 +39,21 @@
 /// and hide what the next book takes.
 pub fn run(customers: u64) -> Result<ContractRegistry> {
     let before = resident_bytes(std::process::id())?;
-    let mut book = ContractRegistry::default();
+    let mut registry = ContractRegistry::default();
     let mut number = 0;
     for customer in 0..customers {
         number += 1;
-        book.apply(&change(number, customer, 1)?);
+        registry.apply(&change(number, customer, 1)?);
     }
     let grown = resident_bytes(std::process::id())?.saturating_sub(before);
     let mut apply_us = Vec::new();
-    let mut published = Arc::new(book.clone());
+    let mut published = Arc::new(registry.clone());
     for timed in 0..TIMED_CHANGES {
         number += 1;
         let next = change(number, timed % customers, 2)?;
         let start = Instant::now();
-        book.apply(&next);
-        published = Arc::new(book.clone());
+        registry.apply(&next);
+        published = Arc::new(registry.clone());
         apply_us.push(start.elapsed().as_micros() as f64);
     }
     println!(
@@ -63,5 +63,5 @@
         median(apply_us)
     );
     drop(published);
-    Ok(book)
+    Ok(registry)
 }
--- a/crates/foxtailhold-standin/src/slopes/idle.rs
+++ b/crates/foxtailhold-standin/src/slopes/idle.rs
@@ -13,7 +13,7 @@
 use crate::error::Result;
 use crate::load::scenario::GRANITE_TRAIL;
 use crate::platform::handler::StoreCounts;
-use crate::process::Usage;
+use crate::process::ProcessUsage;
 use crate::registry::{backend, change_fleet};
 use crate::slopes::sockets;
 
@@ -34,19 +34,19 @@
 }
 
 struct Snapshot {
-    usage: Usage,
+    usage: ProcessUsage,
     peer_bytes: u64,
     store: StoreCounts,
 }
 
 async fn snapshot(deployment: &Deployment) -> Result<Snapshot> {
     let mut ports = HashSet::new();
-    let mut usage = Usage::default();
+    let mut usage = ProcessUsage::default();
     for instance in &deployment.instances {
         ports.insert(instance.address("peer_address")?.port());
-        let one = instance.usage()?;
-        usage.cpu_s += one.cpu_s;
-        usage.rss_bytes += one.rss_bytes;
+        let instance_usage = instance.usage()?;
+        usage.cpu_s += instance_usage.cpu_s;
+        usage.rss_bytes += instance_usage.rss_bytes;
     }
     let platform = deployment.platform_address()?;
     Ok(Snapshot {
@@ -57,23 +57,28 @@
 }
 
 /// Watches the instances for so many seconds and prints what each of them costs.
-async fn watch(deployment: &Deployment, what: &str, number: usize, seconds: u64) -> Result<()> {
+async fn measure(
+    deployment: &Deployment,
+    dimension: &str,
+    number: usize,
+    seconds: u64,
+) -> Result<()> {
     tokio::time::sleep(Duration::from_millis(SETTLE_MS)).await;
     let before = snapshot(deployment).await?;
     tokio::time::sleep(Duration::from_secs(seconds)).await;
     let after = snapshot(deployment).await?;
     let instances = deployment.instances.len() as f64;
-    let each_s = instances * seconds as f64;
+    let instance_seconds = instances * seconds as f64;
     let reads = after.store.table_reads - before.store.table_reads;
     let writes = after.store.transactions - before.store.transactions;
     println!(
-        "{what:<10} {number}: of one instance {:.3}% of a core, {:.1} MB, {:.2} KB/s to peers, \
+        "{dimension:<10} {number}: of one instance {:.3}% of a core, {:.1} MB, {:.2} KB/s to peers, \
          {:.2} table reads/s, {:.2} transactions/s",
-        (after.usage.cpu_s - before.usage.cpu_s) / each_s * 100.0,
+        (after.usage.cpu_s - before.usage.cpu_s) / instance_seconds * 100.0,
         after.usage.rss_bytes as f64 / 1e6 / instances,
-        after.peer_bytes.saturating_sub(before.peer_bytes) as f64 / 1e3 / each_s,
-        reads as f64 / each_s,
-        writes as f64 / each_s,
+        after.peer_bytes.saturating_sub(before.peer_bytes) as f64 / 1e3 / instance_seconds,
+        reads as f64 / instance_seconds,
+        writes as f64 / instance_seconds,
     );
     Ok(())
 }
@@ -81,7 +86,7 @@
 /// So many idle instances with one replica.
 pub async fn instances(number: usize, seconds: u64) -> Result<()> {
     let deployment = Deployment::start(shape(number, &[])).await?;
-    watch(&deployment, "instances", number, seconds).await?;
+    measure(&deployment, "instances", number, seconds).await?;
     deployment.close();
     Ok(())
 }
@@ -107,7 +112,7 @@
         };
         change_fleet(platform, &change).await?;
     }
-    watch(&deployment, "replicas", number, seconds).await?;
+    measure(&deployment, "replicas", number, seconds).await?;
     for server in servers {
         server.close(0).await;
     }
@@ -141,7 +146,7 @@
         let sent = caller.json(address, method, "/v1/batches", &request);
         sent.await?;
     }
-    watch(&deployment, "jobs", number, seconds).await?;
+    measure(&deployment, "jobs", number, seconds).await?;
     deployment.close();
     Ok(())
 }
--- a/crates/foxtailhold-standin/src/slopes/mod.rs
+++ b/crates/foxtailhold-standin/src/slopes/mod.rs
@@ -15,9 +15,9 @@
 pub async fn run(command: &SlopesCommand) -> Result<()> {
     let all = command.part == "all";
     if all || command.part == "customers" {
-        let mut books = Vec::new();
+        let mut registries = Vec::new();
         for customers in CUSTOMERS {
-            books.push(customers::run(customers)?);
+            registries.push(customers::run(customers)?);
         }
     }
     if all || command.part == "instances" {
