--- a/crates/foxtailhold-standin/src/engine/handler.rs
+++ b/crates/foxtailhold-standin/src/engine/handler.rs
@@ -1,4 +1,4 @@
-//! An engine over HTTP, in the OpenAI form.
+//! HTTP interface of the engine stand-in, in the format of the OpenAI API.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -24,11 +24,12 @@
 use crate::engine::text;
 use crate::error::Result;
 
-/// Tokens of an answer whose request says nothing.
+/// Tokens of an answer whose request sets no limit.
 const DEFAULT_TOKENS: u64 = 16;
-/// An idle engine looks for work at least this often.
+/// An idle engine checks for new requests at least this often.
 const IDLE_STEP_MS: u64 = 50;
-/// A step loop this far behind its clock starts a new one, as after a pause of the process.
+/// A step loop that is further behind its schedule restarts the schedule at the current time. This
+/// happens after a pause of the process, such as SIGSTOP.
 const MAX_BEHIND_MS: u64 = 50;
 
 #[derive(Debug, Deserialize)]
@@ -51,7 +52,7 @@
     continuation: Option<Continuation>,
 }
 
-/// What a prompt is to the engine: the messages or the prompt as JSON text.
+/// Returns the prompt that the engine works on: the messages, or else the prompt, as JSON text.
 pub fn prompt_text(messages: &Value, prompt: &Value) -> String {
     if messages.is_null() {
         return prompt.to_string();
@@ -59,7 +60,7 @@
     messages.to_string()
 }
 
-/// An engine.
+/// An engine stand-in. Clones share the same engine.
 #[derive(Debug, Clone)]
 pub struct EngineStandin {
     scheduler: Arc<Mutex<Scheduler>>,
@@ -68,7 +69,7 @@
     orders: EngineOrders,
 }
 
-/// One request as it is answered.
+/// A completion request while it is answered.
 struct Generation {
     id: String,
     chat: bool,
@@ -79,7 +80,7 @@
 }
 
 impl EngineStandin {
-    /// An idle engine that steps until the last handle is gone.
+    /// Creates an idle engine. Its step loop ends when the last handle is dropped.
     pub fn new(shape: EngineShape) -> Self {
         let engine = EngineStandin {
             scheduler: Arc::new(Mutex::new(Scheduler::new(shape))),
@@ -95,22 +96,22 @@
         engine
     }
 
-    /// The same engine with other orders.
+    /// Replaces the state of orders, which by default checks fencing numbers and loads at once.
     pub fn with_orders(self, orders: EngineOrders) -> Self {
         EngineStandin { orders, ..self }
     }
 
-    /// Serves on `address`.
+    /// Starts an HTTP server for this engine on `address`.
     pub async fn serve(&self, address: SocketAddr) -> Result<Server> {
         Ok(Server::bind(address, self.clone()).await?)
     }
 
-    /// Sets the fault switches.
+    /// Replaces all fault switches.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.scheduler.lock().faults = faults;
     }
 
-    /// What was run.
+    /// Returns the record of all requests received, in order of arrival.
     pub fn record(&self) -> Vec<Ran> {
         self.scheduler.lock().record.clone()
     }
@@ -302,7 +303,8 @@
     }
 }
 
-/// Half of an answer, ended by a broken connection or as if it were whole.
+/// Returns the first half of an answer. With `cut` the connection is broken after it, otherwise it
+/// ends normally.
 fn truncated_answer(complete_unstreamed: &Value, cut: bool) -> Answer {
     let (sender, stream) = body::streamed();
     let mut text = complete_unstreamed.to_string();
@@ -316,7 +318,7 @@
     Response::new(stream)
 }
 
-/// The event that takes the place of the one at `ordinal`, where a fault wants one.
+/// Returns the last event of the stream if a fault replaces the event at `ordinal`.
 fn replacement_event(faults: &EngineFaults, ordinal: u64) -> Option<&'static str> {
     let is_past = |after: Option<u64>| after.is_some_and(|tokens| ordinal > tokens);
     if is_past(faults.done_after_tokens) {
@@ -391,7 +393,8 @@
     sender.send("data: [DONE]\n\n".into()).await;
 }
 
-/// Steps by a clock of its own, so that late wake-ups of the machine do not slow the engine down.
+/// Runs the scheduler's steps on an absolute schedule, so that late wake-ups do not slow the engine
+/// down.
 async fn step_loop(
     scheduler: std::sync::Weak<Mutex<Scheduler>>,
     arrived: Arc<Notify>,
@@ -427,7 +430,7 @@
 }
 
 impl Handler for EngineStandin {
-    /// A crashed engine says nothing more; its connections end with its process.
+    /// A crashed engine answers nothing; its connections end when its process exits.
     async fn handle(&self, _: SocketAddr, request: Request<Incoming>) -> Answer {
         if self.scheduler.lock().crashed {
             return pending().await;
--- a/crates/foxtailhold-standin/src/engine/instant.rs
+++ b/crates/foxtailhold-standin/src/engine/instant.rs
@@ -1,4 +1,4 @@
-//! An engine that answers at once, to measure what an instance adds.
+//! An engine that answers without delay, for measuring the overhead of an instance.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::answer::{self, Answer};
 use crate::error::Result;
 
-/// Slots in its load report, so that no policy takes it for full.
+/// Slots in the load report; high enough that no policy considers the engine full.
 const SLOTS: u32 = 100_000;
 
 #[derive(Debug, Deserialize)]
@@ -24,12 +24,12 @@
     max_tokens: u64,
 }
 
-/// The engine.
+/// An engine that generates all tokens at once and ignores the prompt.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct InstantEngine;
 
 impl InstantEngine {
-    /// Serves on `address`.
+    /// Starts an HTTP server for the engine on `address`.
     pub async fn serve(self, address: SocketAddr) -> Result<Server> {
         Ok(Server::bind(address, self).await?)
     }
--- a/crates/foxtailhold-standin/src/engine/mod.rs
+++ b/crates/foxtailhold-standin/src/engine/mod.rs
@@ -1,5 +1,6 @@
-//! A model engine's stand-in: continuous batching with a bounded step, no priorities, a prefix
-//! cache, a lagging load report, server-sent events, cancel by closing the connection, resume.
+//! Stand-in for a model engine: continuous batching with a bounded step, no priorities, a prefix
+//! cache, delayed load reports, server-sent events, cancellation by closing the connection, and
+//! continuation of answers that another engine began.
 
 pub mod counters;
 pub mod faults;
--- a/crates/foxtailhold-standin/src/engine/orders.rs
+++ b/crates/foxtailhold-standin/src/engine/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to an engine's stand-in: taken with or without a check of the fencing number, then
-//! loaded from the platform's weight store at the rate that it allows.
+//! Orders to the engine stand-in. An order is accepted with or without a check of its fencing
+//! number; its setup is then loaded from the platform's weight store at the rate that it allows.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,27 +16,27 @@
 
 use crate::answer::{self, Answer};
 
-/// Pause where the weight store does not say when to come back.
+/// Pause before the next read of the weight store if its answer has no `Retry-After` header.
 const WEIGHTS_PAUSE_S: u64 = 1;
-/// Limit for one read of the weight store.
+/// Timeout of one read of the weight store.
 const WEIGHTS_TIMEOUT_MS: u64 = 5_000;
 
 /// Fault switches of orders. `POST /standin/orders/faults` sets all of them at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OrderFaults {
-    /// The next so many orders reach the engine late.
+    /// Number of next orders that are applied with a delay.
     pub late_orders: u32,
-    /// How late.
+    /// Delay of each of these orders.
     pub delay_ms: u64,
 }
 
-/// One order in the record, in the order in which the engine saw them.
+/// An order in the record, which is sorted by the time at which the engine decided.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenOrder {
-    /// The order.
+    /// The order as received.
     pub order: Order,
-    /// Whether the engine took it.
+    /// Whether the engine accepted it; `false` for a stale fencing number.
     pub taken: bool,
 }
 
@@ -45,12 +45,13 @@
     engine: EngineState,
     record: Vec<SeenOrder>,
     faults: OrderFaults,
-    /// Raised by each order taken, so that an older load ends.
+    /// Number of the latest load. Each accepted order raises it, so that the result of an older
+    /// load is discarded.
     load: u64,
     weight_waits: u64,
 }
 
-/// The orders of one engine.
+/// State of the orders of one engine. Clones share it.
 #[derive(Debug, Clone)]
 pub struct EngineOrders {
     state: Arc<Mutex<State>>,
@@ -59,8 +60,8 @@
 }
 
 impl EngineOrders {
-    /// Orders of an engine that loads from the weight store at `weights`, or at once where that is
-    /// not given.
+    /// Creates the state of an engine that loads from the weight store at `weights`. Without an
+    /// address, loads take effect at once.
     pub fn new(fencing: FencingCheck, weights: Option<SocketAddr>) -> Self {
         EngineOrders {
             state: Arc::default(),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Sets the fault switches.
+    /// Replaces all fault switches of orders.
     pub fn set_faults(&self, faults: OrderFaults) {
         self.state.lock().faults = faults;
     }
@@ -84,12 +85,12 @@
         self.state.lock().record.clone()
     }
 
-    /// How often the weight store said to come back later.
+    /// Returns how many reads the weight store answered with status 429.
     pub fn weight_waits(&self) -> u64 {
         self.state.lock().weight_waits
     }
 
-    /// Takes an order, also when its giver goes away meanwhile.
+    /// Handles an order. The order is applied also if its issuer disconnects meanwhile.
     pub async fn handle_order(&self, incoming: Incoming) -> std::result::Result<Answer, Answer> {
         let order: Order = answer::read_json(incoming).await?;
         let orders = self.clone();
--- a/crates/foxtailhold-standin/src/platform/faults.rs
+++ b/crates/foxtailhold-standin/src/platform/faults.rs
@@ -1,43 +1,46 @@
-//! Fault switches of the platform's stand-in.
+//! Fault switches of the platform stand-in.
 
 use foxtailhold_platform::Operation;
 use serde::{Deserialize, Serialize};
 
-/// Which faults are on. `POST /standin/faults` sets all of them at once.
+/// The faults that are switched on. `POST /standin/faults` sets all of them at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Table and objects refuse at once, without effect.
+    /// Table service and object store refuse every call with status 503, without effect.
     pub store_down: bool,
-    /// The table refuses at once, without effect, while objects are served.
+    /// The table service refuses every call with status 503, without effect; the object store
+    /// works.
     pub table_down: bool,
-    /// The fleet list refuses.
+    /// The fleet list is refused with status 503.
     pub fleet_down: bool,
-    /// Reads and scans of tables see them as they were this long ago.
+    /// Reads and scans of tables return their state of this long ago.
     pub read_lag_ms: u64,
-    /// Each call to table and objects takes this much longer.
+    /// Delay added to each call of table service and object store.
     pub delay_ms: u64,
-    /// The next so many writes take effect and their answers are lost.
+    /// Number of next writes that take effect but are answered with status 504.
     pub lose_write_answers: u32,
-    /// The next so many writes are lost without effect, and so are their answers.
+    /// Number of next writes that have no effect and are answered with status 504.
     pub lose_writes: u32,
-    /// Only transactions that touch this table lose writes and answers; empty for all writes.
+    /// Restricts lost writes and lost answers to transactions that touch this table; empty for all
+    /// writes.
     pub only_table: String,
 }
 
-/// What becomes of one write.
+/// Effect of the fault switches on one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteEffect {
-    /// It takes effect and is answered.
+    /// The write takes effect and is answered.
     Answered,
-    /// It takes effect and the answer is lost.
+    /// The write takes effect and its answer is lost.
     AnswerLost,
-    /// It is lost.
+    /// The write has no effect and its answer is lost.
     Lost,
 }
 
 impl PlatformFaults {
-    /// The fate of the next write, a transaction of `operations`, none for an object.
+    /// Returns the effect on the next write and counts it. `operations` are those of the
+    /// transaction, empty for the write of an object.
     pub fn next_write(&mut self, operations: &[Operation]) -> WriteEffect {
         let named = |operation: &Operation| operation.table == self.only_table;
         if !self.only_table.is_empty() && !operations.iter().any(named) {
--- a/crates/foxtailhold-standin/src/platform/fleet.rs
+++ b/crates/foxtailhold-standin/src/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! The lagging fleet list.
+//! A fleet list whose readers see changes after a delay.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,19 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// A change of the list: entries that are new or changed, and identifiers that go.
+/// A change of the fleet list.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetChange {
-    /// Instances to add or change.
+    /// Instances to add, or to replace by identifier.
     pub instances: Vec<FleetInstance>,
-    /// Backend servers to add or change.
+    /// Backend servers to add, or to replace by identifier.
     pub backends: Vec<Backend>,
-    /// Identifiers to remove.
+    /// Identifiers of instances and backend servers to remove.
     pub removed: Vec<String>,
 }
 
-/// The list with its past, so that readers see it as it was `lag_ms` ago.
+/// The fleet list with its earlier versions, so that readers see it as it was `lag_ms` ago.
 #[derive(Debug)]
 pub struct LaggingFleet {
     lag_ms: u64,
@@ -28,7 +28,7 @@
 }
 
 impl LaggingFleet {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new(lag_ms: u64) -> Self {
         LaggingFleet {
             lag_ms,
@@ -62,7 +62,7 @@
             .push_back((Instant::now(), self.current.clone()));
     }
 
-    /// The list as readers see it.
+    /// Returns the list as it was `lag_ms` ago; empty before the first change is that old.
     pub fn visible(&mut self) -> Fleet {
         let lag = std::time::Duration::from_millis(self.lag_ms);
         while self
--- a/crates/foxtailhold-standin/src/platform/handler.rs
+++ b/crates/foxtailhold-standin/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, as `foxtailhold_platform::http` describes it.
+//! HTTP interface of the platform stand-in, as `foxtailhold_platform::http` describes it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,16 +21,16 @@
 use crate::platform::table::MemoryTable;
 use crate::platform::weights::{DEFAULT_WEIGHTS_PER_S, WeightRate};
 
-/// Counts of what the stores were asked.
+/// Counts of the calls to table service and object store since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreCounts {
-    /// Transactions.
+    /// Transactions on tables, those that ended in a conflict included.
     pub transactions: u64,
-    /// Reads and scans of tables.
+    /// Reads of single rows and scans of tables.
     pub table_reads: u64,
-    /// Objects written.
+    /// Writes of objects.
     pub object_writes: u64,
-    /// Objects read.
+    /// Reads of objects, those of missing objects included.
     pub object_reads: u64,
 }
 
@@ -42,12 +42,12 @@
     weights: WeightRate,
     faults: PlatformFaults,
     counts: StoreCounts,
-    /// Transactions by table, those in conflict included.
+    /// Transactions by table, those that ended in a conflict included.
     transactions_by_table: BTreeMap<String, u64>,
 }
 
 impl State {
-    /// Reads the tables as they are, or as they were while reads lag.
+    /// Reads the current tables or, while `read_lag_ms` is set, their earlier state.
     fn read<T>(&self, read: impl FnOnce(&MemoryTable) -> T) -> T {
         match self.faults.read_lag_ms {
             0 => read(&self.table),
@@ -56,14 +56,15 @@
     }
 }
 
-/// The platform.
+/// A platform stand-in. Clones share the same platform.
 #[derive(Debug, Clone)]
 pub struct PlatformStandin {
     state: Arc<Mutex<State>>,
 }
 
 impl PlatformStandin {
-    /// An empty platform whose fleet list lags by `fleet_lag_ms`.
+    /// Creates a platform without data. Changes of its fleet list are visible after
+    /// `fleet_lag_ms`.
     pub fn new(fleet_lag_ms: u64) -> Self {
         let state = State {
             table: MemoryTable::default(),
@@ -79,22 +80,22 @@
         }
     }
 
-    /// Serves on `address`.
+    /// Starts an HTTP server for this platform on `address`.
     pub async fn serve(&self, address: SocketAddr) -> Result<Server> {
         Ok(Server::bind(address, self.clone()).await?)
     }
 
-    /// Changes the fleet list.
+    /// Applies a change to the fleet list.
     pub fn change_fleet(&self, change: FleetChange) {
         self.state.lock().fleet.change(change);
     }
 
-    /// Sets the fault switches.
+    /// Replaces all fault switches.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.state.lock().faults = faults;
     }
 
-    /// What the stores were asked so far.
+    /// Returns the counts of calls to the stores since the start.
     pub fn counts(&self) -> StoreCounts {
         self.state.lock().counts
     }
@@ -133,7 +134,7 @@
         answer
     }
 
-    /// Sets how many weights are handed out each second.
+    /// Sets the rate limit of the weight store.
     pub fn with_weights_per_s(self, weights_per_s: u32) -> Self {
         self.state.lock().weights = WeightRate::new(weights_per_s);
         self
@@ -147,7 +148,9 @@
         answer::ok(&state.fleet.visible())
     }
 
-    /// Runs to its end also when the client goes away: a write may land after its sender's loss.
+    /// Handles a call of table service or object store in a task of its own, so that it completes
+    /// also if the client disconnects. As with a real store, a write can then take effect after
+    /// its sender has crashed.
     async fn store_call(
         &self,
         head: request::Parts,
--- a/crates/foxtailhold-standin/src/platform/mod.rs
+++ b/crates/foxtailhold-standin/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's stand-in: table service, object store, weight store, lagging fleet list.
+//! Stand-in for the platform: table service, object store, weight store, and a fleet list whose
+//! changes are visible after a delay.
 
 pub mod faults;
 pub mod fleet;
--- a/crates/foxtailhold-standin/src/platform/table.rs
+++ b/crates/foxtailhold-standin/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! A table service in memory with conditional multi-row transactions.
+//! An in-memory table service with conditional multi-row transactions.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,18 @@
 use foxtailhold_platform::{Expect, KeyedRow, Operation, Row, Transacted};
 use tokio::time::Instant;
 
-/// How far back reads can lag.
+/// Retention of replaced rows, and so the maximum lag of reads.
 const HISTORY_RETENTION: Duration = Duration::from_secs(30);
 
-/// All tables. Versions rise by one with each write of a row and start at 1.
+/// All tables. The version of a row starts at 1 and rises by one with each write; it starts again
+/// after the row was deleted.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryTable {
     rows: BTreeMap<(String, String), Row>,
     history: VecDeque<PreviousRow>,
 }
 
-/// A row before a write.
+/// The state of a row before a write; `None` if the row was absent.
 #[derive(Debug, Clone)]
 struct PreviousRow {
     at: Instant,
@@ -36,12 +37,13 @@
 }
 
 impl MemoryTable {
-    /// Reads one row.
+    /// Returns a row; `None` if it is absent.
     pub fn get(&self, table: &str, key: &str) -> Option<Row> {
         self.rows.get(&(table.to_owned(), key.to_owned())).cloned()
     }
 
-    /// Reads rows in key order.
+    /// Returns at most `limit` rows in key order whose keys start with `prefix` and follow `after`.
+    /// An empty `after` starts at the first row.
     pub fn scan(&self, table: &str, prefix: &str, after: &str, limit: usize) -> Vec<KeyedRow> {
         let mut found = Vec::new();
         let from = (table.to_owned(), prefix.max(after).to_owned());
@@ -63,7 +65,7 @@
         found
     }
 
-    /// The tables as they were `lag_ms` ago.
+    /// Returns a copy of the tables as they were `lag_ms` ago.
     pub fn as_of(&self, lag_ms: u64) -> MemoryTable {
         let lag = Duration::from_millis(lag_ms);
         let mut rows = self.rows.clone();
@@ -97,7 +99,8 @@
         });
     }
 
-    /// Applies all operations or none.
+    /// Applies all operations, or none if an expectation fails. The conflict names the first
+    /// operation that failed.
     pub fn transact(&mut self, operations: Vec<Operation>) -> Transacted {
         for (index, operation) in operations.iter().enumerate() {
             let current = self.get(&operation.table, &operation.key);
--- a/crates/foxtailhold-standin/src/platform/weights.rs
+++ b/crates/foxtailhold-standin/src/platform/weights.rs
@@ -1,13 +1,13 @@
-//! The weight store: hands out at most so many weights a second.
+//! Rate limit of the weight store.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Default rate.
+/// Default rate limit of the weight store.
 pub const DEFAULT_WEIGHTS_PER_S: u32 = 4;
 
-/// A token bucket that holds one second's worth.
+/// A token bucket whose capacity is the rate of one second.
 #[derive(Debug)]
 pub struct WeightRate {
     weights_per_s: u32,
@@ -16,7 +16,7 @@
 }
 
 impl WeightRate {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(weights_per_s: u32) -> Self {
         WeightRate {
             weights_per_s,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes one; where none is left, says when to come back.
+    /// Takes a token. Without one, returns the time until the next.
     pub fn try_take(&mut self) -> Result<(), Duration> {
         let rate = f64::from(self.weights_per_s);
         let filled = self.filled_at.elapsed().as_secs_f64() * rate;
--- a/crates/foxtailhold-standin/src/registry.rs
+++ b/crates/foxtailhold-standin/src/registry.rs
@@ -1,4 +1,4 @@
-//! Adds processes to the fleet list of the platform's stand-in.
+//! Adds processes to the fleet list of the platform stand-in.
 
 use std::net::SocketAddr;
 
@@ -12,15 +12,15 @@
 use crate::error::{Result, StandinError};
 use crate::platform::fleet::FleetChange;
 
-/// Reads an address of the command line.
+/// Parses an address given on the command line.
 pub fn address(text: &str) -> Result<SocketAddr> {
     text.parse().map_err(|_| StandinError::Check {
         step: "command line",
-        detail: format!("{text:?} is not an IP address and a port"),
+        detail: format!("{text:?} is not an IP address with a port"),
     })
 }
 
-/// Changes the fleet list of the platform's stand-in.
+/// Applies a change to the fleet list of the platform stand-in at `platform`.
 pub async fn change_fleet(platform: SocketAddr, change: &FleetChange) -> Result<()> {
     let path = "/standin/fleet";
     let call = Call::new(Method::POST, platform, path);
@@ -37,7 +37,7 @@
     })
 }
 
-/// A live entry of the fleet list.
+/// Builds a fleet list entry of a live backend server that serves one target.
 pub fn backend(
     id: &str,
     kind: BackendKind,
@@ -55,7 +55,7 @@
     })
 }
 
-/// Adds a backend server to the fleet list.
+/// Adds a backend server to the fleet list of the platform stand-in at `platform`.
 pub async fn register(platform: &str, backend: Backend) -> Result<()> {
     let change = FleetChange {
         backends: vec![backend],
@@ -64,7 +64,7 @@
     change_fleet(address(platform)?, &change).await
 }
 
-/// Adds an instance to the fleet list.
+/// Runs the `add-instance` command, which adds a live instance to the fleet list.
 pub async fn add_instance(command: AddInstanceCommand) -> Result<()> {
     let instance = FleetInstance {
         id: InstanceId::try_from(command.id.as_str())?,
--- a/crates/foxtailhold-standin/src/service/mod.rs
+++ b/crates/foxtailhold-standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in: it counts what it ran and echoes the call.
+//! Stand-in for a plain service: it records every call and returns it with its number.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,26 +15,26 @@
 use crate::answer::{self, Answer};
 use crate::error::Result;
 
-/// Which faults are on. `POST /standin/faults` sets all of them at once.
+/// The faults that are switched on. `POST /standin/faults` sets all of them at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Calls take this much longer.
+    /// Delay added to each call.
     pub delay_ms: u64,
-    /// Calls run and fail with status 500.
+    /// Calls are executed and answered with status 500.
     pub fail: bool,
-    /// The load report says that the service is leaving.
+    /// The load report marks the service as leaving.
     pub leaving: bool,
 }
 
-/// One call in the record.
+/// A call in the record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCall {
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Path and query as received.
     pub path: String,
-    /// Body.
+    /// Body; bytes that are no UTF-8 are replaced.
     pub body: String,
 }
 
@@ -45,24 +45,24 @@
     running: u32,
 }
 
-/// A plain service.
+/// A stand-in for a plain service. Clones share the same service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceStandin {
     state: Arc<Mutex<State>>,
 }
 
 impl ServiceStandin {
-    /// Serves on `address`.
+    /// Starts an HTTP server for this service on `address`.
     pub async fn serve(&self, address: SocketAddr) -> Result<Server> {
         Ok(Server::bind(address, self.clone()).await?)
     }
 
-    /// Sets the fault switches.
+    /// Replaces all fault switches.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.state.lock().faults = faults;
     }
 
-    /// What was run.
+    /// Returns the record of all calls, in order of arrival.
     pub fn record(&self) -> Vec<ServiceCall> {
         self.state.lock().record.clone()
     }
