--- a/crates/foxtailhold-standin/src/answer.rs
+++ b/crates/foxtailhold-standin/src/answer.rs
@@ -1,4 +1,4 @@
-//! Small pieces shared by the stand-ins' handlers.
+//! Helpers shared by the HTTP handlers of the stand-ins.
 
 use bytes::Bytes;
 use foxtailhold_http::body::{self, AnswerBody};
@@ -7,18 +7,18 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest body a stand-in takes.
+/// Maximum size of a request body; larger ones are refused with status 400.
 pub const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// An answer of a stand-in.
+/// HTTP response of a stand-in.
 pub type Answer = Response<AnswerBody>;
 
-/// An answer with status 200.
+/// Returns a JSON answer with status 200.
 pub fn ok<T: Serialize>(value: &T) -> Answer {
     body::json(StatusCode::OK, value)
 }
 
-/// An answer with an error status and a plain sentence.
+/// Returns a JSON error object with a status and a message.
 pub fn error(status: StatusCode, message: &str) -> Answer {
     body::json(
         status,
@@ -26,25 +26,25 @@
     )
 }
 
-/// Reads a body.
+/// Reads a whole request body. The error is an answer with status 400.
 pub async fn read(incoming: Incoming) -> std::result::Result<Bytes, Answer> {
     body::read_whole(incoming, MAX_BODY_BYTES)
         .await
         .map_err(|failed| error(StatusCode::BAD_REQUEST, &failed.to_string()))
 }
 
-/// Reads a JSON body.
+/// Reads and parses a JSON request body. The error is an answer with status 400.
 pub async fn read_json<T: DeserializeOwned>(incoming: Incoming) -> std::result::Result<T, Answer> {
     from_json(&read(incoming).await?)
 }
 
-/// Parses a JSON body.
+/// Parses a JSON request body. The error is an answer with status 400.
 pub fn from_json<T: DeserializeOwned>(bytes: &[u8]) -> std::result::Result<T, Answer> {
     serde_json::from_slice(bytes)
         .map_err(|failed| error(StatusCode::BAD_REQUEST, &failed.to_string()))
 }
 
-/// A query value with `%XX` decoded; empty where it is not given.
+/// Returns a query value with `%XX` decoded; empty if the query does not contain `name`.
 pub fn query(uri: &Uri, name: &str) -> String {
     for pair in uri.query().unwrap_or_default().split('&') {
         let Some((key, value)) = pair.split_once('=') else {
--- a/crates/foxtailhold-standin/src/cli.rs
+++ b/crates/foxtailhold-standin/src/cli.rs
@@ -1,4 +1,4 @@
-//! The raw command line of `foxtailhold-standin`.
+//! Command line options of `foxtailhold-standin`.
 
 use argh::FromArgs;
 
@@ -10,25 +10,25 @@
     pub command: Command,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// The platform.
+    /// Runs a platform stand-in.
     Platform(PlatformCommand),
-    /// A model engine.
+    /// Runs an engine stand-in.
     Engine(EngineCommand),
-    /// A plain service.
+    /// Runs a stand-in for a plain service.
     Service(ServiceCommand),
     /// Adds an instance to the platform's fleet list.
     AddInstance(AddInstanceCommand),
-    /// Runs the main job with everything embedded.
+    /// Runs the demo with an embedded deployment.
     Demo(DemoCommand),
-    /// Sends a day's load through separate processes.
+    /// Measures online and batch load through separate processes.
     Load(LoadCommand),
-    /// Measures the speed of one instance.
+    /// Measures latency, throughput and memory of one instance.
     Bench(BenchCommand),
-    /// Measures what the roles cost against the size of the deployment.
+    /// Measures the idle cost of instances by the size of the deployment.
     Slopes(SlopesCommand),
 }
 
--- a/crates/foxtailhold-standin/src/cluster.rs
+++ b/crates/foxtailhold-standin/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole small deployment embedded in one process.
+//! A small deployment embedded in one process: platform, engines, services and instances.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -16,29 +16,29 @@
 use crate::registry::backend;
 use crate::service::ServiceStandin;
 
-/// Operator token of the embedded instances.
+/// Operator token that the embedded instances accept.
 pub const TOKEN: &str = "embedded-operator-token";
-/// Availability zones of the embedded deployment.
+/// Availability zones of the embedded deployment, assigned in turn.
 pub const ZONES: [&str; 3] = ["concord-hall", "nashua-hall", "keene-hall"];
-/// Model of the embedded engines.
+/// Model that the embedded engines serve.
 pub const MODEL: &str = "ranger";
 /// Name of the embedded plain service.
 pub const SERVICE: &str = "portal";
 
-/// How large the deployment is.
+/// Size and timing of an embedded deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct ClusterShape {
-    /// Entry instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub services: usize,
-    /// Lag of the fleet list.
+    /// Delay until changes of the fleet list are visible.
     pub fleet_lag_ms: u64,
-    /// How long callers may keep the list of addresses.
+    /// Time for which callers may cache the list of instance addresses.
     pub keep_for_ms: u64,
-    /// Shape of every engine.
+    /// Size and speed of each engine.
     pub engine: EngineShape,
 }
 
@@ -55,26 +55,26 @@
     }
 }
 
-/// The running deployment.
+/// A running embedded deployment.
 #[derive(Debug)]
 pub struct Cluster {
-    /// The platform.
+    /// Handle of the platform stand-in.
     pub platform: PlatformStandin,
-    /// The engines.
+    /// Handles of the engine stand-ins.
     pub engines: Vec<EngineStandin>,
-    /// The replicas of the plain service.
+    /// Handles of the stand-ins for the plain service.
     pub services: Vec<ServiceStandin>,
-    /// The instances; one that was stopped leaves `None`.
+    /// The instances; `None` in place of one that was stopped.
     pub instances: Vec<Option<Instance<HttpPlatform>>>,
     servers: Vec<Server>,
 }
 
-/// A loopback address with a port chosen by the system.
+/// Returns a loopback address with port 0, for which the system chooses a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Settings of an embedded instance.
+/// Returns the settings of the embedded instance with this index.
 pub fn settings(index: usize, platform: SocketAddr, keep_for_ms: u64) -> Result<Settings> {
     Ok(Settings {
         instance: format!("entry-{index}").as_str().try_into()?,
@@ -97,7 +97,7 @@
 }
 
 impl Cluster {
-    /// Starts everything.
+    /// Starts the platform, then engines, services and instances, and adds each to the fleet list.
     pub async fn start(shape: ClusterShape) -> Result<Self> {
         let platform = PlatformStandin::new(shape.fleet_lag_ms);
         let server = platform.serve(any_port()).await?;
@@ -122,12 +122,12 @@
         Ok(cluster)
     }
 
-    /// The instance at `index`, if it runs.
+    /// Returns the instance at `index`; `None` if it was stopped.
     pub fn instance(&self, index: usize) -> Option<&Instance<HttpPlatform>> {
         self.instances.get(index).and_then(Option::as_ref)
     }
 
-    /// Stops the engines, services and the platform, and the instances that still run.
+    /// Stops the instances that still run, then the platform, engines and services.
     pub async fn close(mut self) -> Result<()> {
         for instance in self.instances.drain(..).flatten() {
             instance.close().await?;
--- a/crates/foxtailhold-standin/src/command.rs
+++ b/crates/foxtailhold-standin/src/command.rs
@@ -1,4 +1,4 @@
-//! What `foxtailhold-standin` does.
+//! Implementation of the commands of `foxtailhold-standin`.
 
 use std::net::SocketAddr;
 
@@ -18,10 +18,10 @@
 use crate::service::ServiceStandin;
 use crate::slopes;
 
-/// Exit status of an engine that a request has crashed.
+/// Exit status of an engine stand-in that a request has crashed.
 pub const CRASH_STATUS: i32 = 70;
 
-/// Runs a command.
+/// Runs the command that the command line selects.
 pub async fn run(cli: Cli) -> Result<()> {
     match cli.command {
         Command::Platform(command) => platform(command).await,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Tells whoever started the process where it listens.
+/// Prints the listening address, which the starting process reads from standard output.
 fn announce(address: SocketAddr) {
     println!("{}", serde_json::json!({ "listening": address }));
 }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Tells the fleet list and whoever started the process, and waits for SIGTERM.
+/// Adds the engine to the fleet list, prints its address and waits for SIGTERM.
 async fn serve_engine(command: &EngineCommand, server: &Server) -> Result<()> {
     let (id, zone) = (&command.id, &command.availability_zone);
     let kind = BackendKind::Engine;
--- a/crates/foxtailhold-standin/src/demo.rs
+++ b/crates/foxtailhold-standin/src/demo.rs
@@ -1,5 +1,6 @@
-//! The main job with everything embedded: three instances, engines, a chat, a batch, a contract
-//! change, a planned stop. Prints a short report; any fault is an error.
+//! The demo command: an embedded deployment of three instances with engines and a plain service
+//! serves chats and a batch job, changes a contract and stops an instance. Prints a short report; a
+//! step with an unexpected result is an error.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,12 +17,12 @@
 use crate::cluster::{Cluster, ClusterShape, MODEL, SERVICE, TOKEN};
 use crate::error::{Result, StandinError};
 
-/// API key of the demo's customer.
+/// API key of the customer in the demo and the measuring commands.
 pub const API_KEY: &str = "granite-trail-demo-key";
-/// Limit for anything that has to happen by itself.
+/// Maximum wait for a step that completes in the background.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The contract of the demo's customer.
+/// Returns the contract document of the demo's customer.
 pub fn contract(requests_per_s: u32) -> String {
     format!(
         "customer = \"granite-trail\"\napi_keys = [\"{API_KEY}\"]\n\
@@ -38,7 +39,7 @@
     Err(StandinError::Check { step, detail })
 }
 
-/// A caller of one instance.
+/// An HTTP client that authenticates as the demo's customer.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: HttpClient,
@@ -53,7 +54,8 @@
 }
 
 impl Caller {
-    /// Sends a request and reads the whole answer; any other status than 200 is an error.
+    /// Sends a request and reads the whole answer. A status outside 200 to 299 is an error that
+    /// carries the first 300 bytes of the body.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -77,7 +79,7 @@
         })
     }
 
-    /// The same with JSON on both sides.
+    /// Sends a JSON body, or none for `null`, and parses the answer as JSON.
     pub async fn json(
         &self,
         address: SocketAddr,
@@ -99,7 +101,7 @@
         })
     }
 
-    /// Uploads a batch input file and returns its identifier.
+    /// Uploads a batch input file and returns its identifier; empty if the answer names none.
     pub async fn upload(&self, address: SocketAddr, content: &str) -> Result<String> {
         let boundary = "foxtailhold-form-boundary";
         let form = format!(
@@ -120,7 +122,7 @@
     }
 }
 
-/// A chat request.
+/// Returns the body of a chat request for at most `tokens` tokens.
 pub fn chat(question: &str, tokens: u64, stream: bool) -> Value {
     json!({
         "model": MODEL,
@@ -130,7 +132,7 @@
     })
 }
 
-/// The lines of a batch input file.
+/// Returns a batch input file with `items` lines.
 pub fn batch_input(items: usize) -> String {
     let mut text = String::new();
     for index in 0..items {
@@ -146,7 +148,7 @@
     text
 }
 
-/// Waits until `done` holds.
+/// Waits until `done` returns `true`, and returns the time that took in ms.
 async fn wait_until<F: AsyncFnMut() -> Result<bool>>(
     step: &'static str,
     mut done: F,
@@ -407,7 +409,7 @@
     }
 }
 
-/// Starts logging where `RUST_LOG` asks for it.
+/// Enables logging to standard error if `RUST_LOG` is set.
 fn init_logging() -> Result<()> {
     if std::env::var_os("RUST_LOG").is_some() {
         logging::init(&InstanceId::try_from("demo")?, logging::Output::Stderr)?;
@@ -415,12 +417,12 @@
     Ok(())
 }
 
-/// Prints one line of the report.
+/// Prints a line of the report on standard output.
 fn report(step: &str, text: impl fmt::Display) {
     println!("ok  {step:<9} {text}");
 }
 
-/// Runs the main job and prints its report.
+/// Runs the demo with a batch job of `items` items and prints its report.
 pub async fn run(items: usize) -> Result<()> {
     init_logging()?;
     let start = Instant::now();
--- a/crates/foxtailhold-standin/src/deployment.rs
+++ b/crates/foxtailhold-standin/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of separate processes on loopback, for the measuring commands.
+//! A deployment of separate processes on the loopback interface, for the measuring commands.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,48 +17,48 @@
 use crate::process::{Process, Program};
 use crate::registry;
 
-/// Operator token of the instances.
+/// Operator token that the started instances accept.
 pub const TOKEN: &str = "measuring-operator-token";
-/// Limit for the deployment to settle.
+/// Maximum wait until all instances know each other and all backend servers.
 const SETTLE_TIMEOUT_MS: u64 = 60_000;
-/// Limit for a stand-in's answer.
+/// Timeout of a read from a stand-in.
 const STANDIN_TIMEOUT_MS: u64 = 500;
 
-/// How large a deployment is and how its processes are started.
+/// Size of a deployment and options of its processes.
 #[derive(Debug, Clone)]
 pub struct DeploymentShape {
-    /// Entry instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub services: usize,
-    /// Availability zones.
+    /// Availability zones, assigned to the processes of each kind in turn.
     pub zones: [&'static str; 3],
-    /// More arguments of each engine.
+    /// Additional command line arguments of each engine.
     pub engine_arguments: Vec<String>,
-    /// Environment variables of each instance.
+    /// Additional environment variables of each instance, as name and value.
     pub entry_variables: Vec<(String, String)>,
 }
 
-/// The running processes.
+/// A running deployment. Its processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Deployment {
     shape: DeploymentShape,
     client: HttpClient,
-    /// The platform.
+    /// Process of the platform stand-in.
     pub platform: Process,
-    /// The engines.
+    /// Processes of the engine stand-ins.
     pub engines: Vec<Process>,
-    /// The replicas of the plain service.
+    /// Processes of the stand-ins for the plain service.
     pub services: Vec<Process>,
-    /// The instances.
+    /// Processes of the instances.
     pub instances: Vec<Process>,
     instances_started: usize,
 }
 
 impl Deployment {
-    /// Starts everything and waits until all instances know all.
+    /// Starts all processes and waits until each instance knows all others and all backend servers.
     pub async fn start(shape: DeploymentShape) -> Result<Self> {
         let arguments = ["platform", "--fleet-lag-ms", "500"];
         let mut deployment = Deployment {
@@ -83,12 +83,12 @@
         Ok(deployment)
     }
 
-    /// Its availability zones.
+    /// Returns the availability zones of the deployment.
     pub fn zones(&self) -> [&'static str; 3] {
         self.shape.zones
     }
 
-    /// Where the platform listens.
+    /// Returns the address of the platform stand-in.
     pub fn platform_address(&self) -> Result<SocketAddr> {
         self.platform.address("listening")
     }
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Starts one more instance and tells the fleet list.
+    /// Starts another instance and adds it to the fleet list.
     pub async fn add_instance(&mut self) -> Result<()> {
         let index = self.instances_started;
         self.instances_started += 1;
@@ -140,13 +140,13 @@
         Ok(())
     }
 
-    /// A client of an instance's operator API.
+    /// Returns a client of the operator API of the instance at `index`.
     pub fn operator(&self, index: usize) -> Result<OperatorClient> {
         let address = self.instances[index].address("operator_address")?;
         Ok(OperatorClient::new(address, TOKEN))
     }
 
-    /// Where callers reach the instances that run.
+    /// Returns the caller addresses of the instances that are not stopped by a signal.
     pub fn caller_addresses(&self) -> Result<Vec<SocketAddr>> {
         let mut addresses = Vec::new();
         for instance in &self.instances {
@@ -157,7 +157,8 @@
         Ok(addresses)
     }
 
-    /// Waits until every instance knows all others and all backend servers.
+    /// Waits until each instance knows all others and all backend servers. It is an error if that
+    /// takes longer than 60 s.
     pub async fn settle(&self) -> Result<()> {
         let start = Instant::now();
         while start.elapsed() < Duration::from_millis(SETTLE_TIMEOUT_MS) {
@@ -168,7 +169,7 @@
         }
         Err(StandinError::Check {
             step: "settle",
-            detail: "the instances do not know all others and all backend servers".into(),
+            detail: "not every instance knows all others and all backend servers after 60 s".into(),
         })
     }
 
@@ -208,7 +209,7 @@
         Ok(())
     }
 
-    /// Sets the platform's fault switches.
+    /// Replaces all fault switches of the platform stand-in.
     pub async fn set_platform_faults(&self, faults: &PlatformFaults) -> Result<()> {
         let address = self.platform_address()?;
         let call = Call::new(Method::POST, address, "/standin/faults");
@@ -216,7 +217,7 @@
         Ok(())
     }
 
-    /// Reads JSON from a stand-in.
+    /// Reads a JSON value from a stand-in.
     pub async fn read<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Result<T> {
         let mut call = Call::new(Method::GET, address, path);
         call.timeout_ms = STANDIN_TIMEOUT_MS;
@@ -229,7 +230,7 @@
         })
     }
 
-    /// The counters of each engine; `None` for one that does not answer.
+    /// Returns the counters of each engine; `None` for one that does not answer in time.
     pub async fn counters(&self) -> Result<Vec<Option<EngineCounters>>> {
         let mut counters = Vec::new();
         for engine in &self.engines {
@@ -240,14 +241,14 @@
         Ok(counters)
     }
 
-    /// All backend servers and instances of an availability zone.
+    /// Returns the processes of all backend servers and instances in an availability zone.
     pub fn in_zone(&mut self, zone: &str) -> impl Iterator<Item = &mut Process> {
         let backends = self.engines.iter_mut().chain(&mut self.services);
         let all = backends.chain(&mut self.instances);
         all.filter(move |process| process.availability_zone == zone)
     }
 
-    /// Lets every process go on that is stopped by a signal.
+    /// Sends SIGCONT to each process that was stopped by a signal.
     pub fn resume_all(&mut self) -> Result<()> {
         let backends = self.engines.iter_mut().chain(&mut self.services);
         for process in backends.chain(&mut self.instances) {
@@ -258,7 +259,7 @@
         Ok(())
     }
 
-    /// Ends all processes.
+    /// Kills all processes.
     pub fn close(self) {
         drop(self);
     }
--- a/crates/foxtailhold-standin/src/error.rs
+++ b/crates/foxtailhold-standin/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the stand-ins.
+//! Errors of the stand-ins and of the commands that use them.
 
 use std::net::SocketAddr;
 
@@ -15,50 +15,50 @@
 /// Result of a stand-in's command.
 pub type Result<T> = std::result::Result<T, StandinError>;
 
-/// Why a command failed.
+/// Error of a stand-in or a command.
 #[derive(Debug, Error, Diagnostic)]
 pub enum StandinError {
-    /// A listener failed.
+    /// An HTTP server could not be started.
     #[error(transparent)]
     Server(#[from] ServerError),
-    /// An instance failed.
+    /// An embedded instance could not be started or stopped.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Entry(#[from] EntryError),
-    /// A call failed.
+    /// An HTTP call got no response.
     #[error(transparent)]
     Send(#[from] SendError),
-    /// A call was answered with an unexpected status.
+    /// A call was answered with an unexpected status or body.
     #[error("{address}{path} answered with status {status}: {body}")]
     Status {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// The path.
+        /// Path of the call.
         path: String,
-        /// The status.
+        /// Status of the response.
         status: u16,
-        /// The start of the body.
+        /// Start of the body, or why it could not be parsed.
         body: String,
     },
-    /// An identifier is wrong.
+    /// An identifier has an invalid format.
     #[error(transparent)]
     Id(#[from] IdError),
-    /// A step of the main job gave another result than it must.
+    /// A step of a command had an unexpected result.
     #[error("{step}: {detail}")]
-    #[diagnostic(help("this is a fault of the system; the log above says more at RUST_LOG=debug"))]
+    #[diagnostic(help("set RUST_LOG=debug for a log of what the processes did before this step"))]
     Check {
-        /// The step.
+        /// Name of the step.
         step: &'static str,
-        /// What was found.
+        /// The unexpected result.
         detail: String,
     },
-    /// The system refused something.
-    #[error("the system refused: {0}")]
+    /// A system call failed, such as starting a process or reading a file.
+    #[error("system call failed: {0}")]
     System(#[from] std::io::Error),
-    /// A plot cannot be drawn.
-    #[error("a plot cannot be drawn: {0}")]
+    /// A plot could not be drawn or written.
+    #[error("the plot could not be drawn: {0}")]
     Plot(#[from] DrawingAreaErrorKind<std::io::Error>),
-    /// The options of the load command are wrong.
+    /// The options of the load command are invalid.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
 }
--- a/crates/foxtailhold-standin/src/lib.rs
+++ b/crates/foxtailhold-standin/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for the platform, engines and services, and the commands that use them.
+//! Stand-ins for the platform, engines and plain services, and the commands that use them: the
+//! demo, the load command and the benchmarks.
 //!
-//! They are small, ship with nothing, and can run as processes or embedded in a test.
+//! The stand-ins run as processes or embedded in a test. They are not part of a release.
 #![warn(clippy::unwrap_used)]
 
 pub mod answer;
--- a/crates/foxtailhold-standin/src/main.rs
+++ b/crates/foxtailhold-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' command line.
+//! Entry point of `foxtailhold-standin`.
 
 use std::process::ExitCode;
 
--- a/crates/foxtailhold-standin/src/process.rs
+++ b/crates/foxtailhold-standin/src/process.rs
@@ -1,4 +1,5 @@
-//! Child processes of the measuring commands. Only stand-ins start processes; the product does not.
+//! Child processes of the measuring commands. Only this crate starts processes; foxtailhold itself
+//! does not.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,17 +13,17 @@
 
 use crate::error::{Result, StandinError};
 
-/// Limit for a process to print its first line.
+/// Maximum wait for the first line of a started process.
 const START_TIMEOUT_MS: u64 = 30_000;
-/// Ticks of processor time in a second, as `/proc/<pid>/stat` counts them on Linux.
+/// Clock ticks per second in `/proc/<pid>/stat` on Linux.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Which program of this workspace.
+/// A program of this Cargo workspace that can be started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Program {
-    /// The entry instance.
+    /// `foxtailhold-entry`, an instance.
     Entry,
-    /// The stand-ins.
+    /// `foxtailhold-standin`, a stand-in for the platform, an engine or a service.
     Standin,
 }
 
@@ -34,7 +35,8 @@
         }
     }
 
-    /// The program beside the one that runs.
+    /// Returns the path of the program in the directory of the running program. It is an error if
+    /// the file does not exist.
     pub fn path(self) -> Result<PathBuf> {
         let path = std::env::current_exe()?.with_file_name(self.name());
         if path.exists() {
@@ -42,21 +44,24 @@
         }
         Err(StandinError::Check {
             step: "start a process",
-            detail: format!("{} is not built beside this program", self.name()),
+            detail: format!(
+                "{} does not exist in the directory of this program",
+                self.name()
+            ),
         })
     }
 }
 
-/// What the system counts of a process.
+/// Resource usage of a process, as the kernel counts it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProcessUsage {
-    /// Processor time, user and system.
+    /// CPU time since the start, user and system.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory at the time of the reading.
     pub rss_bytes: u64,
 }
 
-/// Resident memory of a process, from `/proc/<pid>/status`.
+/// Returns the resident memory of a process, from `/proc/<pid>/status`.
 pub fn resident_bytes(id: u32) -> Result<u64> {
     let path = PathBuf::from("/proc").join(id.to_string()).join("status");
     let status = std::fs::read_to_string(path)?;
@@ -69,16 +74,16 @@
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// What it printed when it was ready.
+    /// JSON line that the process printed when it was ready; it holds the addresses.
     pub ready: Value,
-    /// Its availability zone.
+    /// Availability zone of the process, set by the caller; empty for the platform.
     pub availability_zone: String,
-    /// Whether it is stopped by a signal or killed.
+    /// Whether the last signal sent was SIGSTOP or SIGKILL.
     pub unresponsive: bool,
 }
 
 impl Process {
-    /// Starts a program and waits for its first line.
+    /// Starts a program and waits for its first line, which must be JSON.
     pub async fn start(
         program: Program,
         arguments: &[&str],
@@ -116,19 +121,19 @@
         Ok(process)
     }
 
-    /// Its identifier at the system.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&mut self, signal: Signal) -> Result<()> {
         kill(Pid::from_raw(self.child.id() as i32), signal).map_err(std::io::Error::from)?;
         self.unresponsive = matches!(signal, Signal::SIGSTOP | Signal::SIGKILL);
         Ok(())
     }
 
-    /// An address that it printed.
+    /// Returns an address from the process's first line.
     pub fn address(&self, field: &str) -> Result<SocketAddr> {
         let text = self.ready[field].as_str().unwrap_or_default();
         text.parse().map_err(|_| StandinError::Check {
@@ -137,7 +142,7 @@
         })
     }
 
-    /// What the system counts of it.
+    /// Returns the resource usage of the process.
     pub fn usage(&self) -> Result<ProcessUsage> {
         let directory = PathBuf::from("/proc").join(self.child.id().to_string());
         let stat = std::fs::read_to_string(directory.join("stat"))?;
