--- a/crates/foxtailhold-standin/examples/contract_force.rs
+++ b/crates/foxtailhold-standin/examples/contract_force.rs
@@ -1,6 +1,7 @@
-//! Prints how long a contract change takes to be in force on all instances, by the push between
-//! peers, by gossip and poll, and by the poll alone: `cargo run --release -p foxtailhold-standin
-//! --example contract_force [instances] [changes]`.
+//! Measures the time until a contract change is in force on all instances, when it is propagated by
+//! the push between peers, by gossip and polling, and by polling alone.
+//!
+//! `cargo run --release -p foxtailhold-standin --example contract_force [instances] [changes]`
 
 use std::time::{Duration, Instant};
 
@@ -15,12 +16,12 @@
 use foxtailhold_standin::error::Result;
 use foxtailhold_standin::platform::PlatformStandin;
 
-/// Longest wait for one change.
+/// Maximum wait for one change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Wait in which the store's background is counted.
+/// Wait before the measurement, and time in which the background calls to the store are counted.
 const IDLE_PERIOD: Duration = Duration::from_secs(8);
 
-/// How a change is made known.
+/// How a change reaches the other instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Propagation {
     Push,
--- a/crates/foxtailhold-standin/examples/overload.rs
+++ b/crates/foxtailhold-standin/examples/overload.rs
@@ -1,4 +1,5 @@
-//! Goodput of a small embedded deployment below, at and above what its engines can serve.
+//! Measures the goodput of a small embedded deployment below, at and above the capacity of its
+//! engines.
 //!
 //! `cargo run --release -p foxtailhold-standin --example overload`
 
@@ -15,16 +16,18 @@
 use miette::{IntoDiagnostic, Result};
 use tokio::task::JoinSet;
 
-/// Length of one phase.
+/// Duration of a phase.
 const PHASE_S: u64 = 8;
-/// Tokens of each answer.
+/// Tokens of the answer to each request.
 const TOKENS: u64 = 16;
-/// An answer counts when it has come within this time.
+/// Maximum time of an answer that counts as served.
 const RESPONSE_LIMIT_MS: u128 = 3_000;
-/// Arrivals a second, in order: the last phase shows the recovery.
+/// Rates of arrivals, one for each phase in order. The last phase shows the recovery from
+/// overload.
 const RATES_PER_S: [u64; 7] = [100, 140, 180, 220, 280, 360, 140];
 
-/// Sends one request and says whether its whole answer came in time.
+/// Sends a request. Returns whether the whole answer was received in time, and how long it took in
+/// ms.
 async fn is_served(client: HttpClient, address: SocketAddr, number: u64) -> (bool, u128) {
     let start = Instant::now();
     let body = Bytes::from(chat(&format!("question {number}"), TOKENS, false).to_string());
--- a/crates/foxtailhold-standin/src/bench/client.rs
+++ b/crates/foxtailhold-standin/src/bench/client.rs
@@ -1,4 +1,4 @@
-//! The client side of the bench.
+//! HTTP client of the bench command.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use crate::demo::{API_KEY, chat};
 use crate::error::{Result, StandinError};
 
-/// Limit for the head of an answer.
+/// Maximum wait for the response head.
 const TIMEOUT_MS: u64 = 60_000;
 
-/// A client with one pool of connections that sends the same request again and again.
+/// A client that sends the same chat request repeatedly. Clones share a connection pool.
 #[derive(Debug, Clone)]
 pub struct BenchClient {
     http: HttpClient,
@@ -23,7 +23,8 @@
 }
 
 impl BenchClient {
-    /// A client of the instance or engine at `address`.
+    /// Creates a client of the instance or engine at `address`, whose requests ask for `tokens`
+    /// tokens.
     pub fn new(address: SocketAddr, tokens: u64, streamed: bool) -> Self {
         let question = "which badges need a campout, and which of them are left for troop 7?";
         BenchClient {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Sends one request and waits for the head of its answer.
+    /// Sends a request and waits for the response head. A status outside 200 to 299 is an error.
     pub async fn open(&self) -> Result<Response<Incoming>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = Method::POST;
@@ -56,7 +57,7 @@
         })
     }
 
-    /// Sends one request and reads its whole answer. Returns the answer's bytes.
+    /// Sends a request and reads the whole answer. Returns the length of its body in bytes.
     pub async fn exchange(&self) -> Result<usize> {
         let response = self.open().await?;
         let body = response.into_body().collect().await;
--- a/crates/foxtailhold-standin/src/bench/latency.rs
+++ b/crates/foxtailhold-standin/src/bench/latency.rs
@@ -1,4 +1,4 @@
-//! The time that an instance adds to an unstreamed request.
+//! Latency that an instance adds to an unstreamed request.
 
 use std::time::Instant;
 
@@ -9,9 +9,9 @@
 use crate::error::Result;
 use crate::load::report::median;
 
-/// Requests before the first one that counts.
+/// Pairs of requests that are sent before the measurement starts.
 const WARM_UP_REQUESTS: usize = 500;
-/// Longest time that a histogram holds.
+/// Upper bound of the histograms; longer times are recorded as this value.
 const MAX_NS: u64 = 60_000_000_000;
 
 fn histogram() -> Histogram<u64> {
@@ -24,7 +24,8 @@
     Ok(start.elapsed().as_nanos() as u64)
 }
 
-/// Sends one request at a time, in turn straight to the engine and through the instance.
+/// Sends one request at a time, alternately to the engine directly and through the instance, and
+/// prints the quantiles and the median difference.
 pub async fn run(command: &BenchCommand) -> Result<()> {
     let deployment = bench::start(0, &["--step-us", "0"]).await?;
     let engine = BenchClient::new(deployment.engines[0].address("listening")?, 3, false);
--- a/crates/foxtailhold-standin/src/bench/memory.rs
+++ b/crates/foxtailhold-standin/src/bench/memory.rs
@@ -6,7 +6,7 @@
 use crate::cli::BenchCommand;
 use crate::error::{Result, StandinError};
 
-/// Engine that gives a token to each stream about twice a second.
+/// Arguments of an engine that sends two tokens per second to each stream.
 const ENGINE: [&str; 8] = [
     "--step-us",
     "500000",
@@ -17,12 +17,13 @@
     "--max-waiting",
     "20000",
 ];
-/// Requests opened at a time.
+/// Number of streams that are opened concurrently.
 const OPENED_AT_ONCE: usize = 100;
-/// Time for tokens to pass after the last stream was opened.
+/// Wait after the last stream was opened, and length of the CPU measurement that follows.
 const SETTLE_MS: u64 = 3_000;
 
-/// Opens streams, holds them, and reads the instance's resident memory.
+/// Opens 1000 streams, then in a new deployment the number given, keeps them open, and prints the
+/// resident memory and the CPU use of the instance.
 pub async fn run(command: &BenchCommand) -> Result<()> {
     for stream_count in [1_000, command.streams] {
         let deployment = bench::start(0, &ENGINE).await?;
--- a/crates/foxtailhold-standin/src/bench/mod.rs
+++ b/crates/foxtailhold-standin/src/bench/mod.rs
@@ -1,4 +1,5 @@
-//! The bench command: what one instance adds, how much it carries on one core, what a stream costs.
+//! The bench command: measures the latency that one instance adds, its throughput on one core, and
+//! its memory for each open stream.
 
 pub mod client;
 pub mod latency;
@@ -11,7 +12,7 @@
 use crate::error::Result;
 use crate::load::scenario::GRANITE_TRAIL;
 
-/// Runs the parts asked for, each with processes of its own.
+/// Runs the selected parts, each with a new deployment.
 pub async fn run(command: &BenchCommand) -> Result<()> {
     let all = command.part == "all";
     for _ in 0..command.rounds {
@@ -28,7 +29,8 @@
     Ok(())
 }
 
-/// One instance with `worker_threads`, one engine.
+/// Starts one instance with `worker_threads` threads and one engine with the additional arguments
+/// `engine`, and sets a contract whose limits no benchmark reaches.
 pub(crate) async fn start(worker_threads: u64, engine: &[&str]) -> Result<Deployment> {
     let threads = worker_threads.to_string();
     let shape = DeploymentShape {
--- a/crates/foxtailhold-standin/src/bench/throughput.rs
+++ b/crates/foxtailhold-standin/src/bench/throughput.rs
@@ -1,4 +1,4 @@
-//! Requests and tokens a second through one instance on one core.
+//! Throughput of one instance on one core, in requests and tokens per second.
 
 use std::time::{Duration, Instant};
 
@@ -7,12 +7,12 @@
 use crate::deployment::Deployment;
 use crate::error::Result;
 
-/// Connections that each have one request in flight.
+/// Number of clients that each keep one request in flight.
 const CONNECTIONS: usize = 64;
 /// Tokens of a streamed answer.
 const STREAM_TOKENS: u64 = 200;
 
-/// Exchanges done by all connections within `duration`.
+/// Returns the number of requests that all clients completed within `duration`.
 async fn exchanges(client: &BenchClient, duration: Duration) -> Result<u64> {
     let end = Instant::now() + duration;
     let mut running = tokio::task::JoinSet::new();
@@ -53,7 +53,8 @@
     })
 }
 
-/// Keeps 64 requests in flight through an instance with one worker thread.
+/// Keeps 64 requests in flight, first to the engine directly, then unstreamed and streamed through
+/// an instance with one worker thread, and prints the throughput of each.
 pub async fn run(command: &BenchCommand) -> Result<()> {
     let deployment = bench::start(1, &["--step-us", "0"]).await?;
     let address = deployment.caller_addresses()?[0];
--- a/crates/foxtailhold-standin/src/load/batch.rs
+++ b/crates/foxtailhold-standin/src/load/batch.rs
@@ -1,4 +1,5 @@
-//! The batch jobs of a run: uploaded before the first phase, more than a run can finish.
+//! The batch jobs of a load measurement. They are submitted before the first phase and have more
+//! items than can be finished during the measurement.
 
 use std::net::SocketAddr;
 
@@ -10,9 +11,9 @@
 use crate::error::Result;
 use crate::load::scenario::Workload;
 
-/// Jobs, so that each instance owns some.
+/// Number of jobs; enough for each instance to own some.
 const JOBS: usize = 24;
-/// Items of each job.
+/// Number of items of each job.
 const ITEMS_PER_JOB: usize = 1_500;
 
 fn input(workload: &Workload, job: usize) -> String {
@@ -31,7 +32,7 @@
     text
 }
 
-/// Submits the jobs to the instances in turn.
+/// Submits the batch jobs, each to the next instance in `addresses`.
 pub async fn submit(workload: &Workload, addresses: &[SocketAddr]) -> Result<()> {
     let caller = Caller::default();
     for job in 0..JOBS {
--- a/crates/foxtailhold-standin/src/load/caller.rs
+++ b/crates/foxtailhold-standin/src/load/caller.rs
@@ -1,4 +1,5 @@
-//! Online callers: they ask for the addresses, keep the answer for as long as it says, and stream.
+//! Online callers. They fetch the list of instance addresses, cache it for the time that the answer
+//! gives, and send streamed requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,16 +20,16 @@
 use crate::load::recorder::{PhaseRecorder, RequestOutcome};
 use crate::load::scenario::{Phase, Workload};
 
-/// A caller gives up when the first token has not come by then.
+/// Maximum wait for the response head, and so for the start of an answer.
 const FIRST_TOKEN_TIMEOUT_MS: u64 = 10_000;
-/// A caller gives up when no further token has come by then.
+/// Maximum wait for the next part of a stream.
 const TOKEN_TIMEOUT_MS: u64 = 10_000;
-/// Limit for the list of addresses.
+/// Timeout of a request for the list of addresses.
 const LIST_TIMEOUT_MS: u64 = 1_000;
-/// How long a list is kept whose answer does not say.
+/// Cache time of a list whose answer does not give one.
 const DEFAULT_KEEP_MS: u64 = 1_000;
 
-/// Callers of one customer.
+/// Callers of one customer that share a list of addresses and a connection pool.
 #[derive(Debug, Clone)]
 pub struct Callers {
     client: HttpClient,
@@ -37,7 +38,7 @@
 }
 
 impl Callers {
-    /// Callers that know these addresses.
+    /// Creates callers with an initial list of addresses.
     pub fn new(workload: Workload, addresses: Vec<SocketAddr>) -> Self {
         Callers {
             client: HttpClient::new(Reuse::Pooled),
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Asks for the addresses again and again, each time any instance of the list.
+    /// Refreshes the list of addresses from a random instance each time its cache time has passed.
+    /// Returns only if the list is empty.
     pub async fn refresh_list(self) {
         loop {
             let list = self.addresses.load_full();
@@ -75,8 +77,8 @@
         Ok(answer["keep_for_ms"].as_u64().unwrap_or(DEFAULT_KEEP_MS))
     }
 
-    /// Sends requests for the whole phase at the times of a Poisson process, whether or not
-    /// earlier ones were answered, and returns when each of them has ended.
+    /// Sends requests during the whole phase at the times of a Poisson process, without waiting for
+    /// the answers to earlier ones (open loop). Returns when all requests have ended.
     pub async fn run(&self, phase: &Phase, seed: u64, recorder: &Arc<PhaseRecorder>) {
         let mut random = SmallRng::seed_from_u64(seed);
         let start = Instant::now();
--- a/crates/foxtailhold-standin/src/load/fault.rs
+++ b/crates/foxtailhold-standin/src/load/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a phase: begun at its start, ended at its end.
+//! Injection of faults, which last for one phase.
 
 use nix::sys::signal::Signal;
 
@@ -8,7 +8,7 @@
 use crate::platform::PlatformFaults;
 
 impl Fault {
-    /// Begins it.
+    /// Injects the fault.
     pub async fn begin(self, deployment: &mut Deployment) -> Result<()> {
         match self {
             Fault::InstanceKilled => drop(deployment.instances.pop()),
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// Ends it.
+    /// Removes the fault; a killed instance is replaced by a new one.
     pub async fn end(self, deployment: &mut Deployment) -> Result<()> {
         match self {
             Fault::InstanceKilled => deployment.add_instance().await,
--- a/crates/foxtailhold-standin/src/load/mod.rs
+++ b/crates/foxtailhold-standin/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! The load command: open-loop arrivals through real processes, with batch beside online, for each
-//! batch policy in the same run.
+//! The load command: sends open-loop online requests, with batch jobs beside them, through a
+//! deployment of separate processes, and compares the batch policies.
 
 pub mod batch;
 pub mod caller;
--- a/crates/foxtailhold-standin/src/load/plot.rs
+++ b/crates/foxtailhold-standin/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Bars of a run as SVG.
+//! Bar charts of a load report as SVG files.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 
 const SIZE_PX: (u32, u32) = (960, 420);
 
-/// A figure that is drawn.
+/// A chart with one bar for each phase and policy.
 struct Figure {
     file: &'static str,
     title: &'static str,
@@ -34,7 +34,7 @@
     },
 ];
 
-/// Writes one SVG for each figure of the report.
+/// Writes one SVG file for each chart to `directory`, which is created if it is missing.
 pub fn write(report: &Report, directory: &Path) -> Result<()> {
     std::fs::create_dir_all(directory)?;
     for figure in &FIGURES {
--- a/crates/foxtailhold-standin/src/load/recorder.rs
+++ b/crates/foxtailhold-standin/src/load/recorder.rs
@@ -1,50 +1,50 @@
-//! What callers saw in one phase.
+//! Statistics of the online callers in one phase.
 
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// Longest time that a histogram holds.
+/// Upper bound of the histograms; longer times are recorded as this value.
 const MAX_US: u64 = 120_000_000;
-/// Significant digits of a histogram.
+/// Significant decimal digits of a recorded time.
 const DIGITS: u8 = 3;
 
-/// How a request ended.
+/// Outcome of an online request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer came.
+    /// The complete answer was received.
     Whole,
-    /// It was refused with a status of 400 or higher.
+    /// The response had a status other than 200 to 299.
     Refused,
-    /// No connection, no answer in time, or an answer cut short.
+    /// No connection, no answer in time, or a truncated answer.
     Failed,
 }
 
-/// Three quantiles of a histogram.
+/// Quantiles of a histogram.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
     /// The median.
     pub p50_ms: f64,
-    /// 95 of 100 are below.
+    /// The 95th percentile.
     pub p95_ms: f64,
-    /// 99 of 100 are below.
+    /// The 99th percentile.
     pub p99_ms: f64,
 }
 
-/// What callers saw.
+/// Counts and latencies of the online requests in one phase.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct CallerStatistics {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Number of complete answers.
     pub whole: u64,
-    /// Refusals.
+    /// Number of requests refused by status.
     pub refused: u64,
-    /// Failures.
+    /// Number of requests without a complete answer, refusals not included.
     pub failed: u64,
-    /// Time from the planned arrival to the first token.
+    /// Time from the planned arrival of a request to its first token.
     pub first_token: Quantiles,
-    /// Time between two tokens.
+    /// Time between successive tokens of an answer.
     pub between_tokens: Quantiles,
 }
 
@@ -62,17 +62,17 @@
 #[derive(Debug)]
 pub struct PhaseRecorder(Mutex<State>);
 
-/// An empty histogram of µs.
+/// Creates an empty histogram of times in µs.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_US, DIGITS).expect("the bounds are constant and valid")
 }
 
-/// Notes a time.
+/// Records a time in µs; 0 counts as 1.
 pub fn record_us(histogram: &mut Histogram<u64>, us: u64) {
     histogram.saturating_record(us.max(1));
 }
 
-/// Quantiles of a histogram of µs.
+/// Computes the quantiles of a histogram of times in µs.
 pub fn quantiles(histogram: &Histogram<u64>) -> Quantiles {
     let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
     Quantiles {
@@ -96,22 +96,22 @@
 }
 
 impl PhaseRecorder {
-    /// A request is due.
+    /// Counts a request that is sent.
     pub fn sent(&self) {
         self.0.lock().sent += 1;
     }
 
-    /// A request's first token came.
+    /// Records the time from a request's planned arrival to its first token.
     pub fn first_token(&self, us: u64) {
         record_us(&mut self.0.lock().first_token_us, us);
     }
 
-    /// Another token came.
+    /// Records the time since the previous token of the same answer.
     pub fn next_token(&self, us: u64) {
         record_us(&mut self.0.lock().between_us, us);
     }
 
-    /// A request ended.
+    /// Counts the outcome of a request.
     pub fn ended(&self, outcome: RequestOutcome) {
         let mut state = self.0.lock();
         match outcome {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// What was seen so far.
+    /// Returns the statistics recorded so far.
     pub fn seen(&self) -> CallerStatistics {
         let state = self.0.lock();
         CallerStatistics {
--- a/crates/foxtailhold-standin/src/load/report.rs
+++ b/crates/foxtailhold-standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The table of a run.
+//! Report of a load measurement, as a table or as JSON.
 
 use serde::Serialize;
 
@@ -8,33 +8,35 @@
 use crate::load::recorder::CallerStatistics;
 use crate::load::scenario::Phase;
 
-/// One phase under one policy.
+/// Result of one phase under one batch policy.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Row {
-    /// Batch policy.
+    /// Name of the batch policy.
     pub policy: String,
-    /// Round, from 0.
+    /// Number of the round, from 0.
     pub round: u64,
-    /// Phase.
+    /// Name of the phase.
     pub phase: String,
-    /// Online requests a second that were planned.
+    /// Planned rate of online requests.
     pub online_per_s: f64,
-    /// What callers saw.
+    /// Statistics of the online callers.
     pub seen: CallerStatistics,
-    /// Batch items finished by the engines in a second.
+    /// Batch items finished by all engines together per second.
     pub items_per_s: f64,
-    /// Share of the slot time left by online requests that batch used.
+    /// Share, from 0 to 1, of the slot time unused by online requests that batch items used.
     pub idle_used: f64,
-    /// Share of all slot time used.
+    /// Share, from 0 to 1, of all slot time that was used.
     pub busy: f64,
-    /// Engines whose counters could be read.
+    /// Number of engines whose counters could be read before and after the phase; only these count
+    /// for batch items and slot time.
     pub engines: usize,
-    /// Processor cores used by engines, services and instances.
+    /// Average number of CPU cores used by engines, services and instances.
     pub cores_used: f64,
 }
 
 impl Row {
-    /// The row of a phase.
+    /// Computes the result of a phase from the callers' statistics and what each engine counted
+    /// during the phase. Policy, round and cores are set later.
     pub fn new(phase: &Phase, seen: CallerStatistics, counted: &[EngineCounters]) -> Self {
         let mut row = Row {
             phase: phase.name.to_owned(),
@@ -57,7 +59,7 @@
         row
     }
 
-    /// The row as a line of the table.
+    /// Formats the row as a line of the table.
     pub fn line(&self) -> String {
         let CallerStatistics {
             sent,
@@ -87,33 +89,33 @@
     }
 }
 
-/// Head of the table.
+/// Header line of the table.
 const HEAD: &str = "policy    rd phase              sent  whole  ref.  fail | first token ms: p50     \
      p95     p99 | between ms: p50 p95 p99 | items/s idle-used% busy% cores";
 
-/// The result of a run.
+/// Results of all rounds with the options of the load command that they depend on.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Deployment whose day was played.
+    /// Name of the deployment whose workload was sent.
     pub deployment: String,
-    /// Seed of the arrivals.
+    /// Random seed of the arrival times.
     pub seed: u64,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Slots of each engine.
+    /// Number of slots of each engine.
     pub slots: usize,
-    /// Step of an engine with an empty batch.
+    /// Duration of an engine's step with an empty batch.
     pub step_us: u64,
-    /// Added to a step by each running request.
+    /// Time added to a step by each running request.
     pub step_per_request_us: u64,
-    /// The rows.
+    /// Results in the order of measurement.
     pub rows: Vec<Row>,
 }
 
 impl Report {
-    /// An empty report of a command.
+    /// Creates a report without rows.
     pub fn new(command: &LoadCommand) -> Self {
         Report {
             deployment: command.deployment.clone(),
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Policies in the order of their first row.
+    /// Returns the names of the policies in the order of their first row.
     pub fn policies(&self) -> Vec<&str> {
         let mut policies: Vec<&str> = Vec::new();
         for row in &self.rows {
@@ -138,7 +140,7 @@
         policies
     }
 
-    /// Phases in the order of their first row.
+    /// Returns the names of the phases in the order of their first row.
     pub fn phases(&self) -> Vec<&str> {
         let mut phases: Vec<&str> = Vec::new();
         for row in &self.rows {
@@ -149,7 +151,7 @@
         phases
     }
 
-    /// Median over the rounds of one figure of a phase under a policy.
+    /// Returns the median over the rounds of one figure of a phase under a policy; 0 without rows.
     pub fn median(&self, policy: &str, phase: &str, figure: impl Fn(&Row) -> f64) -> f64 {
         let mut values = Vec::new();
         for row in &self.rows {
@@ -160,7 +162,7 @@
         median(values)
     }
 
-    /// Prints a table, or JSON.
+    /// Prints the report as a table with medians, or as JSON.
     pub fn print(&self, json: bool) -> Result<()> {
         if json {
             let text = serde_json::to_string_pretty(self).map_err(std::io::Error::from)?;
@@ -188,7 +190,7 @@
     }
 }
 
-/// The median of some values; 0 for none.
+/// Returns the median; 0 for an empty list. Of an even number it is the upper middle value.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or_default()
--- a/crates/foxtailhold-standin/src/load/run.rs
+++ b/crates/foxtailhold-standin/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Runs the phases for each policy and collects a row for each.
+//! Runs the phases under each batch policy and collects the results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::load::report::{Report, Row};
 use crate::load::scenario::{BatchPolicy, Phase, Workload, phases};
 
-/// Variable of the instances' batch policy.
+/// Environment variable of an instance's batch policy.
 const POLICY_VARIABLE: &str = "FOXTAILHOLD_BATCH_POLICY";
-/// Time for batch to reach its pace before the first phase.
+/// Time before the first phase, in which batch jobs reach a steady throughput.
 const WARM_UP_MS: u64 = 3_000;
-/// Time to recover after a phase with a fault.
+/// Wait after a phase with a fault, in which the deployment recovers.
 const RECOVERY_MS: u64 = 5_000;
 
-/// Runs the command.
+/// Runs the load command: each round starts a new deployment for each policy.
 pub async fn run(command: &LoadCommand) -> Result<()> {
     let workload = Workload::named(&command.deployment)?;
     let policies = BatchPolicy::list(&command.policies)?;
@@ -132,7 +132,8 @@
     Ok(row)
 }
 
-/// What each engine counted in between; engines that did not answer are left out.
+/// Returns what each engine counted between two samples. An engine that did not answer at either
+/// sample is omitted.
 fn between(
     before: &[Option<EngineCounters>],
     after: &[Option<EngineCounters>],
@@ -146,7 +147,8 @@
     counted
 }
 
-/// Processor time of all processes that can be read.
+/// Returns the CPU time of all engines, services and instances. Processes that cannot be read count
+/// as 0.
 fn cpu_s(deployment: &Deployment) -> f64 {
     let mut total_s = 0.0;
     let backends = deployment.engines.iter().chain(&deployment.services);
--- a/crates/foxtailhold-standin/src/load/scenario.rs
+++ b/crates/foxtailhold-standin/src/load/scenario.rs
@@ -1,55 +1,56 @@
-//! What is sent in a run: the day of each deployment as short phases.
+//! Workloads, phases and faults of the load command. A deployment's day is condensed into short
+//! phases.
 
 use foxtailhold::ids::IdError;
 use thiserror::Error;
 
-/// Result of reading a scenario's options.
+/// Result of parsing the options of a scenario.
 pub type Result<T> = std::result::Result<T, ScenarioError>;
 
-/// Why an option is not a scenario.
+/// Error in the options of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ScenarioError {
-    /// No such deployment.
-    #[error("there is no deployment {name:?}; known are granite-trail and huon-tracks")]
+    /// The name of the deployment is unknown.
+    #[error("unknown deployment {name:?}; expected granite-trail or huon-tracks")]
     Deployment {
         /// The name given.
         name: String,
     },
-    /// No such policy.
-    #[error("there is no batch policy {name:?}; known are off, today, steward and ordinary")]
+    /// The name of the batch policy is unknown.
+    #[error("unknown batch policy {name:?}; expected off, today, steward or ordinary")]
     Policy {
         /// The name given.
         name: String,
     },
-    /// An identifier is wrong.
+    /// An identifier has an invalid format.
     #[error(transparent)]
     Id(#[from] IdError),
 }
 
-/// What one deployment's callers send.
+/// Requests that the callers of one deployment send.
 #[derive(Debug, Clone, Copy)]
 pub struct Workload {
-    /// Name, which is the customer too.
+    /// Name of the deployment and of its only customer.
     pub name: &'static str,
-    /// Availability zones.
+    /// Availability zones of the deployment.
     pub zones: [&'static str; 3],
-    /// Name of the burst phase.
+    /// Name of the phase with the highest rate.
     pub burst_name: &'static str,
-    /// Requests a second in the quiet phase.
+    /// Rate of online requests in the quiet phase and in phases with a fault.
     pub quiet_per_s: f64,
-    /// Requests a second in the burst.
+    /// Rate of online requests in the burst phase.
     pub burst_per_s: f64,
-    /// Requests a second at night.
+    /// Rate of online requests at night, while batch jobs prevail.
     pub night_per_s: f64,
-    /// Bytes of a prompt.
+    /// Approximate length of a prompt.
     pub prompt_bytes: usize,
-    /// Tokens of an answer.
+    /// Tokens of the answer to an online request.
     pub answer_tokens: u64,
-    /// Tokens of a batch item's answer.
+    /// Tokens of the answer to a batch item.
     pub item_tokens: u64,
 }
 
-/// Granite Trail: lookups in the middle of a meeting, council reports at night.
+/// Granite Trail: lookups during meetings, council reports at night.
 pub const GRANITE_TRAIL: Workload = Workload {
     name: "granite-trail",
     zones: ["concord-hall", "nashua-hall", "keene-hall"],
@@ -76,7 +77,7 @@
 };
 
 impl Workload {
-    /// The workload of a deployment.
+    /// Returns the workload of the deployment `name`.
     pub fn named(name: &str) -> Result<Self> {
         for workload in [GRANITE_TRAIL, HUON_TRACKS] {
             if workload.name == name {
@@ -88,21 +89,21 @@
     }
 }
 
-/// How batch is run beside online requests.
+/// How batch items run beside online requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchPolicy {
-    /// No batch is offered.
+    /// No batch jobs are submitted.
     Off,
-    /// What the program does when nothing is set.
+    /// The instances' default policy; the setting is left unset.
     Today,
-    /// The steward of each replica decides.
+    /// The batch controller of each engine limits its batch items.
     Steward,
     /// Batch items are sent as ordinary requests, with least-loaded routing.
     Ordinary,
 }
 
 impl BatchPolicy {
-    /// Its name in options and reports.
+    /// Returns the name in options and reports.
     pub fn name(self) -> &'static str {
         match self {
             BatchPolicy::Off => "off",
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Value of the instances' setting; `None` leaves the default.
+    /// Returns the value of the instances' setting; `None` leaves it unset.
     pub fn setting(self) -> Option<&'static str> {
         match self {
             BatchPolicy::Today => None,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A list of policies separated by commas.
+    /// Parses a list of policies separated by commas.
     pub fn list(names: &str) -> Result<Vec<Self>> {
         let mut policies = Vec::new();
         for name in names.split(',') {
@@ -146,21 +147,21 @@
     }
 }
 
-/// What fails during a phase.
+/// A fault that is injected during a phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// One instance is killed; another one is started when the phase ends.
+    /// An instance is killed; a new one is started when the phase ends.
     InstanceKilled,
-    /// One engine is stopped by a signal: it accepts connections and answers nothing.
+    /// An engine is stopped by SIGSTOP: the kernel accepts connections, but nothing is answered.
     ReplicaFrozen,
-    /// Table service and object store refuse every call.
+    /// Table service and object store refuse every call with status 503.
     StoreDown,
-    /// All processes of one availability zone are stopped by a signal.
+    /// All backend servers and instances of an availability zone are stopped by SIGSTOP.
     ZoneCut,
 }
 
 impl Fault {
-    /// All of them, in the order of a run.
+    /// All faults, in the order of their phases.
     pub const ALL: [Fault; 4] = [
         Fault::InstanceKilled,
         Fault::ReplicaFrozen,
@@ -168,7 +169,7 @@
         Fault::ZoneCut,
     ];
 
-    /// Name of its phase.
+    /// Returns the name of the phase with this fault.
     pub fn name(self) -> &'static str {
         match self {
             Fault::InstanceKilled => "instance killed",
@@ -179,20 +180,20 @@
     }
 }
 
-/// A part of a run with one rate of arrivals.
+/// A part of a measurement with a constant rate of arrivals.
 #[derive(Debug, Clone, Copy)]
 pub struct Phase {
-    /// Name.
+    /// Name in reports.
     pub name: &'static str,
-    /// Online requests a second.
+    /// Mean rate of online requests.
     pub online_per_s: f64,
-    /// How long it lasts.
+    /// Time during which requests are sent.
     pub duration_ms: u64,
-    /// What fails in it.
+    /// Fault that lasts for the phase; `None` for a phase without a fault.
     pub fault: Option<Fault>,
 }
 
-/// The phases of a run.
+/// Returns the phases of a round, each `phase_s` long, in order. Phases with faults come last.
 pub fn phases(workload: &Workload, phase_s: u64, with_faults: bool) -> Vec<Phase> {
     let duration_ms = phase_s * 1_000;
     let mut phases = Vec::new();
--- a/crates/foxtailhold-standin/src/slopes/customers.rs
+++ b/crates/foxtailhold-standin/src/slopes/customers.rs
@@ -1,4 +1,4 @@
-//! Memory and time of the contracts of many customers, in one process.
+//! Memory and update time of a contract registry with many customers, measured in this process.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 use crate::load::report::median;
 use crate::process::resident_bytes;
 
-/// Changes timed once all customers have a contract.
+/// Number of changes that are timed after all customers have a contract.
 const TIMED_CHANGES: u64 = 50;
 
 fn change(number: u64, customer: u64, version: u64) -> Result<ContractChange> {
@@ -33,10 +33,11 @@
     })
 }
 
-/// Fills a book, then times a change as an instance takes it in: apply and publish a copy.
+/// Fills a contract registry, then times changes as an instance applies them: update the registry
+/// and publish a copy.
 ///
-/// The book is given back, to be kept while others are measured: freed memory would be used again
-/// and hide what the next book takes.
+/// The caller must keep the returned registry during later measurements: freed memory would be
+/// reused and hide the memory that the next registry takes.
 pub fn run(customers: u64) -> Result<ContractRegistry> {
     let before = resident_bytes(std::process::id())?;
     let mut registry = ContractRegistry::default();
--- a/crates/foxtailhold-standin/src/slopes/idle.rs
+++ b/crates/foxtailhold-standin/src/slopes/idle.rs
@@ -1,4 +1,4 @@
-//! What instances cost while no caller sends anything.
+//! Cost of instances while no caller sends requests: CPU, memory, peer traffic and store calls.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use crate::registry::{backend, change_fleet};
 use crate::slopes::sockets;
 
-/// Time to settle before a measurement.
+/// Wait before a measurement, in which the deployment becomes steady.
 const SETTLE_MS: u64 = 6_000;
-/// Entries told to the fleet list at once.
+/// Number of entries added to the fleet list in one change.
 const FLEET_CHANGE_ENTRIES: usize = 100;
 
 fn shape(instances: usize, engine: &[&str]) -> DeploymentShape {
@@ -56,7 +56,7 @@
     })
 }
 
-/// Watches the instances for so many seconds and prints what each of them costs.
+/// Observes the instances for `seconds` and prints the average cost of one instance.
 async fn measure(
     deployment: &Deployment,
     dimension: &str,
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// So many idle instances with one replica.
+/// Measures `number` idle instances with one engine.
 pub async fn instances(number: usize, seconds: u64) -> Result<()> {
     let deployment = Deployment::start(shape(number, &[])).await?;
     measure(&deployment, "instances", number, seconds).await?;
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// One idle instance with so many replicas, all served by this process.
+/// Measures one idle instance with `number` engines, of which all but one run in this process.
 pub async fn replicas(number: usize, seconds: u64) -> Result<()> {
     let deployment = Deployment::start(shape(1, &[])).await?;
     let platform = deployment.platform_address()?;
@@ -120,7 +120,8 @@
     Ok(())
 }
 
-/// Three instances with so many open jobs whose items wait at an engine that runs none of them.
+/// Measures three instances with `number` open jobs whose items wait at an engine that makes no
+/// progress.
 pub async fn jobs(number: usize, seconds: u64) -> Result<()> {
     let engine = ["--step-us", "600000000"];
     let deployment = Deployment::start(shape(3, &engine)).await?;
--- a/crates/foxtailhold-standin/src/slopes/mod.rs
+++ b/crates/foxtailhold-standin/src/slopes/mod.rs
@@ -1,5 +1,5 @@
-//! The slopes command: what the roles cost against the number of instances, replicas, jobs and
-//! customers, for docs/CAPACITY.md.
+//! The slopes command: measures how the cost of an instance grows with the number of instances,
+//! engines, jobs and customers. docs/CAPACITY.md holds the results.
 
 pub mod customers;
 pub mod idle;
@@ -8,10 +8,10 @@
 use crate::cli::SlopesCommand;
 use crate::error::Result;
 
-/// Numbers of customers.
+/// Numbers of customers that are measured.
 const CUSTOMERS: [u64; 4] = [100, 1_000, 10_000, 31_000];
 
-/// Runs the parts asked for.
+/// Runs the selected parts.
 pub async fn run(command: &SlopesCommand) -> Result<()> {
     let all = command.part == "all";
     if all || command.part == "customers" {
--- a/crates/foxtailhold-standin/src/slopes/sockets.rs
+++ b/crates/foxtailhold-standin/src/slopes/sockets.rs
@@ -1,4 +1,4 @@
-//! Bytes sent between instances, as the system counts them for each TCP connection.
+//! Bytes sent between instances, as the kernel counts them for each TCP connection.
 
 use std::collections::HashSet;
 use std::process::Command;
@@ -9,8 +9,9 @@
     address.rsplit(':').next()?.parse().ok()
 }
 
-/// Bytes sent so far over all connections with one of these ports at either end, by `ss`
-/// (iproute2). Both ends of a connection are on this machine, so each sender is counted once.
+/// Returns the bytes sent so far over all connections with one of these ports at either end, as
+/// reported by `ss` (iproute2). Both ends of a connection are on this machine and each reports the
+/// bytes that it sent, so that no byte is counted twice.
 pub fn bytes_sent(ports: &HashSet<u16>) -> Result<u64> {
     let output = Command::new("ss").args(["-tniOH"]).output()?;
     let text = String::from_utf8_lossy(&output.stdout);
