--- a/crates/foxtailhold-standin/src/bench/throughput.rs
+++ b/crates/foxtailhold-standin/src/bench/throughput.rs
@@ -62,11 +62,11 @@
     let direct = BenchClient::new(engine, 3, false);
     let direct = measure(&deployment, &direct, command.seconds).await?;
     println!("throughput direct {:.0} requests/s", direct.per_s);
-    let whole = BenchClient::new(address, 3, false);
-    let whole = measure(&deployment, &whole, command.seconds).await?;
+    let unstreamed = BenchClient::new(address, 3, false);
+    let unstreamed = measure(&deployment, &unstreamed, command.seconds).await?;
     println!(
         "throughput whole {:.0} requests/s on {:.2} cores, {:.0} requests for each core second",
-        whole.per_s, whole.cores, whole.per_cpu_s
+        unstreamed.per_s, unstreamed.cores, unstreamed.per_cpu_s
     );
     let streamed = BenchClient::new(address, STREAM_TOKENS, true);
     let streamed = measure(&deployment, &streamed, command.seconds).await?;
--- a/crates/foxtailhold-standin/src/demo.rs
+++ b/crates/foxtailhold-standin/src/demo.rs
@@ -203,8 +203,8 @@
             })?;
         wait_until("contract in force on all instances", async || {
             for operator in &operators {
-                let seen = operator.contract(&customer).await;
-                if !seen.is_ok_and(|view| view.version >= accepted.version) {
+                let reported = operator.contract(&customer).await;
+                if !reported.is_ok_and(|view| view.version >= accepted.version) {
                     return Ok(false);
                 }
             }
@@ -243,8 +243,8 @@
             .caller
             .send(address, Method::POST, path, body.into(), "application/json");
         let text = String::from_utf8_lossy(&sent.await?).into_owned();
-        let whole = text.matches("\"content\"").count() == 12 && text.ends_with("[DONE]\n\n");
-        check("streamed chat", whole, text)?;
+        let complete = text.matches("\"content\"").count() == 12 && text.ends_with("[DONE]\n\n");
+        check("streamed chat", complete, text)?;
         Ok(answers.swap_remove(0))
     }
 
@@ -269,7 +269,7 @@
         check("resent batch", ids[0] == ids[1], format!("{ids:?}"))?;
         let path = format!("/v1/batches/{}", ids[0].as_str().unwrap_or_default());
         let mut output = String::new();
-        let took = wait_until("batch", async || {
+        let took_ms = wait_until("batch", async || {
             let batch = self
                 .caller
                 .json(addresses[1], Method::GET, &path, &Value::Null);
@@ -291,13 +291,13 @@
         ids.sort();
         ids.dedup();
         let count = text.lines().count();
-        let once = ids.len() == items && count == items;
+        let each_once = ids.len() == items && count == items;
         check(
             "batch output",
-            once,
+            each_once,
             format!("{count} lines, {} ids", ids.len()),
         )?;
-        Ok(took)
+        Ok(took_ms)
     }
 
     async fn models_served(&self) -> Result<u128> {
@@ -318,14 +318,14 @@
     async fn service(&self) -> Result<String> {
         let path = format!("/v1/services/{SERVICE}/award-status?scout=7");
         let address = self.callers()[0];
-        let pong = self
+        let response = self
             .caller
             .json(address, Method::GET, &path, &Value::Null)
             .await?;
-        let seen = pong["call"]["path"].as_str().unwrap_or_default();
-        let right = seen == "/award-status?scout=7";
-        check("plain service", right, pong.to_string())?;
-        Ok(seen.to_owned())
+        let reported = response["call"]["path"].as_str().unwrap_or_default();
+        let echoed = reported == "/award-status?scout=7";
+        check("plain service", echoed, response.to_string())?;
+        Ok(reported.to_owned())
     }
 
     async fn refusal(&self) -> Result<&'static str> {
@@ -370,13 +370,15 @@
         let ms = self.set_contract(12_000, 1).await?;
         let text = format!("changed on one instance, in force on 3 after {ms} ms");
         report("contract", text);
-        let whole = self.stop_one().await?;
-        let text = format!("{whole} of 8 streams whole through a planned stop of their instance");
+        let complete_streams = self.stop_instance().await?;
+        let text = format!(
+            "{complete_streams} of 8 streams whole through a planned stop of their instance"
+        );
         report("stop", text);
         Ok(())
     }
 
-    async fn stop_one(&mut self) -> Result<usize> {
+    async fn stop_instance(&mut self) -> Result<usize> {
         let address = self.callers()[2];
         let body = chat("a long answer please", 200, true).to_string();
         let caller = self.caller.clone();
@@ -395,17 +397,17 @@
         if let Some(instance) = self.cluster.instances[2].take() {
             instance.close().await?;
         }
-        let mut whole = 0;
+        let mut complete_streams = 0;
         for stream in streams {
             let text = stream.await.ok().and_then(Result::ok).unwrap_or_default();
-            whole += usize::from(text.ends_with(b"[DONE]\n\n"));
+            complete_streams += usize::from(text.ends_with(b"[DONE]\n\n"));
         }
         check(
             "planned stop",
-            whole == 8,
-            format!("{whole} of 8 streams were whole"),
+            complete_streams == 8,
+            format!("{complete_streams} of 8 streams were whole"),
         )?;
-        Ok(whole)
+        Ok(complete_streams)
     }
 }
 
--- a/crates/foxtailhold-standin/src/deployment.rs
+++ b/crates/foxtailhold-standin/src/deployment.rs
@@ -119,10 +119,15 @@
         self.instances_started += 1;
         let zone = self.shape.zones[index % 3];
         let platform = self.platform_address()?.to_string();
-        let (id, any) = (format!("entry-{index}"), "127.0.0.1:0");
+        let (id, any_port) = (format!("entry-{index}"), "127.0.0.1:0");
         let mut arguments = vec!["--instance", &id, "--availability-zone", zone];
-        arguments.extend(["--caller-address", any, "--peer-address", any]);
-        arguments.extend(["--operator-address", any, "--platform-address", &platform]);
+        arguments.extend(["--caller-address", any_port, "--peer-address", any_port]);
+        arguments.extend([
+            "--operator-address",
+            any_port,
+            "--platform-address",
+            &platform,
+        ]);
         arguments.extend(["--operator-token", TOKEN, "--keep-for-ms", "1000"]);
         let mut variables = Vec::new();
         for (name, value) in &self.shape.entry_variables {
@@ -180,10 +185,10 @@
             let Ok(view) = operator.instances().await else {
                 return Ok(false);
             };
-            let Ok(known) = operator.backends().await else {
+            let Ok(backend_list) = operator.backends().await else {
                 return Ok(false);
             };
-            if view.instances.len() != self.instances.len() || known.len() != backends {
+            if view.instances.len() != self.instances.len() || backend_list.len() != backends {
                 return Ok(false);
             }
         }
--- a/crates/foxtailhold-standin/src/load/caller.rs
+++ b/crates/foxtailhold-standin/src/load/caller.rs
@@ -158,7 +158,7 @@
             tail.extend_from_slice(&data[data.len().saturating_sub(16)..]);
         }
         if tail.ends_with(b"[DONE]\n\n") {
-            return Ok(RequestOutcome::Whole);
+            return Ok(RequestOutcome::Complete);
         }
         Ok(RequestOutcome::Failed)
     }
--- a/crates/foxtailhold-standin/src/load/plot.rs
+++ b/crates/foxtailhold-standin/src/load/plot.rs
@@ -20,12 +20,12 @@
     Figure {
         file: "first-token-p99",
         title: "p99 of first token, ms",
-        value: |row| row.seen.first_token.p99_ms,
+        value: |row| row.statistics.first_token.p99_ms,
     },
     Figure {
         file: "between-tokens-p99",
         title: "p99 between tokens, ms",
-        value: |row| row.seen.between_tokens.p99_ms,
+        value: |row| row.statistics.between_tokens.p99_ms,
     },
     Figure {
         file: "batch-items",
--- a/crates/foxtailhold-standin/src/load/recorder.rs
+++ b/crates/foxtailhold-standin/src/load/recorder.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// The complete answer was received.
-    Whole,
+    Complete,
     /// The response had a status other than 200 to 299.
     Refused,
     /// No connection, no answer in time, or a truncated answer.
@@ -115,14 +115,14 @@
     pub fn ended(&self, outcome: RequestOutcome) {
         let mut state = self.0.lock();
         match outcome {
-            RequestOutcome::Whole => state.whole += 1,
+            RequestOutcome::Complete => state.whole += 1,
             RequestOutcome::Refused => state.refused += 1,
             RequestOutcome::Failed => state.failed += 1,
         }
     }
 
     /// Returns the statistics recorded so far.
-    pub fn seen(&self) -> CallerStatistics {
+    pub fn statistics(&self) -> CallerStatistics {
         let state = self.0.lock();
         CallerStatistics {
             sent: state.sent,
--- a/crates/foxtailhold-standin/src/load/report.rs
+++ b/crates/foxtailhold-standin/src/load/report.rs
@@ -20,7 +20,8 @@
     /// Planned rate of online requests.
     pub online_per_s: f64,
     /// Statistics of the online callers.
-    pub seen: CallerStatistics,
+    #[serde(rename = "seen")]
+    pub statistics: CallerStatistics,
     /// Batch items finished by all engines together per second.
     pub items_per_s: f64,
     /// Share, from 0 to 1, of the slot time unused by online requests that batch items used.
@@ -37,16 +38,20 @@
 impl Row {
     /// Computes the result of a phase from the callers' statistics and what each engine counted
     /// during the phase. Policy, round and cores are set later.
-    pub fn new(phase: &Phase, seen: CallerStatistics, counted: &[EngineCounters]) -> Self {
+    pub fn new(
+        phase: &Phase,
+        statistics: CallerStatistics,
+        counter_differences: &[EngineCounters],
+    ) -> Self {
         let mut row = Row {
             phase: phase.name.to_owned(),
             online_per_s: phase.online_per_s,
-            seen,
-            engines: counted.len(),
+            statistics,
+            engines: counter_differences.len(),
             ..Row::default()
         };
         let (mut idle_us, mut batch_us, mut busy_us, mut all_us) = (0, 0, 0, 0);
-        for counters in counted {
+        for counters in counter_differences {
             idle_us += counters.idle_slot_us();
             batch_us += counters.batch_slot_us;
             busy_us += counters.busy_slot_us;
@@ -68,7 +73,7 @@
             failed,
             first_token: first,
             between_tokens: between,
-        } = &self.seen;
+        } = &self.statistics;
         format!(
             "{:<9} {:>2} {:<16} {sent:>6} {whole:>6} {refused:>5} {failed:>5} | {:>7.1} {:>7.1} \
              {:>8.1} | {:>6.1} {:>6.1} {:>7.1} | {:>7.1} {:>6.1} {:>6.1} {:>6.2}",
@@ -180,7 +185,7 @@
         );
         for policy in &policies {
             for phase in self.phases() {
-                let p99 = |row: &Row| row.seen.first_token.p99_ms;
+                let p99 = |row: &Row| row.statistics.first_token.p99_ms;
                 let ratio = self.median(policy, phase, p99) / self.median(baseline, phase, p99);
                 let items_per_s = self.median(policy, phase, |row| row.items_per_s);
                 println!("{policy:<9} {phase:<16} {ratio:>6.2} {items_per_s:>8.1}");
--- a/crates/foxtailhold-standin/src/load/run.rs
+++ b/crates/foxtailhold-standin/src/load/run.rs
@@ -84,7 +84,7 @@
         batch::submit(workload, &addresses).await?;
     }
     let callers = Callers::new(*workload, addresses);
-    let list = tokio::spawn(callers.clone().refresh_list());
+    let refresh_task = tokio::spawn(callers.clone().refresh_list());
     tokio::time::sleep(Duration::from_millis(WARM_UP_MS)).await;
     let all = phases(workload, command.phase_s, command.faults);
     for (index, phase) in all.iter().enumerate() {
@@ -95,7 +95,7 @@
         eprintln!("{}", row.line());
         report.rows.push(row);
     }
-    list.abort();
+    refresh_task.abort();
     deployment.close();
     Ok(())
 }
@@ -127,24 +127,24 @@
         fault.end(deployment).await?;
         tokio::time::sleep(Duration::from_millis(RECOVERY_MS)).await;
     }
-    let mut row = Row::new(phase, recorder.seen(), &between(&before, &after));
+    let mut row = Row::new(phase, recorder.statistics(), &differences(&before, &after));
     row.cores_used = cpu_s / (phase.duration_ms as f64 / 1_000.0);
     Ok(row)
 }
 
 /// Returns what each engine counted between two samples. An engine that did not answer at either
 /// sample is omitted.
-fn between(
+fn differences(
     before: &[Option<EngineCounters>],
     after: &[Option<EngineCounters>],
 ) -> Vec<EngineCounters> {
-    let mut counted = Vec::new();
+    let mut counter_differences = Vec::new();
     for pair in before.iter().zip(after) {
         if let (Some(before), Some(after)) = pair {
-            counted.push(after.since(before));
+            counter_differences.push(after.since(before));
         }
     }
-    counted
+    counter_differences
 }
 
 /// Returns the CPU time of all engines, services and instances. Processes that cannot be read count
--- a/crates/foxtailhold-standin/src/load/scenario.rs
+++ b/crates/foxtailhold-standin/src/load/scenario.rs
@@ -95,9 +95,9 @@
     /// No batch jobs are submitted.
     Off,
     /// The instances' default policy; the setting is left unset.
-    Today,
+    Unset,
     /// The batch controller of each engine limits its batch items.
-    Steward,
+    Controlled,
     /// Batch items are sent as ordinary requests, with least-loaded routing.
     Ordinary,
 }
@@ -107,8 +107,8 @@
     pub fn name(self) -> &'static str {
         match self {
             BatchPolicy::Off => "off",
-            BatchPolicy::Today => "today",
-            BatchPolicy::Steward => "steward",
+            BatchPolicy::Unset => "today",
+            BatchPolicy::Controlled => "steward",
             BatchPolicy::Ordinary => "ordinary",
         }
     }
@@ -116,7 +116,7 @@
     /// Returns the value of the instances' setting; `None` leaves it unset.
     pub fn setting(self) -> Option<&'static str> {
         match self {
-            BatchPolicy::Today => None,
+            BatchPolicy::Unset => None,
             _ => Some(self.name()),
         }
     }
@@ -133,8 +133,8 @@
     fn named(name: &str) -> Result<Self> {
         let all = [
             BatchPolicy::Off,
-            BatchPolicy::Today,
-            BatchPolicy::Steward,
+            BatchPolicy::Unset,
+            BatchPolicy::Controlled,
             BatchPolicy::Ordinary,
         ];
         for policy in all {
--- a/crates/foxtailhold-standin/src/platform/fleet.rs
+++ b/crates/foxtailhold-standin/src/platform/fleet.rs
@@ -42,20 +42,20 @@
         for instance in change.instances {
             self.current
                 .instances
-                .retain(|known| known.id != instance.id);
+                .retain(|entry| entry.id != instance.id);
             self.current.instances.push(instance);
         }
         for backend in change.backends {
-            self.current.backends.retain(|known| known.id != backend.id);
+            self.current.backends.retain(|entry| entry.id != backend.id);
             self.current.backends.push(backend);
         }
-        let gone = |id: &str| change.removed.iter().any(|removed| removed == id);
+        let is_removed = |id: &str| change.removed.iter().any(|removed| removed == id);
         self.current
             .instances
-            .retain(|known| !gone(known.id.as_str()));
+            .retain(|entry| !is_removed(entry.id.as_str()));
         self.current
             .backends
-            .retain(|known| !gone(known.id.as_str()));
+            .retain(|entry| !is_removed(entry.id.as_str()));
         self.current.instances.sort_by(|a, b| a.id.cmp(&b.id));
         self.current.backends.sort_by(|a, b| a.id.cmp(&b.id));
         self.history
--- a/crates/foxtailhold-standin/src/slopes/idle.rs
+++ b/crates/foxtailhold-standin/src/slopes/idle.rs
@@ -95,7 +95,7 @@
 pub async fn replicas(number: usize, seconds: u64) -> Result<()> {
     let deployment = Deployment::start(shape(1, &[])).await?;
     let platform = deployment.platform_address()?;
-    let mut servers = Vec::new();
+    let mut engine_servers = Vec::new();
     let mut entries = Vec::new();
     for index in 1..number {
         let server = InstantEngine.serve(any_port()).await?;
@@ -103,7 +103,7 @@
         let id = format!("replica-{index}");
         let kind = BackendKind::Engine;
         entries.push(backend(&id, kind, server.address(), zone, "ranger")?);
-        servers.push(server);
+        engine_servers.push(server);
     }
     for part in entries.chunks(FLEET_CHANGE_ENTRIES) {
         let change = crate::platform::fleet::FleetChange {
@@ -113,7 +113,7 @@
         change_fleet(platform, &change).await?;
     }
     measure(&deployment, "replicas", number, seconds).await?;
-    for server in servers {
+    for server in engine_servers {
         server.close(0).await;
     }
     deployment.close();
