--- a/crates/foxtailhold-standin/src/engine/orders.rs
+++ b/crates/foxtailhold-standin/src/engine/orders.rs
@@ -75,12 +75,12 @@
         self.state.lock().faults = faults;
     }
 
-    /// What the engine reports of itself.
+    /// Returns the state that the engine reports: its setups and the highest fencing number accepted.
     pub fn engine_state(&self) -> EngineState {
         self.state.lock().engine.clone()
     }
 
-    /// All orders seen.
+    /// Returns the record of all orders received, in the order of the decisions.
     pub fn record(&self) -> Vec<SeenOrder> {
         self.state.lock().record.clone()
     }
