--- a/crates/foxtailhold-standin/src/demo.rs
+++ b/crates/foxtailhold-standin/src/demo.rs
@@ -1,5 +1,6 @@
-//! The main job with everything embedded: three instances, engines, a chat, a batch, a contract
-//! change, a planned stop. Prints a short report; any fault is an error.
+//! The demo command: an embedded deployment of three instances with engines and a plain service
+//! serves chats and a batch job, changes a contract and stops an instance. Prints a short report; a
+//! step with an unexpected result is an error.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,12 +17,12 @@
 use crate::cluster::{Cluster, ClusterShape, MODEL, SERVICE, TOKEN};
 use crate::error::{Result, StandinError};
 
-/// API key of the demo's customer.
+/// API key of the customer in the demo and the measuring commands.
 pub const API_KEY: &str = "granite-trail-demo-key";
-/// Limit for anything that has to happen by itself.
-const WAIT: Duration = Duration::from_secs(30);
+/// Maximum wait for a step that completes in the background.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The contract of the demo's customer.
+/// Returns the contract document of the demo's customer.
 pub fn contract(requests_per_s: u32) -> String {
     format!(
         "customer = \"granite-trail\"\napi_keys = [\"{API_KEY}\"]\n\
@@ -30,15 +31,15 @@
     )
 }
 
-fn check(step: &'static str, holds: bool, detail: impl Into<String>) -> Result<()> {
-    if holds {
+fn check(step: &'static str, passed: bool, detail: impl Into<String>) -> Result<()> {
+    if passed {
         return Ok(());
     }
     let detail = detail.into();
     Err(StandinError::Check { step, detail })
 }
 
-/// A caller of one instance.
+/// An HTTP client that authenticates as the demo's customer.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: HttpClient,
@@ -53,7 +54,8 @@
 }
 
 impl Caller {
-    /// Sends a request and reads the whole answer; any other status than 200 is an error.
+    /// Sends a request and reads the whole answer. A status outside 200 to 299 is an error that
+    /// carries the first 300 bytes of the body.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -77,7 +79,7 @@
         })
     }
 
-    /// The same with JSON on both sides.
+    /// Sends a JSON body, or none for `null`, and parses the answer as JSON.
     pub async fn json(
         &self,
         address: SocketAddr,
@@ -99,7 +101,7 @@
         })
     }
 
-    /// Uploads a batch input file and returns its identifier.
+    /// Uploads a batch input file and returns its identifier; empty if the answer names none.
     pub async fn upload(&self, address: SocketAddr, content: &str) -> Result<String> {
         let boundary = "foxtailhold-form-boundary";
         let form = format!(
@@ -120,7 +122,7 @@
     }
 }
 
-/// A chat request.
+/// Returns the body of a chat request for at most `tokens` tokens.
 pub fn chat(question: &str, tokens: u64, stream: bool) -> Value {
     json!({
         "model": MODEL,
@@ -130,7 +132,7 @@
     })
 }
 
-/// The lines of a batch input file.
+/// Returns a batch input file with `items` lines.
 pub fn batch_input(items: usize) -> String {
     let mut text = String::new();
     for index in 0..items {
@@ -146,10 +148,13 @@
     text
 }
 
-/// Waits until `done` holds.
-async fn until<F: AsyncFnMut() -> Result<bool>>(step: &'static str, mut done: F) -> Result<u128> {
+/// Waits until `done` returns `true`, and returns the time that took in ms.
+async fn wait_until<F: AsyncFnMut() -> Result<bool>>(
+    step: &'static str,
+    mut done: F,
+) -> Result<u128> {
     let start = Instant::now();
-    while start.elapsed() < WAIT {
+    while start.elapsed() < STEP_TIMEOUT {
         if done().await? {
             return Ok(start.elapsed().as_millis());
         }
@@ -158,7 +163,7 @@
     check(
         step,
         false,
-        format!("did not happen within {} s", WAIT.as_secs()),
+        format!("did not happen within {} s", STEP_TIMEOUT.as_secs()),
     )?;
     Ok(0)
 }
@@ -196,10 +201,10 @@
                 step: "change a contract",
                 detail: error.to_string(),
             })?;
-        until("contract in force on all instances", async || {
+        wait_until("contract in force on all instances", async || {
             for operator in &operators {
-                let seen = operator.contract(&customer).await;
-                if !seen.is_ok_and(|view| view.version >= accepted.version) {
+                let reported = operator.contract(&customer).await;
+                if !reported.is_ok_and(|view| view.version >= accepted.version) {
                     return Ok(false);
                 }
             }
@@ -208,7 +213,7 @@
         .await
     }
 
-    async fn entries(&self) -> Result<usize> {
+    async fn listed_instances(&self) -> Result<usize> {
         let address = self.callers()[0];
         let answer = self
             .caller
@@ -238,8 +243,8 @@
             .caller
             .send(address, Method::POST, path, body.into(), "application/json");
         let text = String::from_utf8_lossy(&sent.await?).into_owned();
-        let whole = text.matches("\"content\"").count() == 12 && text.ends_with("[DONE]\n\n");
-        check("streamed chat", whole, text)?;
+        let complete = text.matches("\"content\"").count() == 12 && text.ends_with("[DONE]\n\n");
+        check("streamed chat", complete, text)?;
         Ok(answers.swap_remove(0))
     }
 
@@ -264,7 +269,7 @@
         check("resent batch", ids[0] == ids[1], format!("{ids:?}"))?;
         let path = format!("/v1/batches/{}", ids[0].as_str().unwrap_or_default());
         let mut output = String::new();
-        let took = until("batch", async || {
+        let took_ms = wait_until("batch", async || {
             let batch = self
                 .caller
                 .json(addresses[1], Method::GET, &path, &Value::Null);
@@ -286,18 +291,18 @@
         ids.sort();
         ids.dedup();
         let count = text.lines().count();
-        let once = ids.len() == items && count == items;
+        let each_once = ids.len() == items && count == items;
         check(
             "batch output",
-            once,
+            each_once,
             format!("{count} lines, {} ids", ids.len()),
         )?;
-        Ok(took)
+        Ok(took_ms)
     }
 
     async fn models_served(&self) -> Result<u128> {
         let addresses = self.callers();
-        until("models served", async || {
+        wait_until("models served", async || {
             let mut served = true;
             for address in &addresses {
                 let models = self
@@ -313,14 +318,14 @@
     async fn service(&self) -> Result<String> {
         let path = format!("/v1/services/{SERVICE}/award-status?scout=7");
         let address = self.callers()[0];
-        let pong = self
+        let response = self
             .caller
             .json(address, Method::GET, &path, &Value::Null)
             .await?;
-        let seen = pong["call"]["path"].as_str().unwrap_or_default();
-        let right = seen == "/award-status?scout=7";
-        check("plain service", right, pong.to_string())?;
-        Ok(seen.to_owned())
+        let reported = response["call"]["path"].as_str().unwrap_or_default();
+        let echoed = reported == "/award-status?scout=7";
+        check("plain service", echoed, response.to_string())?;
+        Ok(reported.to_owned())
     }
 
     async fn refusal(&self) -> Result<&'static str> {
@@ -344,8 +349,8 @@
     }
 
     async fn run(&mut self, items: usize) -> Result<()> {
-        let ms = until("all instances in the list of addresses", async || {
-            Ok(self.entries().await? == 3)
+        let ms = wait_until("all instances in the list of addresses", async || {
+            Ok(self.listed_instances().await? == 3)
         })
         .await?;
         report("entries", format_args!("3 addresses after {ms} ms"));
@@ -365,13 +370,15 @@
         let ms = self.set_contract(12_000, 1).await?;
         let text = format!("changed on one instance, in force on 3 after {ms} ms");
         report("contract", text);
-        let whole = self.stop_one().await?;
-        let text = format!("{whole} of 8 streams whole through a planned stop of their instance");
+        let complete_streams = self.stop_instance().await?;
+        let text = format!(
+            "{complete_streams} of 8 streams whole through a planned stop of their instance"
+        );
         report("stop", text);
         Ok(())
     }
 
-    async fn stop_one(&mut self) -> Result<usize> {
+    async fn stop_instance(&mut self) -> Result<usize> {
         let address = self.callers()[2];
         let body = chat("a long answer please", 200, true).to_string();
         let caller = self.caller.clone();
@@ -390,21 +397,21 @@
         if let Some(instance) = self.cluster.instances[2].take() {
             instance.close().await?;
         }
-        let mut whole = 0;
+        let mut complete_streams = 0;
         for stream in streams {
             let text = stream.await.ok().and_then(Result::ok).unwrap_or_default();
-            whole += usize::from(text.ends_with(b"[DONE]\n\n"));
+            complete_streams += usize::from(text.ends_with(b"[DONE]\n\n"));
         }
         check(
             "planned stop",
-            whole == 8,
-            format!("{whole} of 8 streams were whole"),
+            complete_streams == 8,
+            format!("{complete_streams} of 8 streams were whole"),
         )?;
-        Ok(whole)
+        Ok(complete_streams)
     }
 }
 
-/// Starts logging where `RUST_LOG` asks for it.
+/// Enables logging to standard error if `RUST_LOG` is set.
 fn init_logging() -> Result<()> {
     if std::env::var_os("RUST_LOG").is_some() {
         logging::init(&InstanceId::try_from("demo")?, logging::Output::Stderr)?;
@@ -412,12 +419,12 @@
     Ok(())
 }
 
-/// Prints one line of the report.
+/// Prints a line of the report on standard output.
 fn report(step: &str, text: impl fmt::Display) {
     println!("ok  {step:<9} {text}");
 }
 
-/// Runs the main job and prints its report.
+/// Runs the demo with a batch job of `items` items and prints its report.
 pub async fn run(items: usize) -> Result<()> {
     init_logging()?;
     let start = Instant::now();
--- a/crates/foxtailhold-standin/src/load/run.rs
+++ b/crates/foxtailhold-standin/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Runs the phases for each policy and collects a row for each.
+//! Runs the phases under each batch policy and collects the results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use crate::error::{Result, StandinError};
 use crate::load::batch;
 use crate::load::caller::Callers;
+use crate::load::recorder::PhaseRecorder;
 use crate::load::report::{Report, Row};
 use crate::load::scenario::{BatchPolicy, Phase, Workload, phases};
-use crate::load::tally::Tally;
 
-/// Variable of the instances' batch policy.
+/// Environment variable of an instance's batch policy.
 const POLICY_VARIABLE: &str = "FOXTAILHOLD_BATCH_POLICY";
-/// Time for batch to reach its pace before the first phase.
+/// Time before the first phase, in which batch jobs reach a steady throughput.
 const WARM_UP_MS: u64 = 3_000;
-/// Time to recover after a phase with a fault.
+/// Wait after a phase with a fault, in which the deployment recovers.
 const RECOVERY_MS: u64 = 5_000;
 
-/// Runs the command.
+/// Runs the load command: each round starts a new deployment for each policy.
 pub async fn run(command: &LoadCommand) -> Result<()> {
     let workload = Workload::named(&command.deployment)?;
     let policies = BatchPolicy::list(&command.policies)?;
@@ -84,7 +84,7 @@
         batch::submit(workload, &addresses).await?;
     }
     let callers = Callers::new(*workload, addresses);
-    let list = tokio::spawn(callers.clone().follow_list());
+    let refresh_task = tokio::spawn(callers.clone().refresh_list());
     tokio::time::sleep(Duration::from_millis(WARM_UP_MS)).await;
     let all = phases(workload, command.phase_s, command.faults);
     for (index, phase) in all.iter().enumerate() {
@@ -95,7 +95,7 @@
         eprintln!("{}", row.line());
         report.rows.push(row);
     }
-    list.abort();
+    refresh_task.abort();
     deployment.close();
     Ok(())
 }
@@ -109,10 +109,10 @@
     if let Some(fault) = phase.fault {
         fault.begin(deployment).await?;
     }
-    let tally = Arc::new(Tally::default());
+    let recorder = Arc::new(PhaseRecorder::default());
     let running = tokio::spawn({
-        let (callers, phase, tally) = (callers.clone(), *phase, tally.clone());
-        async move { callers.run(&phase, seed, &tally).await }
+        let (callers, phase, recorder) = (callers.clone(), *phase, recorder.clone());
+        async move { callers.run(&phase, seed, &recorder).await }
     });
     let before = deployment.counters().await?;
     let cpu_before = cpu_s(deployment);
@@ -127,26 +127,28 @@
         fault.end(deployment).await?;
         tokio::time::sleep(Duration::from_millis(RECOVERY_MS)).await;
     }
-    let mut row = Row::new(phase, tally.seen(), &between(&before, &after));
+    let mut row = Row::new(phase, recorder.statistics(), &differences(&before, &after));
     row.cores_used = cpu_s / (phase.duration_ms as f64 / 1_000.0);
     Ok(row)
 }
 
-/// What each engine counted in between; engines that did not answer are left out.
-fn between(
+/// Returns what each engine counted between two samples. An engine that did not answer at either
+/// sample is omitted.
+fn differences(
     before: &[Option<EngineCounters>],
     after: &[Option<EngineCounters>],
 ) -> Vec<EngineCounters> {
-    let mut counted = Vec::new();
+    let mut counter_differences = Vec::new();
     for pair in before.iter().zip(after) {
         if let (Some(before), Some(after)) = pair {
-            counted.push(after.since(before));
+            counter_differences.push(after.since(before));
         }
     }
-    counted
+    counter_differences
 }
 
-/// Processor time of all processes that can be read.
+/// Returns the CPU time of all engines, services and instances. Processes that cannot be read count
+/// as 0.
 fn cpu_s(deployment: &Deployment) -> f64 {
     let mut total_s = 0.0;
     let backends = deployment.engines.iter().chain(&deployment.services);
--- a/crates/foxtailhold-standin/src/platform/fleet.rs
+++ b/crates/foxtailhold-standin/src/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! The lagging fleet list.
+//! A fleet list whose readers see changes after a delay.
 
 use std::collections::VecDeque;
 
@@ -7,61 +7,72 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// A change of the list: entries that are new or changed, and identifiers that go.
+/// A change of the fleet list.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetChange {
-    /// Instances to add or change.
+    /// Instances to add, or to replace by identifier.
     pub instances: Vec<FleetInstance>,
-    /// Backend servers to add or change.
+    /// Backend servers to add, or to replace by identifier.
     pub backends: Vec<Backend>,
-    /// Identifiers to remove.
+    /// Identifiers of instances and backend servers to remove.
     pub removed: Vec<String>,
 }
 
-/// The list with its past, so that readers see it as it was `lag_ms` ago.
+/// The fleet list with its earlier versions, so that readers see it as it was `lag_ms` ago.
 #[derive(Debug)]
 pub struct LaggingFleet {
     lag_ms: u64,
-    past: VecDeque<(Instant, Fleet)>,
-    now: Fleet,
+    history: VecDeque<(Instant, Fleet)>,
+    current: Fleet,
 }
 
 impl LaggingFleet {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new(lag_ms: u64) -> Self {
         LaggingFleet {
             lag_ms,
-            past: VecDeque::new(),
-            now: Fleet::default(),
+            history: VecDeque::new(),
+            current: Fleet::default(),
         }
     }
 
     /// Applies a change; readers see it after the lag.
     pub fn change(&mut self, change: FleetChange) {
         for instance in change.instances {
-            self.now.instances.retain(|known| known.id != instance.id);
-            self.now.instances.push(instance);
+            self.current
+                .instances
+                .retain(|entry| entry.id != instance.id);
+            self.current.instances.push(instance);
         }
         for backend in change.backends {
-            self.now.backends.retain(|known| known.id != backend.id);
-            self.now.backends.push(backend);
+            self.current.backends.retain(|entry| entry.id != backend.id);
+            self.current.backends.push(backend);
         }
-        let gone = |id: &str| change.removed.iter().any(|removed| removed == id);
-        self.now.instances.retain(|known| !gone(known.id.as_str()));
-        self.now.backends.retain(|known| !gone(known.id.as_str()));
-        self.now.instances.sort_by(|a, b| a.id.cmp(&b.id));
-        self.now.backends.sort_by(|a, b| a.id.cmp(&b.id));
-        self.past.push_back((Instant::now(), self.now.clone()));
+        let is_removed = |id: &str| change.removed.iter().any(|removed| removed == id);
+        self.current
+            .instances
+            .retain(|entry| !is_removed(entry.id.as_str()));
+        self.current
+            .backends
+            .retain(|entry| !is_removed(entry.id.as_str()));
+        self.current.instances.sort_by(|a, b| a.id.cmp(&b.id));
+        self.current.backends.sort_by(|a, b| a.id.cmp(&b.id));
+        self.history
+            .push_back((Instant::now(), self.current.clone()));
     }
 
-    /// The list as readers see it.
+    /// Returns the list as it was `lag_ms` ago; empty before the first change is that old.
     pub fn visible(&mut self) -> Fleet {
         let lag = std::time::Duration::from_millis(self.lag_ms);
-        while self.past.get(1).is_some_and(|(at, _)| at.elapsed() >= lag) {
-            self.past.pop_front();
+        while self
+            .history
+            .get(1)
+            .is_some_and(|(at, _)| at.elapsed() >= lag)
+        {
+            self.history.pop_front();
         }
-        match self.past.front() {
+        match self.history.front() {
             Some((at, fleet)) if at.elapsed() >= lag => fleet.clone(),
             _ => Fleet::default(),
         }
--- a/crates/foxtailhold-standin/src/platform/table.rs
+++ b/crates/foxtailhold-standin/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! A table service in memory with conditional multi-row transactions.
+//! An in-memory table service with conditional multi-row transactions.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,20 @@
 use foxtailhold_platform::{Expect, KeyedRow, Operation, Row, Transacted};
 use tokio::time::Instant;
 
-/// How far back reads can lag.
-const PAST_KEPT: Duration = Duration::from_secs(30);
+/// Retention of replaced rows, and so the maximum lag of reads.
+const HISTORY_RETENTION: Duration = Duration::from_secs(30);
 
-/// All tables. Versions rise by one with each write of a row and start at 1.
+/// All tables. The version of a row starts at 1 and rises by one with each write; it starts again
+/// after the row was deleted.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryTable {
     rows: BTreeMap<(String, String), Row>,
-    past: VecDeque<Replaced>,
+    history: VecDeque<PreviousRow>,
 }
 
-/// A row before a write.
+/// The state of a row before a write; `None` if the row was absent.
 #[derive(Debug, Clone)]
-struct Replaced {
+struct PreviousRow {
     at: Instant,
     key: (String, String),
     row: Option<Row>,
@@ -36,12 +37,13 @@
 }
 
 impl MemoryTable {
-    /// Reads one row.
+    /// Returns a row; `None` if it is absent.
     pub fn get(&self, table: &str, key: &str) -> Option<Row> {
         self.rows.get(&(table.to_owned(), key.to_owned())).cloned()
     }
 
-    /// Reads rows in key order.
+    /// Returns at most `limit` rows in key order whose keys start with `prefix` and follow `after`.
+    /// An empty `after` starts at the first row.
     pub fn scan(&self, table: &str, prefix: &str, after: &str, limit: usize) -> Vec<KeyedRow> {
         let mut found = Vec::new();
         let from = (table.to_owned(), prefix.max(after).to_owned());
@@ -63,41 +65,42 @@
         found
     }
 
-    /// The tables as they were `lag_ms` ago.
+    /// Returns a copy of the tables as they were `lag_ms` ago.
     pub fn as_of(&self, lag_ms: u64) -> MemoryTable {
         let lag = Duration::from_millis(lag_ms);
         let mut rows = self.rows.clone();
-        for replaced in self.past.iter().rev() {
-            if replaced.at.elapsed() >= lag {
+        for previous in self.history.iter().rev() {
+            if previous.at.elapsed() >= lag {
                 break;
             }
-            match &replaced.row {
-                Some(row) => rows.insert(replaced.key.clone(), row.clone()),
-                None => rows.remove(&replaced.key),
+            match &previous.row {
+                Some(row) => rows.insert(previous.key.clone(), row.clone()),
+                None => rows.remove(&previous.key),
             };
         }
         MemoryTable {
             rows,
-            past: VecDeque::new(),
+            history: VecDeque::new(),
         }
     }
 
-    fn remember(&mut self, key: &(String, String)) {
+    fn record_previous(&mut self, key: &(String, String)) {
         while self
-            .past
+            .history
             .front()
-            .is_some_and(|old| old.at.elapsed() > PAST_KEPT)
+            .is_some_and(|old| old.at.elapsed() > HISTORY_RETENTION)
         {
-            self.past.pop_front();
+            self.history.pop_front();
         }
-        self.past.push_back(Replaced {
+        self.history.push_back(PreviousRow {
             at: Instant::now(),
             key: key.clone(),
             row: self.rows.get(key).cloned(),
         });
     }
 
-    /// Applies all operations or none.
+    /// Applies all operations, or none if an expectation fails. The conflict names the first
+    /// operation that failed.
     pub fn transact(&mut self, operations: Vec<Operation>) -> Transacted {
         for (index, operation) in operations.iter().enumerate() {
             let current = self.get(&operation.table, &operation.key);
@@ -111,7 +114,7 @@
         for operation in operations {
             let key = (operation.table, operation.key);
             if operation.write != Write::None {
-                self.remember(&key);
+                self.record_previous(&key);
             }
             match operation.write {
                 Write::None => {}
