--- a/crates/foxtailhold-experiment/src/placement/allocator.rs
+++ b/crates/foxtailhold-experiment/src/placement/allocator.rs
@@ -4,10 +4,7 @@
 use std::collections::HashMap;
 
 use foxtailhold::ids::{AvailabilityZone, BackendId, IdError, InstanceId, TargetName};
-use foxtailhold::slots::{
-    Allocator, BackendSlots, SlotDecision, SlotNotice, SlotOutcome, SlotRequest, SlotRequestId,
-    Urgency,
-};
+use foxtailhold::slots::{Allocator, BackendSlots, SlotDecision, SlotNotice, SlotOutcome, SlotRequest, SlotRequestId, Urgency};
 use foxtailhold::time::MonoMs;
 
 use crate::arrivals::RequestKind;
@@ -170,7 +167,7 @@
         let id = core_request.id.clone();
         let decision = self
             .allocator
-            .ask(MonoMs(now_us / 1_000), core_request, &mut notices);
+            .request_slot(MonoMs(now_us / 1_000), core_request, &mut notices);
         let own = SlotNotice {
             request: id,
             decision: Some(decision),
--- a/crates/foxtailhold-standin/tests/leaving_backends.rs
+++ b/crates/foxtailhold-standin/tests/leaving_backends.rs
@@ -114,7 +114,7 @@
     };
     let request = PeerRequest::BackendsLeaving(vec![notice]);
     let address = deployment.entries[0].address("peer_address");
-    let answer = peers.ask(address, &request, 2_000).await;
+    let answer = peers.call(address, &request, 2_000).await;
     assert_eq!(answer.unwrap(), PeerAnswer::Done);
     tokio::time::sleep(FEW_SECONDS).await;
     assert_unused(&deployment, 1, 20).await;
