--- a/crates/foxtailhold-experiment/src/placement/allocator.rs
+++ b/crates/foxtailhold-experiment/src/placement/allocator.rs
@@ -4,7 +4,10 @@
 use std::collections::HashMap;
 
 use foxtailhold::ids::{AvailabilityZone, BackendId, IdError, InstanceId, TargetName};
-use foxtailhold::slots::{Allocator, BackendSlots, SlotDecision, SlotNotice, SlotOutcome, SlotRequest, SlotRequestId, Urgency};
+use foxtailhold::slots::{
+    Allocator, BackendSlots, SlotDecision, SlotNotice, SlotOutcome, SlotRequest, SlotRequestId,
+    Urgency,
+};
 use foxtailhold::time::MonoMs;
 
 use crate::arrivals::RequestKind;
@@ -165,9 +168,9 @@
         };
         let mut notices = Vec::new();
         let id = core_request.id.clone();
-        let decision = self
-            .allocator
-            .request_slot(MonoMs(now_us / 1_000), core_request, &mut notices);
+        let decision =
+            self.allocator
+                .request_slot(MonoMs(now_us / 1_000), core_request, &mut notices);
         let own = SlotNotice {
             request: id,
             decision: Some(decision),
