--- a/crates/foxtailhold-experiment/src/report.rs
+++ b/crates/foxtailhold-experiment/src/report.rs
@@ -1,40 +1,40 @@
-//! Tables of runs.
+//! Comparison of the policies as a table.
 
 use crate::bound::Bound;
-use crate::tally::Tally;
+use crate::statistics::RunStatistics;
 
-/// One policy's runs.
+/// The runs of one policy.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// A tally for each seed.
-    pub tallies: Vec<Tally>,
+    /// Statistics of each run, in order of the seeds.
+    pub statistics: Vec<RunStatistics>,
 }
 
 impl Row {
-    /// Mean of a figure over the seeds.
-    pub fn mean(&self, figure: impl Fn(&Tally) -> f64) -> f64 {
-        let sum: f64 = self.tallies.iter().map(figure).sum();
-        sum / self.tallies.len().max(1) as f64
+    /// Mean of a figure over all runs.
+    pub fn mean(&self, figure: impl Fn(&RunStatistics) -> f64) -> f64 {
+        let sum: f64 = self.statistics.iter().map(figure).sum();
+        sum / self.statistics.len().max(1) as f64
     }
 }
 
 /// Runs of several policies with the same arrivals.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Slot time that there was in one run, in microseconds.
+    /// Slot time available in one run, in microseconds.
     pub slot_us: f64,
-    /// Policies.
+    /// One row per policy.
     pub rows: Vec<Row>,
-    /// A bound for each seed.
+    /// Upper bound of each run, in order of the seeds.
     pub bounds: Vec<Bound>,
 }
 
 impl Report {
-    /// The table as Markdown.
+    /// Formats the table as Markdown.
     pub fn table(&self) -> String {
         let mut text = String::from(
             "| policy | online in time | first event p50, p99 (ms) | refused | failed | batch in time \
@@ -67,12 +67,12 @@
             row.mean(|t| t.online.share()),
             online_ms(0.5),
             online_ms(0.99),
-            row.mean(|t| share(t.online.refused, t.online.owed)),
-            row.mean(|t| share(t.online.failed, t.online.owed)),
+            row.mean(|t| share(t.online.refused, t.online.expected)),
+            row.mean(|t| share(t.online.failed, t.online.expected)),
             row.mean(|t| t.batch.share()),
             batch_s(0.5),
             batch_s(0.99),
-            row.mean(|t| t.cuts as f64),
+            row.mean(|t| t.preemptions as f64),
             row.mean(|t| t.full as f64),
             row.mean(|t| t.busy_slot_us as f64 / self.slot_us),
         )
--- a/crates/foxtailhold-standin/tests/batch_poison.rs
+++ b/crates/foxtailhold-standin/tests/batch_poison.rs
@@ -1,4 +1,4 @@
-//! An item that crashes each engine that runs it ends as failed; its neighbours complete.
+//! An item that crashes every engine that runs it ends as failed; the other items complete.
 
 mod batch_deployment;
 mod common;
@@ -8,14 +8,14 @@
 use serde_json::{Value, json};
 
 const ITEMS: usize = 60;
-/// Every engine crashes on this item.
+/// Index of the item on which every engine crashes.
 const POISON: usize = 31;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn item_that_crashes_engines_ends_as_failed_and_its_neighbours_complete() {
     let engines = 6;
     let deployment = Deployment::start(engines, 3).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     for engine in &deployment.engines {
         let faults = json!({ "crash_on": format!("poison {POISON}\"") });
         set_faults(&deployment, engine.address("listening"), faults).await;
--- a/crates/foxtailhold-standin/tests/retries.rs
+++ b/crates/foxtailhold-standin/tests/retries.rs
@@ -1,4 +1,5 @@
-//! A failing fleet sees few more requests than callers send.
+//! When all engines fail, retries stay within their budget, so the engines see few more requests
+//! than callers send.
 
 mod common;
 
@@ -17,7 +18,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_stay_within_their_budget_when_all_engines_fail() {
     let deployment = Deployment::start(3, 1).await;
-    deployment.with_contract().await;
+    deployment.set_demo_contract().await;
     let faults = EngineFaults {
         fail: true,
         ..EngineFaults::default()
