--- a/crates/foxtailhold-relay/src/connections.rs
+++ b/crates/foxtailhold-relay/src/connections.rs
@@ -142,7 +142,7 @@
                     let connection = BusyConnection {
                         sender,
                         backend: backend.clone(),
-                        idle_timeout: idle_timeout(response.headers()),
+                        idle_timeout: response_idle_timeout(response.headers()),
                         connections: self.clone(),
                     };
                     return Ok((response, connection));
@@ -186,7 +186,7 @@
 }
 
 /// Time for which the connection may stay idle; zero if it closes after this response.
-fn idle_timeout(headers: &HeaderMap) -> Duration {
+fn response_idle_timeout(headers: &HeaderMap) -> Duration {
     let connection = headers.get(header::CONNECTION);
     if connection.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close")) {
         return Duration::ZERO;
--- a/crates/foxtailhold-relay/src/jobs/item.rs
+++ b/crates/foxtailhold-relay/src/jobs/item.rs
@@ -26,28 +26,24 @@
 use crate::peers::{Slot, SlotError, SlotQuery};
 use crate::upstream::{self, AttemptFailure, UpstreamRequest};
 
-/// Time without an event after which an engine counts as silent for an item; the item is then
-/// resumed elsewhere.
+/// An engine without an event for this time counts as silent; the item is resumed elsewhere.
 const EVENT_TIMEOUT_MS: u64 = 900;
-/// Delay after a failed response, and after the second interruption in a row without a new event.
-/// It doubles with each further interruption.
+/// Delay after a failed response or two interruptions in a row without a new event; each further
+/// one doubles it.
 const RETRY_DELAY_MS: u64 = 60;
-/// Upper bound of that delay. An item that only gets broken responses must not be given up before
-/// its time, and must not keep engines busy until then. Items that crash engines are delayed by
-/// [`CrashBackoff`].
+/// Upper bound of that delay. An item with only broken responses must not be given up early, nor
+/// keep engines busy until then. Items that crash engines are delayed by [`CrashBackoff`].
 const MAX_RETRY_DELAY_MS: u64 = 8_000;
 /// An item is given up if its route has been missing from the configuration for this time.
-const NO_ROUTE_TIMEOUT_MS: u64 = 5_000;
+const NO_ROUTE_MS: u64 = 5_000;
 /// Interval at which an item in backoff checks its route, job and deadline.
 const BACKOFF_CHECK_MS: u64 = 1_000;
-/// Time limit for writing attempt counts, many times the usual latency of the store. The item holds
-/// its slot meanwhile.
-const WRITE_COUNTS_TIMEOUT_MS: u64 = 300;
+/// Time limit for writing attempt counts, many times the store's usual latency; the slot is held.
+const WRITE_LIMIT_MS: u64 = 300;
 /// Time limit of one slot request; afterwards route, job and deadline are checked again.
 const SLOT_TIMEOUT_MS: u64 = 2_000;
 
-/// How one attempt of an item ended.
-enum AttemptResult {
+enum AttemptEnd {
     Complete,
     Impossible,
     ServerError,
@@ -57,14 +53,14 @@
     Interrupted(AttemptFailure),
 }
 
-impl From<&AttemptResult> for AttemptOutcome {
-    fn from(result: &AttemptResult) -> Self {
+impl From<&AttemptEnd> for AttemptOutcome {
+    fn from(result: &AttemptEnd) -> Self {
         match result {
-            AttemptResult::Complete => AttemptOutcome::Done,
-            AttemptResult::Impossible => AttemptOutcome::Impossible,
-            AttemptResult::ServerError => AttemptOutcome::Failed(AttemptFailure::Failed),
-            AttemptResult::Suspended => AttemptOutcome::Preempted,
-            AttemptResult::Interrupted(failure) => AttemptOutcome::Failed(*failure),
+            AttemptEnd::Complete => AttemptOutcome::Done,
+            AttemptEnd::Impossible => AttemptOutcome::Impossible,
+            AttemptEnd::ServerError => AttemptOutcome::Failed(AttemptFailure::Failed),
+            AttemptEnd::Suspended => AttemptOutcome::Preempted,
+            AttemptEnd::Interrupted(failure) => AttemptOutcome::Failed(*failure),
         }
     }
 }
@@ -77,11 +73,10 @@
     partial_outputs: &'a PartialOutputs,
     counts: AttemptCounts,
     /// Whether the start of the current attempt was persisted.
-    is_start_recorded: bool,
+    is_start_saved: bool,
     /// Consecutive interruptions without a new event.
-    fruitless_failures: u32,
+    interruptions: u32,
     avoided_backends: Vec<BackendId>,
-    /// Backend server of the last attempt.
     last_backend: Option<Arc<BackendServer>>,
     backoff: CrashBackoff,
 }
@@ -100,8 +95,8 @@
             item,
             partial_outputs,
             counts: AttemptCounts::default(),
-            is_start_recorded: false,
-            fruitless_failures: 0,
+            is_start_saved: false,
+            interruptions: 0,
             avoided_backends: Vec::new(),
             last_backend: None,
             backoff: CrashBackoff::default(),
@@ -127,9 +122,7 @@
             let routes = self.jobs.relay.routes.load_full();
             let Some(route) = routes.find(&job.host, &job.path) else {
                 let since = *no_route_since.get_or_insert_with(Instant::now);
-                if routes.version() > 0
-                    && since.elapsed() > Duration::from_millis(NO_ROUTE_TIMEOUT_MS)
-                {
+                if routes.version() > 0 && since.elapsed() > Duration::from_millis(NO_ROUTE_MS) {
                     return Some(self.into_result(ItemState::GivenUp));
                 }
                 tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
@@ -150,35 +143,34 @@
             let events = self.events();
             let result = self.attempt_once(route, job, &target, &headers).await;
             if self.events() > events {
-                self.fruitless_failures = 0;
+                self.interruptions = 0;
                 self.counts.record_events();
             }
             match result {
-                AttemptResult::Complete => return Some(self.into_result(ItemState::Done)),
-                AttemptResult::Impossible => return Some(self.into_result(ItemState::GivenUp)),
-                AttemptResult::Suspended => {}
-                AttemptResult::Interrupted(failure) => {
+                AttemptEnd::Complete => return Some(self.into_result(ItemState::Done)),
+                AttemptEnd::Impossible => return Some(self.into_result(ItemState::GivenUp)),
+                AttemptEnd::Suspended => {}
+                AttemptEnd::Interrupted(failure) => {
                     self.jobs.relay.metrics.attempt_failed(failure.as_str());
                     log::info!(
                         job = self.id.as_str(), item = self.item.id.as_str(),
                         backend = self.avoided_backends.last().map(BackendId::as_str),
-                        after = self.events(), losses = self.fruitless_failures,
+                        after = self.events(), losses = self.interruptions,
                         cause:? = failure;
                         "attempt of an item interrupted, resuming at another backend server"
                     );
                     self.record_possible_crash(job, failure, self.events() - events);
                     self.delay_after_failure(failure).await;
                 }
-                AttemptResult::ServerError => {
+                AttemptEnd::ServerError => {
                     self.counts.record_failure();
-                    self.write_attempt_counts(self.counts).await;
+                    self.write_counts(self.counts).await;
                     tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
                 }
             }
         }
     }
 
-    /// Attempt counts written by earlier owners of the job.
     fn earlier_attempt_counts(&self, job: &Job) -> AttemptCounts {
         let written = self.partial_outputs.attempt_counts(&self.item.id);
         let mut counts = written.unwrap_or(AttemptCounts::without_record(job.lost_owners));
@@ -188,21 +180,17 @@
         counts
     }
 
-    /// Persists attempt counts. If the store is unavailable the item continues all the same; an
-    /// owner lost meanwhile then costs one additional attempt at most.
-    async fn write_attempt_counts(&self, counts: AttemptCounts) {
-        let writing = self
+    /// Without the store the item continues; a lost owner then costs one more attempt at most.
+    async fn write_counts(&self, counts: AttemptCounts) {
+        let write = self
             .jobs
             .store
             .write_attempt_counts(self.id, &self.item.id, &counts);
-        let error =
-            match tokio::time::timeout(Duration::from_millis(WRITE_COUNTS_TIMEOUT_MS), writing)
-                .await
-            {
-                Ok(Ok(())) => return,
-                Ok(Err(error)) => error.to_string(),
-                Err(_) => format!("no answer within {WRITE_COUNTS_TIMEOUT_MS} ms"),
-            };
+        let error = match tokio::time::timeout(Duration::from_millis(WRITE_LIMIT_MS), write).await {
+            Ok(Ok(())) => return,
+            Ok(Err(error)) => error.to_string(),
+            Err(_) => format!("no answer within {WRITE_LIMIT_MS} ms"),
+        };
         log::info!(job = self.id.as_str(), item = self.item.id.as_str(); "attempt counts not written, item continues: {error}");
     }
 
@@ -230,8 +218,7 @@
         }
     }
 
-    /// Waits if the item crashed backend servers and may not be attempted yet. `true`: it waited,
-    /// and its route, job and deadline may have changed.
+    /// Returns whether it waited, so that the route, job and deadline may have changed.
     async fn back_off_after_crashes(&mut self, job: &Job) -> bool {
         let relay = &self.jobs.relay;
         if relay.peers.crashes().is_empty() {
@@ -258,22 +245,19 @@
         if !matches!(failure, AttemptFailure::Closed | AttemptFailure::Broken) {
             return;
         }
-        self.fruitless_failures += 1;
-        if self.fruitless_failures < 2 {
+        self.interruptions += 1;
+        if self.interruptions < 2 {
             return;
         }
-        let delay_ms =
-            MAX_RETRY_DELAY_MS.min(RETRY_DELAY_MS << (self.fruitless_failures - 2).min(16));
+        let delay_ms = MAX_RETRY_DELAY_MS.min(RETRY_DELAY_MS << (self.interruptions - 2).min(16));
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 
-    /// Number of events received so far.
     fn events(&self) -> u64 {
         self.partial_outputs.last(&self.item.id)
     }
 
-    /// Event after which the item resumes.
-    fn after(&self) -> Option<u64> {
+    fn resume_after(&self) -> Option<u64> {
         Some(self.events()).filter(|events| *events > 0)
     }
 
@@ -331,7 +315,7 @@
         job: &Job,
         target: &PathAndQuery,
         headers: &HeaderMap,
-    ) -> AttemptResult {
+    ) -> AttemptEnd {
         let relay = &self.jobs.relay;
         let service = route.service(rand::random()).clone();
         let left_ms = job.due_unix_ms.saturating_sub(relay.clock.wall().0);
@@ -347,28 +331,24 @@
             Ok(granted) => granted,
             Err(SlotError::TimedOut) => {
                 self.avoided_backends.clear();
-                return AttemptResult::Suspended;
+                return AttemptEnd::Suspended;
             }
             Err(SlotError::Refused { .. }) => {
                 tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
-                return AttemptResult::Suspended;
+                return AttemptEnd::Suspended;
             }
         };
-        self.is_start_recorded =
-            self.events() == 0 && self.counts.must_record_start(job.lost_owners);
-        if self.is_start_recorded {
-            self.write_attempt_counts(self.counts.with_pending_attempt())
-                .await;
+        self.is_start_saved = self.events() == 0 && self.counts.must_record_start(job.lost_owners);
+        if self.is_start_saved {
+            self.write_counts(self.counts.with_pending_attempt()).await;
         }
         if !self.is_still_owned() {
-            return AttemptResult::Suspended;
+            return AttemptEnd::Suspended;
         }
         self.avoided_backends.clear();
         self.last_backend = Some(Arc::clone(&backend));
         let (started, events) = (Instant::now(), self.events());
-        let result = self
-            .send_attempt(job, target, headers, &backend, &slot)
-            .await;
+        let result = self.send(job, target, headers, &backend, &slot).await;
         relay
             .metrics
             .attempt_ended(&backend.id, AttemptOutcome::from(&result), started);
@@ -376,39 +356,37 @@
         self.jobs
             .item_durations()
             .record_attempt(self.events() - events, took_ms);
-        if matches!(result, AttemptResult::Suspended)
-            && self.events() - events < STABLE_AFTER_EVENTS
-        {
+        if matches!(result, AttemptEnd::Suspended) && self.events() - events < STABLE_AFTER_EVENTS {
             relay.record_unresolved_attempt(self.fingerprint(job), &backend);
         }
         let outcome = match &result {
-            AttemptResult::Complete => {
+            AttemptEnd::Complete => {
                 relay.record_execution(|| self.fingerprint(job));
                 self.jobs.item_durations().record_finished(self.events());
                 SlotOutcome::Done { held_ms: took_ms }
             }
-            AttemptResult::Interrupted(failure) => {
+            AttemptEnd::Interrupted(failure) => {
                 self.avoided_backends.push(backend.id.clone());
                 failure.outcome()
             }
-            AttemptResult::ServerError => {
+            AttemptEnd::ServerError => {
                 self.avoided_backends.push(backend.id.clone());
                 SlotOutcome::Abandoned
             }
-            AttemptResult::Impossible | AttemptResult::Suspended => SlotOutcome::Abandoned,
+            AttemptEnd::Impossible | AttemptEnd::Suspended => SlotOutcome::Abandoned,
         };
         slot.close(outcome);
         result
     }
 
-    async fn send_attempt(
+    async fn send(
         &self,
         job: &Job,
         target: &PathAndQuery,
         headers: &HeaderMap,
         backend: &BackendServer,
         slot: &Slot,
-    ) -> AttemptResult {
+    ) -> AttemptEnd {
         let relay = &self.jobs.relay;
         let body = Bytes::copy_from_slice(&self.item.body);
         let request = UpstreamRequest {
@@ -417,34 +395,32 @@
             target,
             headers,
             body: &body,
-            after_event: self.after(),
+            after_event: self.resume_after(),
             is_idempotent: true,
         };
         let left_ms = job.give_up_unix_ms.saturating_sub(relay.clock.wall().0);
         let deadline = Instant::now() + Duration::from_millis(left_ms);
-        let response_deadline =
-            deadline.min(Instant::now() + Duration::from_millis(EVENT_TIMEOUT_MS));
-        let response_head = relay.send_to(backend, &request, deadline, response_deadline);
+        let head_deadline = deadline.min(Instant::now() + Duration::from_millis(EVENT_TIMEOUT_MS));
+        let response_head = relay.send_to(backend, &request, deadline, head_deadline);
         let sent = tokio::select! {
             // A response that has arrived counts even if the slot is preempted at the same moment.
             biased;
             sent = response_head => sent,
-            () = slot.preempted() => return AttemptResult::Suspended,
+            () = slot.preempted() => return AttemptEnd::Suspended,
         };
         match sent {
-            Err(failure) => AttemptResult::Interrupted(failure),
+            Err(failure) => AttemptEnd::Interrupted(failure),
             Ok((response, _)) if relay.dialect.is_impossible(response.status()) => {
                 log::info!(
                     job = self.id.as_str(), item = self.item.id.as_str(),
                     backend = backend.id.as_str();
                     "backend server reports that the item can never be completed, giving it up"
                 );
-                AttemptResult::Impossible
+                AttemptEnd::Impossible
             }
             Ok((response, connection)) if response.status().is_success() => {
                 let body = response.into_body();
-                self.read_events(job, body, connection, slot, deadline)
-                    .await
+                self.read(job, body, connection, slot, deadline).await
             }
             Ok((response, connection)) => {
                 let status = response.status();
@@ -461,22 +437,22 @@
                     log::debug!("connection ended while reading the error response to an item");
                 }
                 match status {
-                    StatusCode::INTERNAL_SERVER_ERROR => AttemptResult::ServerError,
-                    _ => AttemptResult::Interrupted(AttemptFailure::Broken),
+                    StatusCode::INTERNAL_SERVER_ERROR => AttemptEnd::ServerError,
+                    _ => AttemptEnd::Interrupted(AttemptFailure::Broken),
                 }
             }
         }
     }
 
-    async fn read_events(
+    async fn read(
         &self,
         job: &Job,
         body: hyper::body::Incoming,
         connection: BusyConnection,
         slot: &Slot,
         deadline: Instant,
-    ) -> AttemptResult {
-        let mut reader = EventReader::new(body, connection, self.after());
+    ) -> AttemptEnd {
+        let mut reader = EventReader::new(body, connection, self.resume_after());
         let mut events = 0;
         loop {
             let read = tokio::select! {
@@ -487,7 +463,7 @@
                         job = self.id.as_str(), item = self.item.id.as_str(),
                         after = self.events(); "item preempted"
                     );
-                    return AttemptResult::Suspended;
+                    return AttemptEnd::Suspended;
                 }
             };
             match read {
@@ -495,10 +471,10 @@
                     slot.record_activity();
                     self.append_event(&event, reader.last_id());
                     events += 1;
-                    if events == 1 && self.is_start_recorded {
+                    if events == 1 && self.is_start_saved {
                         let mut counts = self.counts;
                         counts.record_events();
-                        self.write_attempt_counts(counts).await;
+                        self.write_counts(counts).await;
                     }
                     if events == STABLE_AFTER_EVENTS {
                         self.jobs.relay.record_execution(|| self.fingerprint(job));
@@ -506,11 +482,11 @@
                 }
                 StreamRead::End => {
                     reader.close();
-                    return AttemptResult::Complete;
+                    return AttemptEnd::Complete;
                 }
-                StreamRead::Closed => return AttemptResult::Interrupted(AttemptFailure::Closed),
-                StreamRead::Broken => return AttemptResult::Interrupted(AttemptFailure::Broken),
-                StreamRead::Silent => return AttemptResult::Interrupted(AttemptFailure::Silent),
+                StreamRead::Closed => return AttemptEnd::Interrupted(AttemptFailure::Closed),
+                StreamRead::Broken => return AttemptEnd::Interrupted(AttemptFailure::Broken),
+                StreamRead::Silent => return AttemptEnd::Interrupted(AttemptFailure::Silent),
             }
         }
     }
--- a/crates/foxtailhold/src/admission/window.rs
+++ b/crates/foxtailhold/src/admission/window.rs
@@ -39,7 +39,7 @@
 /// to an even split (Chiu and Jain, 1989).
 #[derive(Debug, Clone, Copy)]
 pub struct ConcurrencyWindow {
-    size: u32,
+    max_in_flight: u32,
     lowered_at: Option<MonoMs>,
 }
 
@@ -47,14 +47,14 @@
     /// Creates a window without limit, used until the first load report.
     pub fn new() -> Self {
         ConcurrencyWindow {
-            size: u32::MAX,
+            max_in_flight: u32::MAX,
             lowered_at: None,
         }
     }
 
     /// The current window.
     pub fn size(&self) -> u32 {
-        self.size
+        self.max_in_flight
     }
 
     /// Applies load reports and returns the new window. `instances` is the number of instances that
@@ -62,21 +62,21 @@
     pub fn update(&mut self, capacity: &Capacity, instances: u32, now: MonoMs) -> u32 {
         let total = capacity.total();
         if capacity.replicas == 0 {
-            return self.size;
+            return self.max_in_flight;
         }
         let minimum = total.div_ceil(instances.max(1)).max(1);
         let is_saturated = capacity.waiting > capacity.slots.div_ceil(RESERVE_DIVISOR);
         let since_lowered_ms = self.lowered_at.map(|at| now.since_ms(at));
         let may_lower = since_lowered_ms.is_none_or(|ms| ms >= LOWER_PERIOD_MS);
-        let mut size = self.size.min(total);
+        let mut size = self.max_in_flight.min(total);
         if is_saturated && may_lower {
             size = (u64::from(size) * u64::from(LOWER_PERCENT) / 100) as u32;
             self.lowered_at = Some(now);
         } else if !is_saturated {
             size += total.div_ceil(instances.max(1) * 4);
         }
-        self.size = size.clamp(minimum, total.max(minimum));
-        self.size
+        self.max_in_flight = size.clamp(minimum, total.max(minimum));
+        self.max_in_flight
     }
 }
 
--- a/crates/foxtailhold/src/batch_control/window.rs
+++ b/crates/foxtailhold/src/batch_control/window.rs
@@ -41,7 +41,7 @@
 pub struct CongestionWindow {
     share_percent: u64,
     slots: u32,
-    size: u32,
+    max_batch_items: u32,
     headroom: u32,
     batch: u32,
     online_counts: BTreeMap<InstanceId, OnlineCount>,
@@ -66,7 +66,7 @@
 
     /// The window as of the last update.
     pub fn value(&self) -> u32 {
-        self.size
+        self.max_batch_items
     }
 
     /// Slots of the backend server, zero before the first load report.
@@ -133,7 +133,7 @@
         for (_, excess) in &mut self.excess {
             *excess = excess.saturating_sub(count);
         }
-        self.size = (self.size + count).min(self.available());
+        self.max_batch_items = (self.max_batch_items + count).min(self.available());
     }
 
     /// Applies a load report; one made before the last is ignored.
@@ -195,12 +195,12 @@
         self.excess
             .retain(|(at, _)| last.since_ms(*at) <= EXCESS_WINDOW_MS);
         if now.since_ms(last) > REPORT_TTL_MS {
-            self.size = 0;
+            self.max_batch_items = 0;
             return;
         }
         let available = self.available();
-        if available <= self.size {
-            self.size = available;
+        if available <= self.max_batch_items {
+            self.max_batch_items = available;
             self.increased_at = now;
             return;
         }
@@ -208,7 +208,8 @@
             return;
         }
         self.increased_at = now;
-        self.size = available.min(self.size + Self::least_headroom(self.slots));
+        self.max_batch_items =
+            available.min(self.max_batch_items + Self::least_headroom(self.slots));
     }
 
     fn available(&self) -> u32 {
--- a/crates/foxtailhold/tests/batch_control_world/mod.rs
+++ b/crates/foxtailhold/tests/batch_control_world/mod.rs
@@ -102,33 +102,27 @@
     fn batch(&self) -> u32 {
         self.owners
             .iter()
-            .map(|owner_state| owner_state.scheduler.in_use(&backend()))
+            .map(|state| state.scheduler.in_use(&backend()))
             .sum()
     }
 
     /// Carries out the actions of a scheduler. Every preempted item waits again in the same step.
     fn act(&mut self, owner: usize, actions: Vec<SchedulerAction>) {
         let now = self.now;
-        let owner_state = &mut self.owners[owner];
+        let state = &mut self.owners[owner];
         let mut remaining = VecDeque::from(actions);
         while let Some(action) = remaining.pop_front() {
             match action {
                 SchedulerAction::Start { item, .. } => {
-                    let slots = owner_state
-                        .live
-                        .get_mut(&item)
-                        .expect("a started item is live");
+                    let slots = state.live.get_mut(&item).expect("a started item is live");
                     assert_eq!(*slots, 0, "an item runs twice at once");
                     *slots = 1;
                 }
                 SchedulerAction::Preempt { item, .. } => {
-                    let slots = owner_state
-                        .live
-                        .get_mut(&item)
-                        .expect("a preempted item is live");
+                    let slots = state.live.get_mut(&item).expect("a preempted item is live");
                     assert_eq!(*slots, 1, "an item that does not run was preempted");
                     *slots = 0;
-                    remaining.extend(owner_state.scheduler.enqueue(item, waiting(600), now));
+                    remaining.extend(state.scheduler.enqueue(item, waiting(600), now));
                 }
             }
         }
@@ -218,10 +212,8 @@
                 grant,
                 requested_at,
             } => {
-                let owner_state = &mut self.owners[owner];
-                let actions = owner_state
-                    .scheduler
-                    .handle_response(&grant, requested_at, now);
+                let state = &mut self.owners[owner];
+                let actions = state.scheduler.handle_response(&grant, requested_at, now);
                 self.act(owner, actions);
             }
             Message::PushedGrant {
@@ -229,8 +221,8 @@
                 controller,
                 grant,
             } => {
-                let owner_state = &mut self.owners[owner];
-                let actions = owner_state.scheduler.handle_pushed_grant(&grant, now);
+                let state = &mut self.owners[owner];
+                let actions = state.scheduler.handle_pushed_grant(&grant, now);
                 self.act(owner, actions);
                 let request = self.owners[owner]
                     .scheduler
@@ -279,15 +271,15 @@
 
     fn tick(&mut self, owner: usize) {
         let now = self.now;
-        let owner_state = &mut self.owners[owner];
-        let actions = owner_state
+        let state = &mut self.owners[owner];
+        let actions = state
             .scheduler
-            .set_replicas(vec![entry(owner_state.controller)], now);
+            .set_replicas(vec![entry(state.controller)], now);
         self.act(owner, actions);
-        let owner_state = &mut self.owners[owner];
-        for (_, request) in owner_state.scheduler.due_requests(now, WallMs(0)) {
+        let state = &mut self.owners[owner];
+        for (_, request) in state.scheduler.due_requests(now, WallMs(0)) {
             self.messages.push(Message::SlotRequest {
-                controller: owner_state.controller,
+                controller: state.controller,
                 request,
                 sent_at: now,
             });
@@ -370,19 +362,17 @@
         for _ in 0..items {
             let item = self.next_item;
             self.next_item += 1;
-            let owner_state = &mut self.owners[owner];
-            owner_state.live.insert(item, 0);
-            let actions = owner_state
-                .scheduler
-                .enqueue(item, waiting(slack_s), self.now);
+            let state = &mut self.owners[owner];
+            state.live.insert(item, 0);
+            let actions = state.scheduler.enqueue(item, waiting(slack_s), self.now);
             self.act(owner, actions);
         }
     }
 
     fn end(&mut self, owner: usize, nth: usize, running: bool) {
-        let owner_state = &mut self.owners[owner];
+        let state = &mut self.owners[owner];
         let of_kind = |slots: u32| (slots == 1) == running;
-        let items: Vec<ItemKey> = owner_state
+        let items: Vec<ItemKey> = state
             .live
             .iter()
             .filter(|(_, slots)| of_kind(**slots))
@@ -391,26 +381,18 @@
         let Some(item) = items.get(nth % items.len().max(1)).copied() else {
             return;
         };
-        owner_state.live.remove(&item);
-        let actions = owner_state.scheduler.remove(item, self.now);
+        state.live.remove(&item);
+        let actions = state.scheduler.remove(item, self.now);
         self.act(owner, actions);
     }
 
     pub fn check(&self) {
         let maximum = SLOTS - CongestionWindow::least_headroom(SLOTS);
-        for owner_state in &self.owners {
-            let running = owner_state
-                .live
-                .values()
-                .filter(|slots| **slots == 1)
-                .count();
-            assert_eq!(
-                running,
-                owner_state.scheduler.running(),
-                "slots and items differ"
-            );
-            let known = owner_state.scheduler.waiting() + owner_state.scheduler.running();
-            assert_eq!(owner_state.live.len(), known, "an item was lost");
+        for state in &self.owners {
+            let running = state.live.values().filter(|slots| **slots == 1).count();
+            assert_eq!(running, state.scheduler.running(), "slots and items differ");
+            let known = state.scheduler.waiting() + state.scheduler.running();
+            assert_eq!(state.live.len(), known, "an item was lost");
         }
         let recent = self.killed_at.map(|at| self.now.since_ms(at));
         if recent.is_some_and(|since_ms| since_ms <= GRANT_MS) {
@@ -430,11 +412,11 @@
         let id = controller_id(controller);
         let mut followers = BTreeSet::new();
         let mut in_use = 0;
-        for (index, owner_state) in self.owners.iter().enumerate() {
-            let grantor = owner_state.scheduler.grantor(&backend(), self.now);
+        for (index, state) in self.owners.iter().enumerate() {
+            let grantor = state.scheduler.grantor(&backend(), self.now);
             if grantor.is_some_and(|(grantor, _)| *grantor == id) {
                 followers.insert(index);
-                in_use += owner_state.scheduler.in_use(&backend());
+                in_use += state.scheduler.in_use(&backend());
             }
         }
         let since = |at: &MonoMs| self.now.since_ms(*at) <= GRANT_MS;
@@ -455,8 +437,8 @@
     pub fn drain(&mut self) {
         self.online = 0;
         self.messages.clear();
-        for owner_state in &mut self.owners {
-            owner_state.controller = 0;
+        for state in &mut self.owners {
+            state.controller = 0;
         }
         for round in 0..1_000 {
             self.now = self.now + 20;
@@ -476,19 +458,11 @@
             for owner in 0..OWNERS {
                 self.end(owner, 0, true);
             }
-            if self
-                .owners
-                .iter()
-                .all(|owner_state| owner_state.live.is_empty())
-            {
+            if self.owners.iter().all(|state| state.live.is_empty()) {
                 return;
             }
         }
-        let remaining: Vec<usize> = self
-            .owners
-            .iter()
-            .map(|owner_state| owner_state.live.len())
-            .collect();
+        let remaining: Vec<usize> = self.owners.iter().map(|state| state.live.len()).collect();
         panic!("items never got a slot: {remaining:?}");
     }
 }
--- a/crates/foxtailhold/tests/contract_sync_fuzz.rs
+++ b/crates/foxtailhold/tests/contract_sync_fuzz.rs
@@ -113,7 +113,7 @@
     paused: bool,
     started_ms: u64,
     highest: u64,
-    highest_by_customer: BTreeMap<CustomerId, u64>,
+    highest_entry: BTreeMap<CustomerId, u64>,
 }
 
 impl Instance {
@@ -125,7 +125,7 @@
             paused: false,
             started_ms,
             highest: 0,
-            highest_by_customer: BTreeMap::new(),
+            highest_entry: BTreeMap::new(),
         }
     }
 
@@ -369,8 +369,7 @@
         }
     }
 
-    /// Checks that no entry is older than the applied number implies. Entries may be newer only
-    /// after a scan of rows.
+    /// No entry is older than the applied number implies, and one is newer only after a row scan.
     fn check_registry(&self, registry: &ContractRegistry) {
         let rows = self.rows_until(registry.number());
         let ahead = registry
@@ -416,10 +415,7 @@
         let instance = &mut self.instances[index];
         instance.highest = number;
         for (customer, entry) in instance.sync.registry().entries() {
-            let highest = instance
-                .highest_by_customer
-                .entry(customer.clone())
-                .or_default();
+            let highest = instance.highest_entry.entry(customer.clone()).or_default();
             assert!(
                 entry.number >= *highest,
                 "{customer} reverted to {}",
